--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -14,6 +14,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.crashes import CrashExchange
 from cloverway.serving.hosts.news import NewsExchange
+from cloverway.serving.hosts.returns import BookingExchange
 from cloverway.serving.hosts.statements import StatementExchange
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Pool
@@ -57,7 +58,9 @@
         self.statements = StatementExchange(own_name, directory, figures)
         suspects = SuspectWatch(own_name, self.quarantine)
         self.targeting = Targeting(settings, directory, members, suspects)
-        self.news = NewsExchange(members, (self.crashes, self.statements, suspects))
+        self.bookings = BookingExchange(own_name)
+        sources = (self.crashes, self.statements, suspects, self.bookings)
+        self.news = NewsExchange(members, sources)
         self.lives = LifeCheck(self.quarantine, self.pool, dialect, figures)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -64,7 +64,8 @@
         """When the last send began."""
         self.tried: Counter[str] = Counter()
         self.wanted = Wanted(call, route, self.service, self.tried, call.compute_digest())
-        self.placement = Placement(context, self.wanted, self.limit_at)
+        booking = context.bookings.take(self.wanted.digest, call.arrived_at)
+        self.placement = Placement(context, self.wanted, self.limit_at, booking)
         self.relay = EventRelay(exchange, self.wanted)
         self.suspicion = Suspicion(context, self.wanted, self.relay.timing)
 
