--- a/cloverway/fleet.thrift
+++ b/cloverway/fleet.thrift
@@ -104,17 +104,6 @@
   2: list<SuspectSend> runs
 }
 
-struct CallerBooking {
-  1: i64 digest
-  2: i32 age_ms
-  3: i32 due_ms
-}
-
-struct BookingReport {
-  1: string host
-  2: list<CallerBooking> bookings
-}
-
 struct Message {
   1: Heartbeat Heartbeat
   2: StoredSnapshot StoredSnapshot
@@ -122,5 +111,4 @@
   4: CrashReport CrashReport
   5: StatementReport StatementReport
   6: SuspectReport SuspectReport
-  7: BookingReport BookingReport
 }
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -14,7 +14,6 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.crashes import CrashExchange
 from cloverway.serving.hosts.news import NewsExchange
-from cloverway.serving.hosts.returns import BookingExchange
 from cloverway.serving.hosts.statements import StatementExchange
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Pool
@@ -58,9 +57,7 @@
         self.statements = StatementExchange(own_name, directory, figures)
         suspects = SuspectWatch(own_name, self.quarantine)
         self.targeting = Targeting(settings, directory, members, suspects)
-        self.bookings = BookingExchange(own_name)
-        sources = (self.crashes, self.statements, suspects, self.bookings)
-        self.news = NewsExchange(members, sources)
+        self.news = NewsExchange(members, (self.crashes, self.statements, suspects))
         self.lives = LifeCheck(self.quarantine, self.pool, dialect, figures)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
--- a/cloverway/serving/hosts/peerwire.py
+++ b/cloverway/serving/hosts/peerwire.py
@@ -162,25 +162,8 @@
     runs: tuple[SuspectSend, ...] = ()
 
 
-class CallerBooking(NamedTuple):
-    """A caller that was refused and told when to come back."""
-
-    digest: int
-    age_ms: int
-    """How long ago it came for the first time."""
-    due_ms: int
-    """When it is to come back, from now."""
-
-
-class BookingReport(NamedTuple):
-    """Callers that a host has refused just now."""
-
-    host: str
-    bookings: tuple[CallerBooking, ...]
-
-
 MESSAGES = (
     *(Heartbeat, StoredSnapshot, EndpointUses, CrashReport),
-    *(StatementReport, SuspectReport, BookingReport),
+    *(StatementReport, SuspectReport),
 )
 CODEC = StructCodec("fleet.thrift", MESSAGES)
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -64,8 +64,7 @@
         """When the last send began."""
         self.tried: Counter[str] = Counter()
         self.wanted = Wanted(call, route, self.service, self.tried, call.compute_digest())
-        booking = context.bookings.take(self.wanted.digest, call.arrived_at)
-        self.placement = Placement(context, self.wanted, self.limit_at, booking)
+        self.placement = Placement(context, self.wanted, self.limit_at)
         self.relay = EventRelay(exchange, self.wanted)
         self.suspicion = Suspicion(context, self.wanted, self.relay.timing)
 
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -4,7 +4,6 @@
 
 import random
 
-from cloverway.core.bookings import Booking
 from cloverway.core.prediction import Wanted, estimate_read
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
@@ -32,13 +31,9 @@
 class Placement:
     """Finds the places of one request."""
 
-    def __init__(
-        self, context: Context, wanted: Wanted, limit_at: float, booking: Booking | None
-    ) -> None:
+    def __init__(self, context: Context, wanted: Wanted, limit_at: float) -> None:
         self._context = context
         self._wanted = wanted
-        self._booking = booking
-        """Set for a caller that comes back when it was told to."""
         self._limit_at = limit_at
         """When the answer is no longer wanted."""
 
@@ -74,8 +69,6 @@
     def _make_ask(self) -> Ask:
         call, route = self._wanted.call, self._wanted.route
         read_s = estimate_read(self._wanted)
-        if self._booking is not None:
-            return Ask(Rank(route.priority, self._booking.arrived_at), read_s)
         late_at = call.arrived_at + route.objective_s - read_s
         return Ask(Rank(route.priority, call.arrived_at), read_s, late_at)
 
@@ -94,16 +87,8 @@
             return RequestError(Kind.ENDPOINT_FAILED, why, ran=ran)
         part_s = random.uniform(*RETRY_PARTS) * self._wanted.route.objective_s
         retry_s = max(LEAST_RETRY_S, part_s, min(over_s, MOST_RETRY_S))
-        self._note_refused(retry_s)
         return RequestError(Kind.NO_CAPACITY, why, ran=Ran.NO, retry_after=retry_s)
 
-    def _note_refused(self, retry_s: float) -> None:
-        call = self._wanted.call
-        if call.passed_on is None:
-            arrived_at = self._booking.arrived_at if self._booking is not None else call.arrived_at
-            due_at = read_clock() + retry_s
-            self._context.bookings.note_refused(Booking(self._wanted.digest, arrived_at, due_at))
-
     def _may_send_again(self, now: float) -> bool:
         hosts = self._context.members.count_fleet()
         return self._context.get_budget(self._wanted.service.name).take(hosts, now)
