--- a/cloverway/membership/heartbeats.py
+++ b/cloverway/membership/heartbeats.py
@@ -17,7 +17,7 @@
 from thriftpy2.utils import deserialize, serialize
 
 from cloverway.errors import PeerError
-from cloverway.thriftform import check_struct
+from cloverway.thrift_check import check_struct
 
 wire = thriftpy2.load(
     str(Path(__file__).with_name("heartbeat.thrift")), module_name="heartbeat_thrift"
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -12,8 +12,8 @@
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
+from cloverway.serving.hosts.broadcast import NewsExchange
 from cloverway.serving.hosts.crashes import CrashExchange
-from cloverway.serving.hosts.news import NewsExchange
 from cloverway.serving.hosts.statements import StatementExchange
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Pool
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -14,7 +14,7 @@
 from cloverway.errors import PeerError
 from cloverway.serving.clock import count_to_tick, read_clock
 from cloverway.serving.documents.catalogue import Catalogue
-from cloverway.serving.hosts.peerwire import CODEC, StoredDocument, StoredSnapshot
+from cloverway.serving.hosts.messages import CODEC, StoredDocument, StoredSnapshot
 from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch
 from cloverway.serving.telemetry import tell
 
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -7,8 +7,8 @@
 
 from cloverway.core.quarantine import Crash, CrashNews, Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.news import TELL_AFTER_S, FreshNews
-from cloverway.serving.hosts.peerwire import CODEC, CrashReport, EndpointCrash
+from cloverway.serving.hosts.broadcast import TELL_AFTER_S, FreshNews
+from cloverway.serving.hosts.messages import CODEC, CrashReport, EndpointCrash
 from cloverway.serving.telemetry import Figures, tell
 
 RETOLD_S = 6.0
--- a/cloverway/serving/hosts/uses.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -10,7 +10,7 @@
 from cloverway.core.load import SiblingLoad
 from cloverway.core.members import Members, Peer
 from cloverway.serving.clock import read_clock, wait_for_tick
-from cloverway.serving.hosts.peerwire import CODEC, EndpointUse, EndpointUses
+from cloverway.serving.hosts.messages import CODEC, EndpointUse, EndpointUses
 
 TELL_S = 0.2
 """Period in which changes are told: loads of endpoints change as fast as a prompt is read."""
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -17,16 +17,16 @@
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync
 from cloverway.serving.early import KNOCK
-from cloverway.serving.hosts.news import NewsExchange
-from cloverway.serving.hosts.offers import list_offers, read_offer
-from cloverway.serving.hosts.peerwire import (
+from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.endpoint_loads import UseExchange
+from cloverway.serving.hosts.messages import (
     CODEC,
     EndpointUses,
     Heartbeat,
     HostState,
     RegionOffer,
 )
-from cloverway.serving.hosts.uses import UseExchange
+from cloverway.serving.hosts.region_capacity import list_offers, read_offer
 from cloverway.serving.telemetry import Figures, tell
 
 log = logging.getLogger(__name__)
--- a/cloverway/serving/hosts/offers.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -8,7 +8,7 @@
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import EngineState
 from cloverway.core.members import Offer
-from cloverway.serving.hosts.peerwire import RegionOffer
+from cloverway.serving.hosts.messages import RegionOffer
 
 MOST_FREE = 1000
 """Free places that an offer names at most: no host passes on more between two offers."""
--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -7,8 +7,8 @@
 
 from cloverway.core.endpoints import Directory
 from cloverway.core.statements import News, Statement
-from cloverway.serving.hosts.news import TELL_AFTER_S, FreshNews
-from cloverway.serving.hosts.peerwire import CODEC, EndpointStatement, StatementReport
+from cloverway.serving.hosts.broadcast import TELL_AFTER_S, FreshNews
+from cloverway.serving.hosts.messages import CODEC, EndpointStatement, StatementReport
 from cloverway.serving.ports import ReplyFacts
 from cloverway.serving.telemetry import Figures, tell
 
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -7,8 +7,8 @@
 from cloverway.core.prediction import Candidate, Wanted
 from cloverway.core.quarantine import Level, Quarantine
 from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
-from cloverway.serving.hosts.news import FreshNews
-from cloverway.serving.hosts.peerwire import CODEC, SuspectReport, SuspectSend
+from cloverway.serving.hosts.broadcast import FreshNews
+from cloverway.serving.hosts.messages import CODEC, SuspectReport, SuspectSend
 from cloverway.serving.telemetry import tell
 
 MOST_TOLD = 20
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -7,7 +7,7 @@
 from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.client import ReplyHead, Sending
-from cloverway.serving.http.events import EventSplitter
+from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import Answered, bear_silence
 from cloverway.serving.requests.targeting import Target
--- a/cloverway/structs.py
+++ b/cloverway/structs.py
@@ -17,7 +17,7 @@
 from thriftpy2.utils import deserialize, serialize
 
 from cloverway.errors import PeerError
-from cloverway.thriftform import check_struct
+from cloverway.thrift_check import check_struct
 
 CODEC = TCyBinaryProtocolFactory()
 Convert = Callable[[Any], Any]
--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -23,7 +23,7 @@
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.prediction import Sender, Wanted, predict
 from cloverway.platform.documents import decode_documents
-from cloverway.serving.hosts.peerwire import (
+from cloverway.serving.hosts.messages import (
     CODEC,
     EndpointUse,
     EndpointUses,
--- a/cloverway/tests/test_core_lives.py
+++ b/cloverway/tests/test_core_lives.py
@@ -18,8 +18,8 @@
 from cloverway.core.load import SiblingLoad, Work
 from cloverway.core.members import Member, Members
 from cloverway.core.statements import Statement
-from cloverway.serving.hosts.peerwire import EndpointUse, EndpointUses
-from cloverway.serving.hosts.uses import UseExchange
+from cloverway.serving.hosts.endpoint_loads import UseExchange
+from cloverway.serving.hosts.messages import EndpointUse, EndpointUses
 
 RUNS = int(os.environ.get("LIVES_RUNS", "60"))
 TOPOLOGY = Topology("d1", "north", {"d1": "north", "d2": "south"})
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -9,10 +9,10 @@
 
 from cloverway.core.members import Member, Members
 from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
-from cloverway.serving.hosts import crashes, news
+from cloverway.serving.hosts import broadcast, crashes
+from cloverway.serving.hosts.broadcast import TELL_AFTER_S, NewsExchange
 from cloverway.serving.hosts.crashes import MOST_TOLD, RETOLD_S, CrashExchange
-from cloverway.serving.hosts.news import TELL_AFTER_S, NewsExchange
-from cloverway.serving.hosts.peerwire import CODEC
+from cloverway.serving.hosts.messages import CODEC
 from cloverway.serving.telemetry import Figures
 
 PACKET_BYTES = 1_472
@@ -59,7 +59,7 @@
     """A clock that tests set; waits of the event loop are as they are."""
     times = [1_000.0]
     monkeypatch.setattr(crashes, "read_clock", lambda: times[0])
-    monkeypatch.setattr(news, "read_clock", lambda: times[0])
+    monkeypatch.setattr(broadcast, "read_clock", lambda: times[0])
     return times
 
 
@@ -105,7 +105,7 @@
 
 
 def test_hosts_tell_again_by_themselves(clock, monkeypatch):
-    monkeypatch.setattr(news, "RETELL_S", 0.01)
+    monkeypatch.setattr(broadcast, "RETELL_S", 0.01)
     net = Net("a1", "a2")
     net.lost = lambda sender, receiver: True
 
--- a/cloverway/tests/test_uses.py
+++ b/cloverway/tests/test_endpoint_loads.py
@@ -9,8 +9,8 @@
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import Work
 from cloverway.core.members import SMALL_REGION, Member, Members
-from cloverway.serving.hosts.peerwire import CODEC
-from cloverway.serving.hosts.uses import MOST_TOLD_AT_ONCE, UseExchange
+from cloverway.serving.hosts.endpoint_loads import MOST_TOLD_AT_ONCE, UseExchange
+from cloverway.serving.hosts.messages import CODEC
 
 TOPOLOGY = Topology("d1", "north", {"d1": "north"})
 PROMPT = Prompt(9_000, 50, (PromptPart(1, 6_000), PromptPart(2, 3_000)))
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -10,6 +10,7 @@
 from cloverway.core.deployment import Configuration, EndpointEntry, EngineShape, Service, Topology
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.members import ACTIVE_RATE, LEAST_NAMED, Member, Members
+from cloverway.serving.hosts.broadcast import NewsExchange
 from cloverway.serving.hosts.gossip import (
     FAR_HOSTS,
     FAR_IDLE_PER_S,
@@ -18,8 +19,7 @@
     SETTLING_S,
     Gossip,
 )
-from cloverway.serving.hosts.news import NewsExchange
-from cloverway.serving.hosts.peerwire import CODEC
+from cloverway.serving.hosts.messages import CODEC
 from cloverway.serving.telemetry import Figures
 
 REGIONS = ("north", "south", "west")
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -246,7 +246,7 @@
         async with run_fleet(hosts=2) as fleet:
             first, second = fleet.hosts
             await wait_for(lambda: first.members.peers and second.members.peers)
-            monkeypatch.setattr("cloverway.serving.hosts.uses.TELL_S", 60.0)
+            monkeypatch.setattr("cloverway.serving.hosts.endpoint_loads.TELL_S", 60.0)
             await asyncio.sleep(0.3)
             for host in fleet.hosts:
                 for peer in host.members.peers.values():
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -10,7 +10,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import MEETING_S
 from cloverway.serving.early import knock_early
-from cloverway.serving.hosts.peerwire import CODEC, CrashReport, Heartbeat
+from cloverway.serving.hosts.messages import CODEC, CrashReport, Heartbeat
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import take_ports
 
--- a/cloverway/tests/test_fleet_parts.py
+++ b/cloverway/tests/test_fleet_parts.py
@@ -23,7 +23,7 @@
 from cloverway.platform.dialect import PlatformDialect
 from cloverway.platform.documents import decode_documents
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.events import EventSplitter
+from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.requests.waiting import FIRST_TRIED, NEXT_TRIED, Ask, Rank, WaitingLine
 from cloverway.serving.settings import FleetSettings
 from cloverway.serving.telemetry import PENDING_BYTES, LineWriter
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -7,8 +7,8 @@
 from cloverway.core.deployment import EndpointEntry, EndpointPublished, Topology
 from cloverway.core.endpoints import Directory
 from cloverway.core.members import Member, Members
-from cloverway.serving.hosts.news import NewsExchange
-from cloverway.serving.hosts.peerwire import CODEC
+from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.messages import CODEC
 from cloverway.serving.hosts.statements import ENDED_S, MOST_TOLD, StatementExchange
 from cloverway.serving.ports import ReplyFacts
 from cloverway.serving.telemetry import Figures
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -10,8 +10,8 @@
 from cloverway.core.prediction import Candidate, Wanted
 from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.news import NewsExchange
-from cloverway.serving.hosts.peerwire import CODEC
+from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.messages import CODEC
 from cloverway.serving.hosts.suspects import MOST_TOLD, SuspectWatch
 
 SUSPECT, OTHER, INNOCENT = 1, 2, 3
--- a/cloverway/tests/test_thriftform.py
+++ b/cloverway/tests/test_thrift_check.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cloverway.errors import PeerError
-from cloverway.thriftform import check_struct
+from cloverway.thrift_check import check_struct
 
 HOSTILE_LIST = b"\x0f\x00\x07" + b"\x01" + b"\x7f\xff\xff\xff" + b"\x00"
 
