--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -14,7 +14,7 @@
 from cloverway.platform import names
 from cloverway.platform.documents import decode_documents
 from cloverway.platform.entries import decode_born
-from cloverway.serving.http.client import ReplyHead
+from cloverway.serving.http.client import ResponseHead
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.ports import LifeFacts, Lookup, ReplyFacts, SendTerms
 
@@ -104,12 +104,12 @@
             headers.append((names.LAST_EVENT, call.last_event_id.encode("latin-1")))
         return headers
 
-    def is_answer_to(self, head: ReplyHead, call: Call) -> bool:
+    def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
         """Tell whether an answer belongs to a request."""
         named = head.get(names.REQUEST_ID)
         return named is None or named == call.id.encode("latin-1")
 
-    def decode_reply(self, head: ReplyHead) -> ReplyFacts:
+    def decode_reply(self, head: ResponseHead) -> ReplyFacts:
         """Decode the head of an endpoint's answer."""
         elsewhere = head.status == MISDIRECTED
         not_run = head.get(names.NOT_RUN) is not None or elsewhere
@@ -125,7 +125,7 @@
         """Give target and headers of the GET that asks an endpoint when it started."""
         return STATE_PATH, [(names.EXPECTED_ENDPOINT, endpoint_id.encode("latin-1"))]
 
-    def decode_life(self, head: ReplyHead, body: bytes) -> LifeFacts:
+    def decode_life(self, head: ResponseHead, body: bytes) -> LifeFacts:
         """Decode the answer to it."""
         born_ms = decode_born(body) if head.status == OK else None
         return LifeFacts(head.status == MISDIRECTED, born_ms)
--- a/cloverway/platform/store.py
+++ b/cloverway/platform/store.py
@@ -14,7 +14,13 @@
 from cloverway.core.deployment import Document, Snapshot
 from cloverway.errors import PlatformError
 from cloverway.platform.documents import PREFIXES, is_unreadable
-from cloverway.serving.http.client import AnswerError, AnswerTooLongError, ConnectError, Pool, fetch
+from cloverway.serving.http.client import (
+    ConnectError,
+    ConnectionPool,
+    ResponseError,
+    ResponseTooLargeError,
+    fetch,
+)
 from cloverway.serving.ports import HistoryGoneError, StoreBusyError
 
 ANSWER_S = 0.9
@@ -64,7 +70,7 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._pool = Pool()
+        self._pool = ConnectionPool()
 
     async def read_all(self) -> Snapshot:
         """Give all documents; raise PlatformError.
@@ -84,7 +90,7 @@
         query = {"prefix": EVERYTHING, "after": str(after), "waitMs": str(wait_ms)}
         try:
             answer = await self._call("/kv-watch", query, wait_s)
-        except AnswerTooLongError as error:
+        except ResponseTooLargeError as error:
             # Somebody writes faster than is read. Pages of all keys are bounded, and show the same.
             raise HistoryGoneError("/kv-watch: too many changes") from error
         return Snapshot(max(after, answer.at), _decode_items(answer.events), False)
@@ -117,9 +123,9 @@
                 timeout_s=wait_s + ANSWER_S,
                 limit=ANSWER_LIMIT,
             )
-        except AnswerTooLongError:
+        except ResponseTooLargeError:
             raise
-        except (ConnectError, AnswerError) as error:
+        except (ConnectError, ResponseError) as error:
             raise PlatformError(f"{path}: {error}") from error
         if head.status == 410:
             raise HistoryGoneError(path)
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -12,11 +12,11 @@
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.crashes import CrashExchange
 from cloverway.serving.hosts.statements import StatementExchange
-from cloverway.serving.hosts.suspects import SuspectWatch
-from cloverway.serving.http.client import Pool
+from cloverway.serving.hosts.suspects import SuspectTracker
+from cloverway.serving.http.client import ConnectionPool
 from cloverway.serving.ports import Dialect
 from cloverway.serving.requests.lives import LifeCheck
 from cloverway.serving.requests.targeting import Targeting
@@ -49,15 +49,15 @@
         self.members = members
         self.dialect = dialect
         self.figures = figures
-        self.pool = Pool(figures.note_connect)
+        self.pool = ConnectionPool(figures.note_connect)
         self.usual_failures = UsualFailures()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
         self.crashes = CrashExchange(own_name, self.quarantine, figures)
         self.statements = StatementExchange(own_name, directory, figures)
-        suspects = SuspectWatch(own_name, self.quarantine)
+        suspects = SuspectTracker(own_name, self.quarantine)
         self.targeting = Targeting(settings, directory, members, suspects)
-        self.news = NewsExchange(members, (self.crashes, self.statements, suspects))
+        self.news = UpdateBroadcaster(members, (self.crashes, self.statements, suspects))
         self.lives = LifeCheck(self.quarantine, self.pool, dialect, figures)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -15,68 +15,68 @@
 from cloverway.serving.clock import count_to_tick, read_clock
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.hosts.messages import CODEC, StoredDocument, StoredSnapshot
-from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch
+from cloverway.serving.http.client import ConnectError, ConnectionPool, ResponseError, fetch
 from cloverway.serving.telemetry import tell
 
-READ_STALE_S = 1.6
+STALE_S = 1.6
 """A host whose documents are older than this asks any host that knows more, also one that is far:
 one whole read that was missed, and a little."""
-LOOK_S = 0.2
+POLL_PERIOD_S = 0.2
 """How often that is looked at, besides whenever a host of the domain has news."""
-TRIP_S = 0.1
+ONE_WAY_LATENCY_S = 0.1
 """Added to the age of what another host tells: one way to the farthest region, and a little."""
-FETCH_S = 1.0
-FETCH_LIMIT = 64 * 1024 * 1024
+FETCH_TIMEOUT_S = 1.0
+MAX_FETCH_BYTES = 64 * 1024 * 1024
 SNAPSHOT_PATH = "/snapshot"
 
 
 class DocumentSync:
     """Follows hosts that read the store, and fetches from them what they know more."""
 
-    def __init__(self, members: Members, catalogue: Catalogue, pool: Pool) -> None:
+    def __init__(self, members: Members, catalogue: Catalogue, pool: ConnectionPool) -> None:
         self._members = members
         self._catalogue = catalogue
         self._pool = pool
-        self._news = asyncio.Event()
+        self._newer_available = asyncio.Event()
 
-    def note(self, peer: Peer, now: float) -> None:
+    def note_peer(self, peer: Peer, now: float) -> None:
         """Compare with what another host has just said that it knows."""
         table = self._catalogue.table
         if table.follow(peer.revision, peer.digest):
-            read_at = now - peer.read_age_s - TRIP_S
+            read_at = now - peer.read_age_s - ONE_WAY_LATENCY_S
             self._catalogue.read_at = max(self._catalogue.read_at, read_at)
-        elif self._is_news(peer) and peer.member.domain == self._members.own.domain:
-            self._news.set()
+        elif self._has_newer(peer) and peer.member.domain == self._members.own.domain:
+            self._newer_available.set()
 
     async def run(self) -> None:
         """Fetch documents whenever another host knows more, for ever."""
         while True:
             try:
-                async with asyncio.timeout(count_to_tick(LOOK_S)):
-                    await self._news.wait()
+                async with asyncio.timeout(count_to_tick(POLL_PERIOD_S)):
+                    await self._newer_available.wait()
             except TimeoutError:
                 pass
             now = read_clock()
-            if not self._news.is_set() and not self._is_stale(now):
+            if not self._newer_available.is_set() and not self._is_stale(now):
                 continue
-            self._news.clear()
+            self._newer_available.clear()
             peer = self._choose_source(now)
             if peer is not None:
                 await self._fetch_from(peer)
 
-    def _is_news(self, peer: Peer) -> bool:
+    def _has_newer(self, peer: Peer) -> bool:
         table = self._catalogue.table
         return peer.revision > table.revision and peer.digest != table.digest
 
     def _is_stale(self, now: float) -> bool:
-        return now - self._catalogue.read_at > READ_STALE_S
+        return now - self._catalogue.read_at > STALE_S
 
     def _choose_source(self, now: float) -> Peer | None:
         """Choose a host that knows more: of this domain, or any when the documents here are old."""
         known = [
             peer
             for peer in self._members.peers.values()
-            if self._is_news(peer)
+            if self._has_newer(peer)
             and now >= peer.failed_until
             and self._members.is_alive(peer, now)
         ]
@@ -99,11 +99,11 @@
                 # The two held different documents at the same revision: only all of them mend that.
                 snapshot = await self._fetch(peer, None)
                 self._apply(snapshot)
-        except (ConnectError, AnswerError, PeerError) as error:
-            peer.failed_until = read_clock() + FETCH_S
+        except (ConnectError, ResponseError, PeerError) as error:
+            peer.failed_until = read_clock() + FETCH_TIMEOUT_S
             tell("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
-        read_at = asked_at - peer.read_age_s - TRIP_S
+        read_at = asked_at - peer.read_age_s - ONE_WAY_LATENCY_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         tell(
             "documents_fetched",
@@ -118,10 +118,15 @@
         target = SNAPSHOT_PATH if after is None else f"{SNAPSHOT_PATH}?after={after}"
         request = h11.Request(method="GET", target=target, headers=[(b"Host", b"peer")])
         head, body = await fetch(
-            self._pool, peer.member.inner, request, b"", timeout_s=FETCH_S, limit=FETCH_LIMIT
+            self._pool,
+            peer.member.inner,
+            request,
+            b"",
+            timeout_s=FETCH_TIMEOUT_S,
+            limit=MAX_FETCH_BYTES,
         )
         if head.status != 200:
-            raise AnswerError(f"status {head.status}")
+            raise ResponseError(f"status {head.status}")
         snapshot = CODEC.decode(body)
         if not isinstance(snapshot, StoredSnapshot):
             raise PeerError("the answer holds no documents")
@@ -136,7 +141,7 @@
         self._catalogue.apply(known, "peer", read_clock())
 
 
-def answer_fetch(table: DocumentTable, target: str) -> bytes | None:
+def export_snapshot(table: DocumentTable, target: str) -> bytes | None:
     """Give the documents that another host asks for; None when it asks for something else."""
     parts = urlsplit(target)
     if parts.path != SNAPSHOT_PATH:
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -22,10 +22,10 @@
 from cloverway.serving.clock import count_to_tick, read_clock, wait_for_tick
 from cloverway.serving.context import MEETING_S, Context
 from cloverway.serving.documents.catalogue import Catalogue
-from cloverway.serving.documents.sync import DocumentSync, answer_fetch
+from cloverway.serving.documents.sync import DocumentSync, export_snapshot
 from cloverway.serving.early import Early
 from cloverway.serving.hosts.gossip import Gossip
-from cloverway.serving.http.server import REASONS, Exchange, Server, ServerTerms
+from cloverway.serving.http.server import REASONS, Exchange, Server, ServerOptions
 from cloverway.serving.ports import Dialect, Store
 from cloverway.serving.requests.forwarding import Forwarder
 from cloverway.serving.settings import FleetSettings
@@ -87,20 +87,20 @@
             self.catalogue,
             self.sync,
             self.figures,
-            news=self.context.news,
+            broadcaster=self.context.news,
             seeds=settings.peers.seeds,
         )
-        self.catalogue.on_news = self.gossip.announce_news
-        self.gossip.sum_waiting = self.context.targeting.sum_waiting
-        self.gossip.on_introduced = self._note_introduced
-        self.context.lives.on_born = self.catalogue.note_born
-        self.context.targeting.on_prompt = self.gossip.uses.tell_at_once
+        self.catalogue.on_documents_changed = self.gossip.announce_documents
+        self.gossip.get_queued_work_s = self.context.targeting.sum_waiting
+        self.gossip.on_first_contact = self._note_introduced
+        self.context.lives.on_born = self.catalogue.note_restart
+        self.context.targeting.on_prompt = self.gossip.endpoint_loads.broadcast_at_once
         self.started_at = read_clock()
         self.leaving_at: float | None = None
-        terms = ServerTerms(self._get_limits, self._is_leaving, self._format_refusal)
+        terms = ServerOptions(self._get_limits, self._is_leaving, self._format_refusal)
         self.callers = Server(self._handle_call, terms)
         self.inner = Server(self._handle_inner, terms)
-        brief = terms._replace(is_brief=True)
+        brief = terms._replace(is_short_lived=True)
         self.lookup = Server(self._handle_lookup, brief)
         self.readiness = Server(self._handle_readiness, brief)
         self.metrics = Server(self._handle_metrics, brief)
@@ -121,7 +121,7 @@
         await self.metrics.start(f"{ip}:{listen.metrics_port}")
         runs = (
             self.gossip.run,
-            self.gossip.uses.run,
+            self.gossip.endpoint_loads.run,
             self.context.news.run,
             self.sync.run,
             self.catalogue.run,
@@ -178,7 +178,7 @@
     async def _tick(self) -> None:
         while True:
             await wait_for_tick(TICK_S)
-            self.context.pool.expire(read_clock())
+            self.context.pool.close_expired(read_clock())
 
     async def _handle_call(self, exchange: Exchange) -> None:
         leaving_at = self.leaving_at
@@ -192,7 +192,7 @@
         await self.forwarder.handle(exchange)
 
     async def _handle_inner(self, exchange: Exchange) -> None:
-        documents = answer_fetch(self.catalogue.table, exchange.target)
+        documents = export_snapshot(self.catalogue.table, exchange.target)
         if documents is not None:
             await exchange.answer(200, [], documents)
             return
--- a/cloverway/serving/hosts/broadcast.py
+++ b/cloverway/serving/hosts/broadcast.py
@@ -14,32 +14,32 @@
 from cloverway.core.members import Members, rank_for
 from cloverway.serving.clock import read_clock, wait_for_tick
 
-TELL_AFTER_S = 0.02
+BROADCAST_DELAY_S = 0.02
 """How long news waits to be told, so that what is learnt in one moment is told together: all
 requests that an endpoint took along break within it."""
-RETELL_S = 1.0
+REBROADCAST_PERIOD_S = 1.0
 """Period in which news is told again to a few hosts, since datagrams are lost and some hosts can't
 reach each other. Each of them does the same, so all know within some periods."""
-NEAR_RETOLD = 3
-FAR_RETOLD = 2
+REGION_REBROADCAST_FANOUT = 3
+REMOTE_REBROADCAST_FANOUT = 2
 """Hosts of the region, and of others, that are told again each time."""
-RETELLERS = 8
+REBROADCASTING_HOSTS = 8
 """Hosts of a region, about, that tell again in each period, whatever its size. Together they tell a
 host of a region of 24 once a period: one that missed the first word by a lost datagram, as one in
 40 does, hears it again for six periods. With each host telling, news went to each of 90 hosts five
 times a second."""
-FAR_REGIONS = 8
+REMOTE_REGION_FANOUT = 8
 """Regions that are told at once; more of them hear it from these and by what is told again."""
-FAR_HOSTS = 2
+HOSTS_PER_REMOTE_REGION = 2
 """Hosts of each of these."""
-WELCOMERS = 2
+SYNC_SENDERS_PER_REGION = 2
 """Hosts of a region that tell a newcomer: one more than is needed while all datagrams arrive."""
-WELCOME_REGIONS = 2
+SYNC_SENDER_REGIONS = 2
 """Regions that tell it beside its own, which may have been cut off with it. When each host told
 each other one that it heard again, half of all bytes between the regions of 89 hosts were these."""
 
 
-class FreshNews(NamedTuple):
+class UpdateBatch(NamedTuple):
     """Messages that tell what was learnt just now."""
 
     near: Sequence[bytes] = ()
@@ -48,83 +48,85 @@
     """For some hosts of other regions."""
 
 
-class NewsSource(Protocol):
+class UpdateSource(Protocol):
     """One kind of news."""
 
     message: type[Any]
     """What it is told with."""
     is_regional: bool
     """Whether it is worth nothing in other regions."""
-    tell_soon: Callable[[float], None]
+    schedule_broadcast: Callable[[float], None]
     """Set by the exchange: has what is fresh told after some seconds."""
 
-    def hear(self, message: Any, is_far: bool, now: float) -> None:
+    def receive(self, message: Any, is_remote: bool, now: float) -> None:
         """Take over what another host tells, one of another region or of this one."""
         ...
 
-    def take_fresh(self, now: float) -> FreshNews:
+    def take_pending(self, now: float) -> UpdateBatch:
         """Give what wasn't told yet."""
         ...
 
-    def list_standing(self, now: float) -> list[bytes]:
+    def list_for_rebroadcast(self, now: float) -> list[bytes]:
         """Give messages of what is still worth telling again."""
         ...
 
-    def list_for_newcomer(self, now: float) -> list[bytes]:
+    def list_for_joining_host(self, now: float) -> list[bytes]:
         """Give messages of all that a host must know that was not there until now."""
         ...
 
 
-class NewsExchange:
+class UpdateBroadcaster:
     """Tells the news of several kinds to the hosts that need them."""
 
-    def __init__(self, members: Members, sources: Sequence[NewsSource]) -> None:
+    def __init__(self, members: Members, sources: Sequence[UpdateSource]) -> None:
         self._members = members
         self._sources = sources
         self._due_at = float("inf")
         self.send: Callable[[str, bytes], None] = lambda address, data: None
         """Sends a datagram to a host."""
         for source in sources:
-            source.tell_soon = self._tell_soon
+            source.schedule_broadcast = self._schedule_broadcast
 
-    def hear(self, message: Any, now: float) -> bool:
+    def receive(self, message: Any, now: float) -> bool:
         """Take over what another host tells; tell whether it is a kind of news."""
         source = next((s for s in self._sources if isinstance(message, s.message)), None)
         if source is None:
             return False
-        source.hear(message, not self._is_near(message.host), now)
+        source.receive(message, not self._is_same_region(message.host), now)
         return True
 
     async def run(self) -> None:
         """Tell what was learnt lately again, for ever."""
         while True:
-            await wait_for_tick(RETELL_S)
-            self.retell(read_clock())
+            await wait_for_tick(REBROADCAST_PERIOD_S)
+            self.rebroadcast(read_clock())
 
-    def retell(self, now: float) -> None:
+    def rebroadcast(self, now: float) -> None:
         """Tell a few hosts again, if it is this host's turn."""
         near = self._members.list_region()
-        if random.random() >= RETELLERS / (len(near) + 1):
+        if random.random() >= REBROADCASTING_HOSTS / (len(near) + 1):
             return
         far = [name for name in self._members.peers if name not in set(near)]
-        near_chosen, far_chosen = _sample(near, NEAR_RETOLD), _sample(far, FAR_RETOLD)
+        near_chosen, far_chosen = _sample(near, REGION_REBROADCAST_FANOUT), _sample(
+            far, REMOTE_REBROADCAST_FANOUT
+        )
         for source in self._sources:
             chosen = near_chosen if source.is_regional else [*near_chosen, *far_chosen]
-            self._send(chosen, source.list_standing(now))
+            self._send(chosen, source.list_for_rebroadcast(now))
 
-    def welcome(self, name: str, now: float) -> None:
+    def sync_joining_host(self, name: str, now: float) -> None:
         """Tell a host that was not there until now what it may have missed, if that falls to us."""
-        if self._must_welcome(name, now):
-            self.tell_all(name, now)
+        if self._is_sync_sender(name, now):
+            self.send_full_state(name, now)
 
-    def tell_all(self, name: str, now: float) -> None:
+    def send_full_state(self, name: str, now: float) -> None:
         """Tell a host all that it must know."""
-        is_near = self._is_near(name)
+        is_near = self._is_same_region(name)
         for source in self._sources:
             if is_near or not source.is_regional:
-                self._send([name], source.list_for_newcomer(now))
+                self._send([name], source.list_for_joining_host(now))
 
-    def _must_welcome(self, name: str, now: float) -> bool:
+    def _is_sync_sender(self, name: str, now: float) -> bool:
         """Tell whether this host is one of the few that tell another one what it has missed.
 
         Hosts that see others of them alive may disagree: then one more tells it, or one less.
@@ -132,41 +134,41 @@
         own = self._members.own
         members = [other.member for other in self._members.list_alive(now)]
         regions = {own.region, *(member.region for member in members)}
-        telling = sorted(regions, key=lambda region: rank_for(name, region))[:WELCOME_REGIONS]
-        if own.region not in telling and not self._is_near(name):
+        telling = sorted(regions, key=lambda region: rank_for(name, region))[:SYNC_SENDER_REGIONS]
+        if own.region not in telling and not self._is_same_region(name):
             return False
         near = {member.name for member in members if member.region == own.region}
         ranked = sorted({own.name, *near} - {name}, key=lambda host: rank_for(name, host))
-        return own.name in ranked[:WELCOMERS]
+        return own.name in ranked[:SYNC_SENDERS_PER_REGION]
 
-    def _is_near(self, name: str) -> bool:
+    def _is_same_region(self, name: str) -> bool:
         peer = self._members.peers.get(name)
         return peer is not None and peer.member.region == self._members.own.region
 
-    def _tell_soon(self, delay_s: float = TELL_AFTER_S) -> None:
+    def _schedule_broadcast(self, delay_s: float = BROADCAST_DELAY_S) -> None:
         due_at = read_clock() + delay_s
         if due_at < self._due_at:
             self._due_at = due_at
-            asyncio.get_running_loop().call_later(delay_s, self._tell_fresh)
+            asyncio.get_running_loop().call_later(delay_s, self._broadcast_pending)
 
-    def _tell_fresh(self) -> None:
+    def _broadcast_pending(self) -> None:
         self._due_at = float("inf")
         now = read_clock()
         near = self._members.list_region()
         for source in self._sources:
-            fresh = source.take_fresh(now)
+            fresh = source.take_pending(now)
             self._send(near, fresh.near)
             if fresh.far:
-                self._send(list(self._choose_far()), fresh.far)
+                self._send(list(self._choose_remote_hosts()), fresh.far)
 
-    def _choose_far(self) -> Iterable[str]:
+    def _choose_remote_hosts(self) -> Iterable[str]:
         """Choose some hosts in each of some other regions."""
         regions: dict[str, list[str]] = {}
         for name, peer in self._members.peers.items():
             if peer.member.region != self._members.own.region:
                 regions.setdefault(peer.member.region, []).append(name)
-        for region in _sample(list(regions), FAR_REGIONS):
-            yield from _sample(regions[region], FAR_HOSTS)
+        for region in _sample(list(regions), REMOTE_REGION_FANOUT):
+            yield from _sample(regions[region], HOSTS_PER_REMOTE_REGION)
 
     def _send(self, names: Iterable[str], messages: Iterable[bytes]) -> None:
         messages = list(messages)
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -7,21 +7,21 @@
 
 from cloverway.core.quarantine import Crash, CrashNews, Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.broadcast import TELL_AFTER_S, FreshNews
+from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, CrashReport, EndpointCrash
 from cloverway.serving.telemetry import Figures, tell
 
-RETOLD_S = 6.0
+REBROADCAST_S = 6.0
 """How long an end is told again after it happened."""
-MOST_TOLD = 64
+MAX_REQUESTS_PER_MESSAGE = 64
 """Requests in one message, as many as an engine runs: within one packet of 1,500 bytes."""
-LIFE_SIZE = 4
+INCARNATION_SIZE = 4
 """What the name of an endpoint's life takes of that, in requests: some 30 bytes."""
-MOST_AGE_MS = (1 << 31) - 1
+MAX_AGE_MS = (1 << 31) - 1
 """What the field holds: an end that long ago, 24 days, counts for nothing any more."""
-MOST_WELCOME = 256
+MAX_SYNC_REQUESTS = 256
 """Requests that a host is told of when it is heard for the first time, or again after a cut."""
-WELCOMED_S = 60.0
+SYNC_AGE_S = 60.0
 """How old an end may be that it is told of, unless a request is refused for it: a request that ends
 endpoints comes again sooner, and those that ran beside it by chance are most of them."""
 
@@ -36,28 +36,28 @@
         self._own_name = own_name
         self._quarantine = quarantine
         self._figures = figures
-        self._own: defaultdict[str, list[Crash]] = defaultdict(list)
+        self._pending_own: defaultdict[str, list[Crash]] = defaultdict(list)
         """Ends that this host saw and hasn't told yet, by the life of the endpoint."""
-        self._served: list[int] = []
-        self._passed: list[Crash] = []
+        self._pending_served: list[int] = []
+        self._pending_from_remote: list[Crash] = []
         """Ends that it heard from other regions and hasn't told its own yet."""
-        self.tell_soon: Callable[[float], None] = lambda delay_s: None
+        self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
 
-    def note_end(self, life: str, digest: int, at: float) -> None:
+    def report_crash(self, life: str, digest: int, at: float) -> None:
         """Note that an endpoint ended, by all signs, while it ran a request."""
         fresh = self._quarantine.note_crash(Crash(life, (digest,), at))
         if fresh is not None:
-            self._own[life].append(fresh)
-            self._tell_held(fresh, at)
-            self.tell_soon(TELL_AFTER_S)
+            self._pending_own[life].append(fresh)
+            self._log_blocked_requests(fresh, at)
+            self.schedule_broadcast(BROADCAST_DELAY_S)
 
-    def note_served(self, digest: int) -> None:
+    def report_served(self, digest: int) -> None:
         """Note that a request had a whole answer."""
         if self._quarantine.note_served(digest, read_clock()):
-            self._served.append(digest)
-            self.tell_soon(TELL_AFTER_S)
+            self._pending_served.append(digest)
+            self.schedule_broadcast(BROADCAST_DELAY_S)
 
-    def hear(self, report: CrashReport, is_far: bool, now: float) -> None:
+    def receive(self, report: CrashReport, is_remote: bool, now: float) -> None:
         """Take over what another host tells; one of another region has told few hosts of this."""
         for digest in report.served:
             self._quarantine.note_served(digest, now)
@@ -66,35 +66,41 @@
         for crash in fresh:
             requests = len(crash.digests)
             tell("end_heard", life=crash.life, requests=requests, peer=report.host)
-            self._tell_held(crash, now)
-        if is_far:
-            self._passed.extend(fresh)
-            self.tell_soon(TELL_AFTER_S)
+            self._log_blocked_requests(crash, now)
+        if is_remote:
+            self._pending_from_remote.extend(fresh)
+            self.schedule_broadcast(BROADCAST_DELAY_S)
 
-    def take_fresh(self, now: float) -> FreshNews:
+    def take_pending(self, now: float) -> UpdateBatch:
         """Give what wasn't told yet."""
-        own = CrashNews(tuple(map(_join, self._own.values())), tuple(self._served))
-        passed = CrashNews(tuple(self._passed), ())
-        self._own, self._served, self._passed = defaultdict(list), [], []
+        own = CrashNews(tuple(map(_merge, self._pending_own.values())), tuple(self._pending_served))
+        passed = CrashNews(tuple(self._pending_from_remote), ())
+        self._pending_own, self._pending_served, self._pending_from_remote = (
+            defaultdict(list),
+            [],
+            [],
+        )
         for crash in own.crashes:
             tell("endpoint_ended", life=crash.life, requests=len(crash.digests))
         messages = self._encode(own, now)
-        return FreshNews([*messages, *self._encode(passed, now)], messages)
+        return UpdateBatch([*messages, *self._encode(passed, now)], messages)
 
-    def list_standing(self, now: float) -> list[bytes]:
+    def list_for_rebroadcast(self, now: float) -> list[bytes]:
         """Give messages of the ends of the last seconds."""
-        return self._encode(self._quarantine.list_news(now - RETOLD_S, MOST_TOLD), now)
+        return self._encode(
+            self._quarantine.list_news(now - REBROADCAST_S, MAX_REQUESTS_PER_MESSAGE), now
+        )
 
-    def list_for_newcomer(self, now: float) -> list[bytes]:
+    def list_for_joining_host(self, now: float) -> list[bytes]:
         """Give messages of the ends of the last minute, and of what is refused for older ones."""
-        recent = self._quarantine.list_news(now - WELCOMED_S, MOST_WELCOME)
-        held = self._quarantine.list_held(now, MOST_WELCOME)
+        recent = self._quarantine.list_news(now - SYNC_AGE_S, MAX_SYNC_REQUESTS)
+        held = self._quarantine.list_held(now, MAX_SYNC_REQUESTS)
         return self._encode(recent._replace(crashes=recent.crashes + held), now)
 
     def _encode(self, news: CrashNews, now: float) -> list[bytes]:
         return [_encode(self._own_name, part, now) for part in _split(news)]
 
-    def _tell_held(self, crash: Crash, now: float) -> None:
+    def _log_blocked_requests(self, crash: Crash, now: float) -> None:
         """Log the requests that are refused from now on."""
         for digest in crash.digests:
             hold = self._quarantine.get_hold(digest, now)
@@ -109,7 +115,7 @@
                 )
 
 
-def _join(crashes: list[Crash]) -> Crash:
+def _merge(crashes: list[Crash]) -> Crash:
     """Join what several requests told of the end of one endpoint."""
     digests = tuple(digest for crash in crashes for digest in crash.digests)
     return crashes[-1]._replace(digests=digests)
@@ -117,17 +123,17 @@
 
 def _split(news: CrashNews) -> Iterator[CrashNews]:
     """Split news into parts that fit into one datagram each."""
-    for first in range(0, len(news.served), MOST_TOLD):
-        yield CrashNews((), news.served[first : first + MOST_TOLD])
+    for first in range(0, len(news.served), MAX_REQUESTS_PER_MESSAGE):
+        yield CrashNews((), news.served[first : first + MAX_REQUESTS_PER_MESSAGE])
     part: list[Crash] = []
-    room = MOST_TOLD
+    room = MAX_REQUESTS_PER_MESSAGE
     for crash in news.crashes:
-        for first in range(0, len(crash.digests), MOST_TOLD):
-            piece = crash._replace(digests=crash.digests[first : first + MOST_TOLD])
-            size = len(piece.digests) + LIFE_SIZE
+        for first in range(0, len(crash.digests), MAX_REQUESTS_PER_MESSAGE):
+            piece = crash._replace(digests=crash.digests[first : first + MAX_REQUESTS_PER_MESSAGE])
+            size = len(piece.digests) + INCARNATION_SIZE
             if part and size > room:
                 yield CrashNews(tuple(part), ())
-                part, room = [], MOST_TOLD
+                part, room = [], MAX_REQUESTS_PER_MESSAGE
             part.append(piece)
             room -= size
     if part:
@@ -136,7 +142,7 @@
 
 def _encode(host: str, news: CrashNews, now: float) -> bytes:
     crashes = tuple(
-        EndpointCrash(crash.life, crash.digests, min(MOST_AGE_MS, int((now - crash.at) * 1000)))
+        EndpointCrash(crash.life, crash.digests, min(MAX_AGE_MS, int((now - crash.at) * 1000)))
         for crash in news.crashes
     )
     return CODEC.encode(CrashReport(host, crashes, news.served))
--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -12,18 +12,18 @@
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.hosts.messages import CODEC, EndpointUse, EndpointUses
 
-TELL_S = 0.2
+BROADCAST_PERIOD_S = 0.2
 """Period in which changes are told: loads of endpoints change as fast as a prompt is read."""
-REFRESH_S = 1.0
+REFRESH_PERIOD_S = 1.0
 """Period in which everything is told again: half of the time for which it counts, since datagrams
 are lost."""
-MOST_TOLD_AT_ONCE = 32
+MAX_IMMEDIATE_RECIPIENTS = 32
 """Hosts that are told of one long prompt at once. Where more serve callers, all hear of it with the
 next period: what the requests cost the hosts of a region stays bounded so."""
-MOST_PARTS = 32
+MAX_SEGMENTS = 32
 
 
-class UseExchange:
+class EndpointLoadExchange:
     """Tells and hears what hosts have at endpoints."""
 
     def __init__(
@@ -32,7 +32,7 @@
         self._members = members
         self._directory = directory
         self._send = send
-        self._is_telling = False
+        self._is_broadcast_scheduled = False
 
     async def run(self) -> None:
         """Tell what has changed, for ever."""
@@ -41,23 +41,23 @@
             now = read_clock()
             is_refresh = now >= refresh_at
             if is_refresh:
-                refresh_at = now + REFRESH_S
-            if self._list_news(is_refresh):
+                refresh_at = now + REFRESH_PERIOD_S
+            if self._list_changed(is_refresh):
                 # Most hosts of a large region serve nobody: they need not know who listens.
-                self._tell(self._list_listeners(), is_refresh)
-            await wait_for_tick(TELL_S)
+                self._broadcast(self._list_recipients(), is_refresh)
+            await wait_for_tick(BROADCAST_PERIOD_S)
 
-    def tell_at_once(self) -> None:
+    def broadcast_at_once(self) -> None:
         """Tell the other hosts of a long prompt without waiting for the next period.
 
         Until then they would take an engine for idle that has just got it. What is sent within one
         turn of the event loop is told together.
         """
-        if not self._is_telling:
-            self._is_telling = True
-            asyncio.get_running_loop().call_soon(self._tell_now)
+        if not self._is_broadcast_scheduled:
+            self._is_broadcast_scheduled = True
+            asyncio.get_running_loop().call_soon(self._broadcast_now)
 
-    def hear(self, message: EndpointUses, now: float) -> None:
+    def receive(self, message: EndpointUses, now: float) -> None:
         """Take over what another host has at endpoints."""
         if message.host not in self._members.peers:
             return
@@ -70,30 +70,30 @@
                 endpoint.load.note_sibling(message.host, load, parts)
                 endpoint.load.note_read(use.read, now)
 
-    def _tell_now(self) -> None:
-        self._is_telling = False
-        listeners = self._list_listeners()
-        if len(listeners) <= MOST_TOLD_AT_ONCE:
-            self._tell(listeners, False)
+    def _broadcast_now(self) -> None:
+        self._is_broadcast_scheduled = False
+        listeners = self._list_recipients()
+        if len(listeners) <= MAX_IMMEDIATE_RECIPIENTS:
+            self._broadcast(listeners, False)
 
-    def _tell(self, listeners: list[Peer], is_refresh: bool) -> None:
-        uses = tuple(_take_use(endpoint) for endpoint in self._list_news(is_refresh))
+    def _broadcast(self, listeners: list[Peer], is_refresh: bool) -> None:
+        uses = tuple(_take_update(endpoint) for endpoint in self._list_changed(is_refresh))
         if not uses or not listeners:
             return
         data = CODEC.encode(EndpointUses(self._members.own.name, uses))
         for peer in listeners:
             self._send(peer.member.name, data)
 
-    def _list_news(self, is_refresh: bool) -> list[Endpoint]:
+    def _list_changed(self, is_refresh: bool) -> list[Endpoint]:
         endpoints = self._directory.endpoints.values()
         return [endpoint for endpoint in endpoints if endpoint.load.has_news(is_refresh)]
 
-    def _list_listeners(self) -> list[Peer]:
+    def _list_recipients(self) -> list[Peer]:
         return self._members.list_serving(self._members.own.region)
 
 
-def _take_use(endpoint: Endpoint) -> EndpointUse:
-    news = endpoint.load.take_news(MOST_PARTS)
+def _take_update(endpoint: Endpoint) -> EndpointUse:
+    news = endpoint.load.take_news(MAX_SEGMENTS)
     return EndpointUse(
         endpoint.entry.id,
         news.own.running,
--- a/cloverway/serving/hosts/region_capacity.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -10,18 +10,18 @@
 from cloverway.core.members import Offer
 from cloverway.serving.hosts.messages import RegionOffer
 
-MOST_FREE = 1000
+MAX_FREE_SLOTS = 1000
 """Free places that an offer names at most: no host passes on more between two offers."""
 
 
-def list_offers(
-    directory: Directory, sum_waiting: Callable[[str], float], now: float
+def list_region_capacity(
+    directory: Directory, get_queued_work_s: Callable[[str], float], now: float
 ) -> tuple[RegionOffer, ...]:
     """Sum up what this region's endpoints can take, by service.
 
     Those that are cold, name a limit or asked for a pause have no more than their own region's
     requests need.
-    `sum_waiting` gives the work of the requests that wait here for a service.
+    `get_queued_work_s` gives the work of the requests that wait here for a service.
     """
     configuration = directory.configuration
     if configuration is None:
@@ -37,23 +37,23 @@
             and not directory.get_pause_s(endpoint, now)
         ]
         if endpoints:
-            room = offer_region(service, endpoints, sum_waiting(service.name), now)
-            offers.append(_encode_room(service.name, room))
+            room = offer_region(service, endpoints, get_queued_work_s(service.name), now)
+            offers.append(_encode_region_offer(service.name, room))
         else:
             # Left out, what was offered last would hold on, and grow with its age.
             offers.append(RegionOffer(service.name, 0, 0))
     return tuple(offers)
 
 
-def read_offer(offer: RegionOffer) -> Offer:
+def decode_region_offer(offer: RegionOffer) -> Offer:
     """Decode what another region offers."""
     wait_s = offer.wait_ms / 1000
     engine = EngineState(wait_s, offer.read_ns / 1e9, offer.token_us / 1e6, offer.running)
     return Offer(offer.service_name, wait_s, offer.free, offer.room, engine)
 
 
-def _encode_room(service: str, room: Room) -> RegionOffer:
-    free = min(room.free, MOST_FREE)
+def _encode_region_offer(service: str, room: Room) -> RegionOffer:
+    free = min(room.free, MAX_FREE_SLOTS)
     offer = RegionOffer(service, int(room.wait_s * 1000), free, room.tokens)
     if room.engine is None:
         return offer
--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -7,21 +7,21 @@
 
 from cloverway.core.endpoints import Directory
 from cloverway.core.statements import News, Statement
-from cloverway.serving.hosts.broadcast import TELL_AFTER_S, FreshNews
+from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, EndpointStatement, StatementReport
 from cloverway.serving.ports import ReplyFacts
 from cloverway.serving.telemetry import Figures, tell
 
-TELL_EVERY_S = 0.2
+MIN_BROADCAST_INTERVAL_S = 0.2
 """Least time between two tellings: an endpoint may name another limit with each answer."""
-ENDED_S = 10.0
+ENDED_LIMIT_REBROADCAST_S = 10.0
 """How long the end of a limit is told again: a host that missed it learns of it with its own next
 answer of the endpoint, and sends it less until then."""
-MOST_TOLD = 20
+MAX_STATEMENTS_PER_MESSAGE = 20
 """Endpoints in one message: some 60 bytes each, within one packet of 1,500 bytes."""
-MOST_AGE_MS = (1 << 31) - 1
+MAX_AGE_MS = (1 << 31) - 1
 """What the field holds."""
-UNLIMITED = -1
+NO_LIMIT = -1
 
 
 class StatementExchange:
@@ -37,10 +37,10 @@
         self._own_name = own_name
         self._directory = directory
         self._figures = figures
-        self._fresh: dict[str, None] = {}
+        self._pending: dict[str, None] = {}
         """Lives of endpoints of which news is to be told, in the order in which it came."""
-        self._told_at = float("-inf")
-        self.tell_soon: Callable[[float], None] = lambda delay_s: None
+        self._broadcast_at = float("-inf")
+        self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
 
     def note_answer(
         self, life: str, facts: ReplyFacts, *, request_id: str, sent_at: float, now: float
@@ -63,17 +63,19 @@
             statement = Statement(leaving=facts.leaving)
         news = self._directory.note_statement(life, statement)
         if news:
-            self._tell_news(life, news, now, request_id=request_id)
-            self._fresh[life] = None
-            self.tell_soon(max(TELL_AFTER_S, self._told_at + TELL_EVERY_S - now))
+            self._log_changes(life, news, now, request_id=request_id)
+            self._pending[life] = None
+            self.schedule_broadcast(
+                max(BROADCAST_DELAY_S, self._broadcast_at + MIN_BROADCAST_INTERVAL_S - now)
+            )
 
-    def hear(self, report: StatementReport, is_far: bool, now: float) -> None:
+    def receive(self, report: StatementReport, is_remote: bool, now: float) -> None:
         """Take over what another host tells."""
         for told in report.statements:
             news = self._directory.note_statement(told.life, _read_statement(told, now))
-            self._tell_news(told.life, news, now, peer=report.host)
+            self._log_changes(told.life, news, now, peer=report.host)
 
-    def _tell_news(
+    def _log_changes(
         self,
         life: str,
         news: Iterable[News],
@@ -95,26 +97,29 @@
                 peer=peer,
             )
 
-    def take_fresh(self, now: float) -> FreshNews:
+    def take_pending(self, now: float) -> UpdateBatch:
         """Give what wasn't told yet."""
-        fresh = [(life, self._directory.statements.get(life)) for life in self._fresh]
-        self._fresh.clear()
+        fresh = [(life, self._directory.statements.get(life)) for life in self._pending]
+        self._pending.clear()
         if fresh:
-            self._told_at = now
-        return FreshNews(self._encode(fresh, now))
+            self._broadcast_at = now
+        return UpdateBatch(self._encode(fresh, now))
 
-    def list_standing(self, now: float) -> list[bytes]:
+    def list_for_rebroadcast(self, now: float) -> list[bytes]:
         """Give a message of what holds, of some endpoints by chance where there are many."""
-        standing = self._directory.list_statements(now - ENDED_S)
-        return self._encode(random.sample(standing, min(MOST_TOLD, len(standing))), now)
+        standing = self._directory.list_statements(now - ENDED_LIMIT_REBROADCAST_S)
+        return self._encode(
+            random.sample(standing, min(MAX_STATEMENTS_PER_MESSAGE, len(standing))), now
+        )
 
-    def list_for_newcomer(self, now: float) -> list[bytes]:
+    def list_for_joining_host(self, now: float) -> list[bytes]:
         """Give messages of all that holds."""
-        return self._encode(self._directory.list_statements(now - ENDED_S), now)
+        return self._encode(self._directory.list_statements(now - ENDED_LIMIT_REBROADCAST_S), now)
 
     def _encode(self, statements: list[tuple[str, Statement]], now: float) -> list[bytes]:
         parts = [
-            statements[first : first + MOST_TOLD] for first in range(0, len(statements), MOST_TOLD)
+            statements[first : first + MAX_STATEMENTS_PER_MESSAGE]
+            for first in range(0, len(statements), MAX_STATEMENTS_PER_MESSAGE)
         ]
         return [
             CODEC.encode(
@@ -129,8 +134,8 @@
 
 def _encode_statement(life: str, statement: Statement, now: float) -> EndpointStatement:
     limit = statement.limit_per_s
-    milli = UNLIMITED if limit is None else int(limit * 1000)
-    age_ms = int(min(MOST_AGE_MS, (now - statement.limit_at) * 1000))
+    milli = NO_LIMIT if limit is None else int(limit * 1000)
+    age_ms = int(min(MAX_AGE_MS, (now - statement.limit_at) * 1000))
     return EndpointStatement(life, milli, age_ms, statement.leaving)
 
 
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -7,16 +7,16 @@
 from cloverway.core.prediction import Candidate, Wanted
 from cloverway.core.quarantine import Level, Quarantine
 from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
-from cloverway.serving.hosts.broadcast import FreshNews
+from cloverway.serving.hosts.broadcast import UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, SuspectReport, SuspectSend
 from cloverway.serving.telemetry import tell
 
-MOST_TOLD = 20
+MAX_SUSPECTS_PER_MESSAGE = 20
 """Suspects in one message: some 60 bytes each, within one packet of 1,500 bytes. More than that are
 under way at one host only in the moment after an endpoint has ended with all places taken."""
 
 
-class SuspectWatch:
+class SuspectTracker:
     """The suspects that this host has under way, and those of the other hosts."""
 
     message = SuspectReport
@@ -29,9 +29,9 @@
         """By the number of the send."""
         self._runs = SuspectRuns()
         self._is_fresh = False
-        self.tell_soon: Callable[[float], None] = lambda delay_s: None
+        self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
 
-    def keep_apart(
+    def weigh_candidates(
         self, wanted: Wanted, candidates: Sequence[Candidate], now: float
     ) -> Sequence[Candidate]:
         """Weigh the endpoints that may run a request by the suspects that run there."""
@@ -59,30 +59,30 @@
         if self._own.pop(number, None) is not None:
             self._note_own()
 
-    def hear(self, report: SuspectReport, is_far: bool, now: float) -> None:
+    def receive(self, report: SuspectReport, is_remote: bool, now: float) -> None:
         """Take over which suspects another host has under way."""
         self._runs.note(report.host, (_read_run(run, now) for run in report.runs))
 
-    def take_fresh(self, now: float) -> FreshNews:
+    def take_pending(self, now: float) -> UpdateBatch:
         """Give all that are under way here, where that has changed."""
         is_fresh, self._is_fresh = self._is_fresh, False
-        return FreshNews([self._encode(now)]) if is_fresh else FreshNews()
+        return UpdateBatch([self._encode(now)]) if is_fresh else UpdateBatch()
 
-    def list_standing(self, now: float) -> list[bytes]:
+    def list_for_rebroadcast(self, now: float) -> list[bytes]:
         """Give all that are under way here."""
         return [self._encode(now)] if self._own else []
 
-    def list_for_newcomer(self, now: float) -> list[bytes]:
+    def list_for_joining_host(self, now: float) -> list[bytes]:
         """Give all that are under way here."""
-        return self.list_standing(now)
+        return self.list_for_rebroadcast(now)
 
     def _note_own(self) -> None:
         self._runs.note(self._own_name, self._own.values())
         self._is_fresh = True
-        self.tell_soon(0.0)
+        self.schedule_broadcast(0.0)
 
     def _encode(self, now: float) -> bytes:
-        runs = sorted(self._own.values(), key=lambda run: -run.level)[:MOST_TOLD]
+        runs = sorted(self._own.values(), key=lambda run: -run.level)[:MAX_SUSPECTS_PER_MESSAGE]
         sends = tuple(_make_send(run, now) for run in runs)
         return CODEC.encode(SuspectReport(self._own_name, sends))
 
--- a/cloverway/serving/http/client.py
+++ b/cloverway/serving/http/client.py
@@ -15,34 +15,34 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.transport import Connection, connect
 
-IDLE_S = 4.0
+DEFAULT_IDLE_S = 4.0
 """How long a connection is kept where the other end names no time: below the shortest idle time
 of common servers, which is five seconds."""
 IDLE_MARGIN_S = 0.8
 """A connection is given up this long before the other end does, or else a request may meet the
 close on its way, and whether it ran can't be known."""
-HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class ConnectError(CloverwayError):
     """No connection could be opened; nothing was sent."""
 
-    def __init__(self, detail: str, *, nobody_listens: bool = False) -> None:
+    def __init__(self, detail: str, *, connection_refused: bool = False) -> None:
         super().__init__(detail)
-        self.nobody_listens = nobody_listens
+        self.connection_refused = connection_refused
         """Whether the other machine refused it: what listened there has ended."""
 
 
-class AnswerError(CloverwayError):
+class ResponseError(CloverwayError):
     """The answer broke off or is no HTTP; the request may have run."""
 
 
-class AnswerTooLongError(AnswerError):
+class ResponseTooLargeError(ResponseError):
     """The answer is longer than what may be held in memory."""
 
 
-class ReplyHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """The head of an answer."""
 
     status: int
@@ -54,7 +54,7 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-class Sending:
+class ClientExchange:
     """One request on one connection, and its answer."""
 
     def __init__(self, connection: Connection, request: h11.Request, body: bytes) -> None:
@@ -62,8 +62,8 @@
         self._request = request
         self._body = body
         self._http = self._begin()
-        self.head: ReplyHead | None = None
-        self.is_whole = False
+        self.head: ResponseHead | None = None
+        self.is_complete = False
         """Whether the answer was read to its end."""
 
     def write(self) -> None:
@@ -73,8 +73,8 @@
         data += http.send(h11.Data(data=self._body)) or b"" if self._body else b""
         self.connection.write(data + (http.send(h11.EndOfMessage()) or b""))
 
-    async def read_head(self, is_ours: Callable[[ReplyHead], bool]) -> ReplyHead:
-        """Give the head of the answer, past answers to others; raise AnswerError.
+    async def read_head(self, is_expected: Callable[[ResponseHead], bool]) -> ResponseHead:
+        """Give the head of the answer, past answers to others; raise ResponseError.
 
         An endpoint may send an answer a second time, when the next one is due on the connection:
         without the look at whom it answers, a caller would get the answer of another.
@@ -84,39 +84,39 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerError("the answer has no head")
-            head = ReplyHead(event.status_code, list(event.headers))
-            if is_ours(head):
+                raise ResponseError("the answer has no head")
+            head = ResponseHead(event.status_code, list(event.headers))
+            if is_expected(head):
                 self.head = head
                 return head
-            await self._skip_answer()
+            await self._skip_response()
 
-    async def read_part(self) -> bytes:
-        """Give the next part of the body, empty at its end; raise AnswerError."""
+    async def read_chunk(self) -> bytes:
+        """Give the next part of the body, empty at its end; raise ResponseError."""
         event = await self._read_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if not isinstance(event, h11.EndOfMessage):
-            raise AnswerError("the answer broke off")
-        self.is_whole = True
+            raise ResponseError("the answer broke off")
+        self.is_complete = True
         return b""
 
     async def read_body(self, limit: int) -> bytes:
-        """Give the rest of the body; raise AnswerError, also when it is over a limit."""
+        """Give the rest of the body; raise ResponseError, also when it is over a limit."""
         parts: list[bytes] = []
         size = 0
-        while part := await self.read_part():
+        while part := await self.read_chunk():
             parts.append(part)
             size += len(part)
             if size > limit:
-                raise AnswerTooLongError("the answer is too long")
+                raise ResponseTooLargeError("the answer is too long")
         return b"".join(parts)
 
     @property
     def is_reusable(self) -> bool:
         """Whether the connection may carry another request."""
         return (
-            self.is_whole
+            self.is_complete
             and self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
             and not self._http.trailing_data[0]
@@ -126,20 +126,20 @@
 
     def _begin(self) -> h11.Connection:
         """Give a parser that expects the answer to this request."""
-        http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+        http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         http.send(self._request)
         if self._body:
             http.send(h11.Data(data=self._body))
         http.send(h11.EndOfMessage())
         return http
 
-    async def _skip_answer(self) -> None:
-        while await self.read_part():
+    async def _skip_response(self) -> None:
+        while await self.read_chunk():
             continue
         rest, closed = self._http.trailing_data
         if closed or self._http.their_state is not h11.DONE:
-            raise AnswerError("the connection ended after the answer to another request")
-        self.is_whole = False
+            raise ResponseError("the connection ended after the answer to another request")
+        self.is_complete = False
         self._http = self._begin()
         self._http.receive_data(rest)
 
@@ -148,11 +148,11 @@
             while (event := self._http.next_event()) is h11.NEED_DATA:
                 self._http.receive_data(await self.connection.receive())
         except (h11.RemoteProtocolError, OSError) as error:
-            raise AnswerError(str(error) or "the connection broke") from error
+            raise ResponseError(str(error) or "the connection broke") from error
         return event
 
 
-class Place(NamedTuple):
+class Destination(NamedTuple):
     """Whom a connection leads to."""
 
     address: str
@@ -161,19 +161,19 @@
     endpoint, or know nothing of the one before: a connection of that time is never used for it."""
 
 
-class _Kept(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: Connection
     until: float
 
 
-class Pool:
+class ConnectionPool:
     """Connections that are kept between requests, by the place that they lead to."""
 
     def __init__(self, on_connect: Callable[[str], None] = lambda address: None) -> None:
-        self._kept: defaultdict[Place, list[_Kept]] = defaultdict(list)
+        self._kept: defaultdict[Destination, list[_IdleConnection]] = defaultdict(list)
         self._on_connect = on_connect
 
-    async def open(self, place: Place, timeout_s: float) -> Connection:
+    async def acquire(self, place: Destination, timeout_s: float) -> Connection:
         """Give a connection that is free, or a new one; raise ConnectError."""
         now = read_clock()
         kept = self._kept[place]
@@ -192,9 +192,11 @@
         except OSError as error:
             refused = isinstance(error, ConnectionRefusedError)
             detail = str(error) or type(error).__name__
-            raise ConnectError(detail, nobody_listens=refused) from error
+            raise ConnectError(detail, connection_refused=refused) from error
 
-    def release(self, place: Place, sending: Sending, idle_s: float | None = None) -> None:
+    def release(
+        self, place: Destination, sending: ClientExchange, idle_s: float | None = None
+    ) -> None:
         """Keep the connection of a request that has ended, or close it.
 
         It is kept for as long as the other end says, or else for `idle_s`.
@@ -202,15 +204,17 @@
         if not sending.is_reusable or sending.head is None:
             sending.connection.abort()
             return
-        until = read_clock() + _get_idle_s(sending.head, idle_s or IDLE_S) - IDLE_MARGIN_S
-        self._kept[place].append(_Kept(sending.connection, until))
+        until = (
+            read_clock() + _get_keep_alive_s(sending.head, idle_s or DEFAULT_IDLE_S) - IDLE_MARGIN_S
+        )
+        self._kept[place].append(_IdleConnection(sending.connection, until))
 
-    def forget(self, place: Place) -> None:
+    def close_idle(self, place: Destination) -> None:
         """Close the kept connections to a place."""
         for connection, _ in self._kept.pop(place, ()):
             connection.abort()
 
-    def expire(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close the connections that are kept no longer."""
         for place, kept in list(self._kept.items()):
             live = []
@@ -234,26 +238,32 @@
 
 
 async def fetch(
-    pool: Pool, address: str, request: h11.Request, body: bytes, *, timeout_s: float, limit: int
-) -> tuple[ReplyHead, bytes]:
-    """Send a small request and read its whole answer; raise ConnectError or AnswerError."""
-    place = Place(address)
-    sending: Sending | None = None
+    pool: ConnectionPool,
+    address: str,
+    request: h11.Request,
+    body: bytes,
+    *,
+    timeout_s: float,
+    limit: int,
+) -> tuple[ResponseHead, bytes]:
+    """Send a small request and read its whole answer; raise ConnectError or ResponseError."""
+    place = Destination(address)
+    sending: ClientExchange | None = None
     try:
         async with asyncio.timeout(timeout_s):
-            connection = await pool.open(place, timeout_s)
-            sending = Sending(connection, request, body)
+            connection = await pool.acquire(place, timeout_s)
+            sending = ClientExchange(connection, request, body)
             sending.write()
             head = await sending.read_head(lambda head: True)
             data = await sending.read_body(limit)
     except TimeoutError as error:
-        raise AnswerError(f"no answer within {timeout_s:g} s") from error
+        raise ResponseError(f"no answer within {timeout_s:g} s") from error
     finally:
         if sending is not None:
             pool.release(place, sending)
     return head, data
 
 
-def _get_idle_s(head: ReplyHead, default_s: float) -> float:
+def _get_keep_alive_s(head: ResponseHead, default_s: float) -> float:
     match = KEEP_ALIVE_TIMEOUT.search(head.get(b"keep-alive") or b"")
     return float(match.group(1)) if match else default_s
--- a/cloverway/serving/http/event_stream.py
+++ b/cloverway/serving/http/event_stream.py
@@ -4,8 +4,8 @@
 
 import re
 
-END = re.compile(rb"\r?\n\r?\n")
-ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
+EVENT_END = re.compile(rb"\r?\n\r?\n")
+EVENT_ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 MAX_EVENT_BYTES = 256 * 1024
 
 
@@ -17,32 +17,32 @@
     """
 
     def __init__(self, last_id: str = "") -> None:
-        self._rest = b""
+        self._incomplete = b""
         self.last_id = last_id
         """The id of the last whole event."""
 
     def split(self, data: bytes) -> list[bytes]:
         """Give the events that are whole with these bytes."""
-        data = self._rest + data
+        data = self._incomplete + data
         events = []
         start = 0
-        for match in END.finditer(data):
+        for match in EVENT_END.finditer(data):
             events.append(data[start : match.end()])
             start = match.end()
-        self._rest = data[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._incomplete = data[start:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise ValueError("an event is too long")
         for event in events:
-            found = ID.findall(event)
+            found = EVENT_ID.findall(event)
             if found:
                 self.last_id = found[-1].decode("latin-1")
         return events
 
-    def take_rest(self) -> bytes:
+    def take_incomplete(self) -> bytes:
         """Give what came after the last whole event."""
-        rest, self._rest = self._rest, b""
+        rest, self._incomplete = self._incomplete, b""
         return rest
 
-    def drop_rest(self) -> None:
+    def drop_incomplete(self) -> None:
         """Forget the part of an event that will never be whole."""
-        self._rest = b""
+        self._incomplete = b""
--- a/cloverway/serving/http/server.py
+++ b/cloverway/serving/http/server.py
@@ -20,12 +20,12 @@
 
 log = logging.getLogger(__name__)
 
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 """Time for a whole body: a caller on a slow link sends four megabytes in it at 400 KB/s."""
-LINGER_S = 1.0
+LINGER_TIMEOUT_S = 1.0
 """How long what a refused caller still sends is read and dropped. To close with unread bytes
 resets the connection, and the caller may lose the answer that it has not read yet."""
-FRESH_S = 0.25
+NEW_CONNECTION_GRACE_S = 0.25
 """How long a connection is waited on before it counts as idle: a caller sends its request right
 after it has connected, and a close that crosses it would reset the connection."""
 KINDS_BY_STATUS = {
@@ -47,7 +47,7 @@
         self.detail = detail
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection between requests, or before its request was whole."""
 
 
@@ -96,7 +96,7 @@
         await self.send(body)
         self.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End an answer that began and is not whole, so that the caller sees it."""
         self.connection.abort()
 
@@ -104,23 +104,23 @@
 Handler = Callable[[Exchange], Awaitable[None]]
 
 
-class ServerTerms(NamedTuple):
+class ServerOptions(NamedTuple):
     """What an HTTP server needs to know of the host."""
 
-    limits: Callable[[], CallerLimits]
+    get_limits: Callable[[], CallerLimits]
     is_leaving: Callable[[], bool]
-    refuse: Callable[[Exchange | None, RequestError], bytes]
+    make_refusal: Callable[[Exchange | None, RequestError], bytes]
     """Gives the whole answer for a request that could not be read."""
-    is_brief: bool = False
+    is_short_lived: bool = False
     """Whether connections carry one small question only."""
 
 
 class Server:
     """Accepts connections at one address and answers their requests one after the other."""
 
-    def __init__(self, handler: Handler, terms: ServerTerms) -> None:
+    def __init__(self, handler: Handler, terms: ServerOptions) -> None:
         self._handler = handler
-        self._terms = terms
+        self._options = terms
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle: dict[Connection, float] = {}
@@ -133,8 +133,8 @@
 
         `early` listens there already.
         """
-        is_brief = self._terms.is_brief
-        self._server = await listen(address, self._accept, early, is_brief=is_brief)
+        is_short_lived = self._options.is_short_lived
+        self._server = await listen(address, self._accept, early, is_short_lived=is_short_lived)
 
     def stop_accepting(self) -> None:
         """Accept no new connections."""
@@ -144,7 +144,7 @@
     def close_idle(self, now: float) -> None:
         """Close the connections on which no request is in progress, nor about to arrive."""
         for connection, since in list(self._idle.items()):
-            if not connection.has_input and now - since >= FRESH_S:
+            if not connection.has_input and now - since >= NEW_CONNECTION_GRACE_S:
                 connection.close()
 
     def _accept(self, connection: Connection) -> None:
@@ -153,12 +153,12 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, connection: Connection) -> None:
-        limits = self._terms.limits()
+        limits = self._options.get_limits()
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         try:
             while await self._serve_one(connection, http):
                 http.start_next_cycle()
-        except CallerLeftError:
+        except CallerDisconnectedError:
             pass
         except BadRequestError as error:
             await self._refuse(connection, error)
@@ -178,7 +178,7 @@
         _check_framing(head)
         body = await self._read_body(connection, http)
         exchange = Exchange(connection, http, head, body)
-        exchange.close_after = self._terms.is_leaving()
+        exchange.close_after = self._options.is_leaving()
         self.in_progress += 1
         try:
             await run_while_connected(self._handler(exchange), connection)
@@ -187,7 +187,7 @@
         return exchange.finished and http.our_state is h11.DONE and http.their_state is h11.DONE
 
     async def _read_head(self, connection: Connection, http: h11.Connection) -> h11.Request:
-        limits = self._terms.limits()
+        limits = self._options.get_limits()
         timeout_s = limits.idle_s
         if http.trailing_data[0]:
             timeout_s = limits.header_s
@@ -196,7 +196,7 @@
             if isinstance(event, h11.Request):
                 return event
             if event is not h11.NEED_DATA:
-                raise CallerLeftError()
+                raise CallerDisconnectedError()
             data = await self._receive_head(connection, timeout_s)
             http.receive_data(data)
             timeout_s = limits.header_s
@@ -207,19 +207,19 @@
             async with asyncio.timeout(timeout_s):
                 data = await connection.receive()
         except TimeoutError:
-            raise CallerLeftError() from None
+            raise CallerDisconnectedError() from None
         finally:
             self._idle.pop(connection, None)
         if not data:
-            raise CallerLeftError()
+            raise CallerDisconnectedError()
         return data
 
     async def _read_body(self, connection: Connection, http: h11.Connection) -> bytes:
-        limit = self._terms.limits().body_bytes
+        limit = self._options.get_limits().body_bytes
         parts: list[bytes] = []
         size = 0
         try:
-            async with asyncio.timeout(BODY_S):
+            async with asyncio.timeout(BODY_TIMEOUT_S):
                 while True:
                     event = _next_event(http)
                     if isinstance(event, h11.EndOfMessage):
@@ -235,7 +235,7 @@
                         connection.write(http.send(go_on) or b"")
                     data = await connection.receive()
                     if not data:
-                        raise CallerLeftError()
+                        raise CallerDisconnectedError()
                     http.receive_data(data)
         except TimeoutError:
             raise BadRequestError(408, "the body did not arrive in time") from None
@@ -243,11 +243,11 @@
     async def _refuse(self, connection: Connection, error: BadRequestError) -> None:
         kind = KINDS_BY_STATUS.get(error.status, Kind.MALFORMED)
         refusal = RequestError(kind, error.detail, ran=Ran.NO)
-        connection.write(self._terms.refuse(None, refusal))
+        connection.write(self._options.make_refusal(None, refusal))
         with contextlib.suppress(OSError, TimeoutError):
             await connection.drain()
             connection.transport.write_eof()
-            async with asyncio.timeout(LINGER_S):
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
                 while await connection.receive():
                     continue
 
@@ -266,7 +266,7 @@
     try:
         await task
     except asyncio.CancelledError:
-        raise CallerLeftError() from None
+        raise CallerDisconnectedError() from None
 
 
 def _next_event(http: h11.Connection) -> object:
--- a/cloverway/serving/http/transport.py
+++ b/cloverway/serving/http/transport.py
@@ -16,29 +16,32 @@
 USER_TIMEOUT_MS = 10_000
 """Sent bytes that are not acknowledged for this long end the connection: behind a cut nothing
 else would ever say so."""
-SEND_TIMEOUT_MS = 3_000
+OUTGOING_USER_TIMEOUT_MS = 3_000
 """The same for connections that this host opened: what takes longer to arrive is late anyway."""
-KEEPALIVE_S = 5
+KEEPALIVE_IDLE_S = 5
 """Time without traffic after which the other end is asked whether it is there."""
-KEEPALIVE_EVERY_S = 1
-KEEPALIVE_TRIES = 3
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 3
 
 
 class Connection(asyncio.Protocol):
     """A connection that one task reads and writes."""
 
     def __init__(
-        self, on_made: Callable[[Connection], Any] | None = None, *, is_brief: bool = False
+        self,
+        on_connected: Callable[[Connection], Any] | None = None,
+        *,
+        is_short_lived: bool = False,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self._on_made = on_made
-        self._is_brief = is_brief
+        self._on_made = on_connected
+        self._is_brief = is_short_lived
         self._received = bytearray()
         self._eof = False
         self._error: Exception | None = None
         self._wakeup: asyncio.Future[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._paused = False
+        self._reading_paused = False
         self.lost: asyncio.Future[None] = loop.create_future()
         """Done when the other end has closed, or the connection broke."""
         self.opened_at = read_clock()
@@ -49,29 +52,29 @@
         """Take over the transport."""
         self.transport = cast(asyncio.Transport, transport)
         if not self._is_brief:
-            _watch_other_end(transport.get_extra_info("socket"))
+            _enable_liveness_checks(transport.get_extra_info("socket"))
         if self._on_made is not None:
             self._on_made(self)
 
     def data_received(self, data: bytes) -> None:
         """Keep bytes until they are read."""
         self._received += data
-        if len(self._received) > READ_AHEAD_BYTES and not self._paused:
-            self._paused = True
+        if len(self._received) > READ_AHEAD_BYTES and not self._reading_paused:
+            self._reading_paused = True
             self.transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
         """Note that the other end has sent its last byte; writing may go on."""
         self._eof = True
-        self._note_lost()
+        self._mark_lost()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Note the end of the connection."""
         self._error = exc
         self._eof = True
-        self._note_lost()
+        self._mark_lost()
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
 
@@ -109,8 +112,8 @@
             await self._wakeup
         data = bytes(self._received)
         self._received.clear()
-        if self._paused:
-            self._paused = False
+        if self._reading_paused:
+            self._reading_paused = False
             self.transport.resume_reading()
         return data
 
@@ -132,7 +135,7 @@
         """Close at once, dropping what was not sent."""
         self.transport.abort()
 
-    def _note_lost(self) -> None:
+    def _mark_lost(self) -> None:
         if not self.lost.done():
             self.lost.set_result(None)
         self._wake()
@@ -142,13 +145,13 @@
             self._wakeup.set_result(None)
 
 
-def _watch_other_end(sock: socket.socket) -> None:
+def _enable_liveness_checks(sock: socket.socket) -> None:
     """Let the system find out when the other end is gone without a word."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_TRIES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 async def connect(address: str, timeout_s: float) -> Connection:
@@ -158,16 +161,16 @@
     async with asyncio.timeout(timeout_s):
         _, connection = await loop.create_connection(Connection, host, port)
     sock = connection.transport.get_extra_info("socket")
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SEND_TIMEOUT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, OUTGOING_USER_TIMEOUT_MS)
     return connection
 
 
 async def listen(
     address: str,
-    on_made: Callable[[Connection], Any],
+    on_connected: Callable[[Connection], Any],
     early: socket.socket | None = None,
     *,
-    is_brief: bool = False,
+    is_short_lived: bool = False,
 ) -> asyncio.Server:
     """Accept connections at an address; raise OSError when it can't be bound.
 
@@ -177,7 +180,7 @@
     """
 
     def make() -> Connection:
-        return Connection(on_made, is_brief=is_brief)
+        return Connection(on_connected, is_short_lived=is_short_lived)
 
     loop = asyncio.get_running_loop()
     if early is not None and format_address(early.getsockname()) == address:
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -8,7 +8,7 @@
 from cloverway.core.calls import Call, Header
 from cloverway.core.deployment import Document, Publication, Snapshot
 from cloverway.errors import PlatformError, RequestError
-from cloverway.serving.http.client import ReplyHead
+from cloverway.serving.http.client import ResponseHead
 from cloverway.serving.http.server import Exchange
 
 
@@ -109,11 +109,11 @@
         """Give the headers of a request that another host is to run, in the callers' form."""
         ...
 
-    def is_answer_to(self, head: ReplyHead, call: Call) -> bool:
+    def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
         """Tell whether an answer belongs to a request."""
         ...
 
-    def decode_reply(self, head: ReplyHead) -> ReplyFacts:
+    def decode_reply(self, head: ResponseHead) -> ReplyFacts:
         """Decode the head of an endpoint's answer."""
         ...
 
@@ -121,7 +121,7 @@
         """Give target and headers of the GET that asks an endpoint when it started."""
         ...
 
-    def decode_life(self, head: ReplyHead, body: bytes) -> LifeFacts:
+    def decode_life(self, head: ResponseHead, body: bytes) -> LifeFacts:
         """Decode the answer to it."""
         ...
 
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -16,10 +16,10 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
 from cloverway.serving.http.client import (
-    AnswerError,
+    ClientExchange,
     ConnectError,
-    ReplyHead,
-    Sending,
+    ResponseError,
+    ResponseHead,
     make_request,
 )
 from cloverway.serving.ports import ReplyFacts, SendTerms
@@ -53,7 +53,7 @@
 """How many sends a host wrote out to endpoints before it gave up: only those draw on the budget."""
 
 
-class SilenceError(AnswerError):
+class SilenceError(ResponseError):
     """Nothing was heard for longer than is borne; the other end may be there."""
 
 
@@ -86,8 +86,8 @@
 class Answered(NamedTuple):
     """A send whose answer has begun."""
 
-    sending: Sending
-    head: ReplyHead
+    sending: ClientExchange
+    head: ResponseHead
     body: bytes | None
     """The whole body, where it was read; None for a stream."""
     arrived: bool = True
@@ -130,9 +130,9 @@
         timeout_s = CONNECT_S if target.peer is None else FAR_CONNECT_S
         pool = self._context.pool
         try:
-            connection = await pool.open(target.place, timeout_s)
+            connection = await pool.acquire(target.place, timeout_s)
         except ConnectError as error:
-            is_down = error.nobody_listens and target.candidate is not None
+            is_down = error.connection_refused and target.candidate is not None
             return Declined(f"no connection: {error}", arrived=False, is_down=is_down)
         objection = self._find_objection()
         if objection is not None:
@@ -142,7 +142,7 @@
         if request is None:
             connection.abort()
             return Declined("no time is left", blames_host=False, arrived=False)
-        sending = Sending(connection, request, self._wanted.call.body)
+        sending = ClientExchange(connection, request, self._wanted.call.body)
         kept = False
         try:
             sent_at = read_clock()
@@ -151,7 +151,7 @@
             outcome = await self._read_answer(sending, sent_at)
             kept = isinstance(outcome, Answered) and outcome.body is None
             return outcome
-        except AnswerError as error:
+        except ResponseError as error:
             return Broken(str(error), is_end=not isinstance(error, SilenceError))
         finally:
             if not kept:
@@ -200,7 +200,7 @@
         region = self._context.settings.region
         return f"{version};{self._wanted.service.name};{region}".encode()
 
-    async def _read_answer(self, sending: Sending, sent_at: float) -> Outcome:
+    async def _read_answer(self, sending: ClientExchange, sent_at: float) -> Outcome:
         dialect = self._context.dialect
         target = self._target
         call, route = self._wanted.call, self._wanted.route
@@ -237,7 +237,7 @@
             target.name, facts, request_id=call_id, sent_at=sent_at, now=now
         )
 
-    def _read_refusal(self, head: ReplyHead, said: bytes, sent_at: float) -> Outcome:
+    def _read_refusal(self, head: ResponseHead, said: bytes, sent_at: float) -> Outcome:
         """Read why another host could not serve the request; `said` is what it knows of its run."""
         target = self._target
         why = f"host {target.name} could not serve it: {head.status}"
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -17,7 +17,7 @@
 from cloverway.errors import Kind, Ran, RequestError, take_worse
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
-from cloverway.serving.http.client import AnswerError
+from cloverway.serving.http.client import ResponseError
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import (
     RETRY_STATUS,
@@ -195,9 +195,9 @@
             # The send counts as a run already: what is left tells whether there is another attempt.
             may_go_on = self._may_repeat(self.runs)
             await self.relay.copy(target, answered, may_go_on)
-        except (AnswerError, ValueError) as error:
-            self.relay.drop_rest()
-            is_end = isinstance(error, AnswerError) and not isinstance(error, SilenceError)
+        except (ResponseError, ValueError) as error:
+            self.relay.drop_incomplete()
+            is_end = isinstance(error, ResponseError) and not isinstance(error, SilenceError)
             self._note_failure(target, Broken(str(error), is_end=is_end))
             self._check_repeatable(str(error))
             return False
@@ -237,7 +237,7 @@
     def _blame_endpoint(self, target: Target, now: float) -> None:
         if target.candidate is not None:
             target.candidate.endpoint.load.note_failure(now)
-            self.context.pool.forget(target.place)
+            self.context.pool.close_idle(target.place)
 
     def _note_result(self, target: Target, failed: bool) -> None:
         if target.candidate is None:
@@ -283,7 +283,7 @@
     def _fail(self, error: RequestError) -> None:
         if self.exchange.started:
             self._tell_end(error, 0)
-            self.exchange.cut()
+            self.exchange.abort()
             return
         raise error
 
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -94,6 +94,6 @@
         total_s = read_clock() - exchange.arrived_at
         self._context.figures.note_request("", error.kind, None, total_s, 0.0)
         if exchange.started:
-            exchange.cut()
+            exchange.abort()
             return
         await exchange.answer(status, headers, body)
--- a/cloverway/serving/requests/lives.py
+++ b/cloverway/serving/requests/lives.py
@@ -9,7 +9,13 @@
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch, make_request
+from cloverway.serving.http.client import (
+    ConnectError,
+    ConnectionPool,
+    ResponseError,
+    fetch,
+    make_request,
+)
 from cloverway.serving.ports import Dialect, LifeFacts
 from cloverway.serving.telemetry import Figures, tell
 
@@ -45,7 +51,7 @@
     """
 
     def __init__(
-        self, quarantine: Quarantine, pool: Pool, dialect: Dialect, figures: Figures
+        self, quarantine: Quarantine, pool: ConnectionPool, dialect: Dialect, figures: Figures
     ) -> None:
         self._quarantine = quarantine
         self._pool = pool
@@ -77,8 +83,8 @@
             standing = self._note_facts(endpoint, facts)
         except ConnectError as error:
             why = str(error)
-            standing = Standing.GONE if error.nobody_listens else Standing.SILENT
-        except AnswerError as error:
+            standing = Standing.GONE if error.connection_refused else Standing.SILENT
+        except ResponseError as error:
             why, standing = str(error), Standing.SILENT
         now = read_clock()
         if standing is Standing.GONE:
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -6,7 +6,7 @@
 from cloverway.core.pauses import Gap
 from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import ReplyHead, Sending
+from cloverway.serving.http.client import ClientExchange, ResponseHead
 from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import Answered, bear_silence
@@ -50,12 +50,12 @@
         """The id of the last whole event that the caller got."""
         return self._events.last_id
 
-    def drop_rest(self) -> None:
+    def drop_incomplete(self) -> None:
         """Forget the part of an event that will never be whole."""
-        self._events.drop_rest()
+        self._events.drop_incomplete()
 
     async def copy(self, target: Target, answered: Answered, may_go_on: bool) -> None:
-        """Copy the events of an endpoint to their end; raise AnswerError or ValueError.
+        """Copy the events of an endpoint to their end; raise ResponseError or ValueError.
 
         `may_go_on` tells whether the stream may go on elsewhere when the endpoint falls silent.
         """
@@ -72,16 +72,16 @@
             await self._exchange.send(b"".join(events))
             waiting_since = read_clock()
         self._start(answered.head)
-        rest = self._events.take_rest()
+        rest = self._events.take_incomplete()
         if rest:
             await self._exchange.send(rest)
         self._exchange.finish()
 
-    async def _read(self, sending: Sending, patience_s: float | None) -> bytes:
+    async def _read(self, sending: ClientExchange, patience_s: float | None) -> bytes:
         async with bear_silence(patience_s):
-            return await sending.read_part()
+            return await sending.read_chunk()
 
-    def _start(self, head: ReplyHead) -> None:
+    def _start(self, head: ResponseHead) -> None:
         if not self._exchange.started:
             self._exchange.start(head.status, list_end_to_end(head))
 
@@ -112,7 +112,7 @@
 """Headers that concern one connection only; the length is set anew where the body is known."""
 
 
-def list_end_to_end(head: ReplyHead) -> list[Header]:
+def list_end_to_end(head: ResponseHead) -> list[Header]:
     """Give the headers of an answer that are the caller's."""
     named = {
         token.strip().lower()
--- a/cloverway/serving/requests/suspicion.py
+++ b/cloverway/serving/requests/suspicion.py
@@ -65,7 +65,7 @@
     def note_whole(self, target: Target, answered: Answered) -> None:
         """Note that the request had a whole answer, so that it ends nothing."""
         self._awaited = None
-        self._context.crashes.note_served(self._digest)
+        self._context.crashes.report_served(self._digest)
         if target.candidate is not None:
             # Only the life that a connection was opened to answers on it. By its entry alone, one
             # that is back before its entry tells would take back the end that it came from.
@@ -94,7 +94,7 @@
         if target.candidate is not None:
             life = target.candidate.endpoint.entry.life
             self.ended.append(life)
-            self._context.crashes.note_end(life, self._digest, at)
+            self._context.crashes.report_crash(life, self._digest, at)
 
 
 def _is_stalled(target: Target, now: float) -> bool:
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -31,8 +31,8 @@
     predict_region,
 )
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.suspects import SuspectWatch
-from cloverway.serving.http.client import Place
+from cloverway.serving.hosts.suspects import SuspectTracker
+from cloverway.serving.http.client import Destination
 from cloverway.serving.requests.shares import LimitShares
 from cloverway.serving.requests.waiting import WaitingLine
 from cloverway.serving.settings import FleetSettings
@@ -74,9 +74,9 @@
         return source.entry.address if source is not None else ""
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Destination:
         """Whom a connection for the request leads to."""
-        return Place(self.address, self.name if self.candidate is not None else "")
+        return Destination(self.address, self.name if self.candidate is not None else "")
 
 
 class Targeting:
@@ -87,7 +87,7 @@
         settings: FleetSettings,
         directory: Directory,
         members: Members,
-        suspects: SuspectWatch,
+        suspects: SuspectTracker,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -193,7 +193,7 @@
             and self._may_load(endpoint, wanted.service, now)
         )
         wished = list(self._keep_wishes(predicted, wanted.service, now))
-        candidates = self._suspects.keep_apart(wanted, wished, now)
+        candidates = self._suspects.weigh_candidates(wanted, wished, now)
         if wanted.service.engine is None or wanted.call.prompt is None:
             return candidates
         return keep_apart(wanted, candidates, self._choose_apart(wanted.service.name, near, now))
--- a/cloverway/structs.py
+++ b/cloverway/structs.py
@@ -98,7 +98,7 @@
     Where all of its fields are there and are to be taken as they are, as with the hosts that a
     heartbeat tells of, they are read and checked in two steps for all of them.
     """
-    read_all, types = _plan_whole(kind)
+    read_all, types = _plan_direct_read(kind)
     if types is not None:
         found = read_all(packed)
         if tuple(map(type, found)) == types:
@@ -116,7 +116,7 @@
 
 
 @cache
-def _plan_whole(kind: Any) -> tuple[Callable[[Any], tuple[Any, ...]], tuple[Any, ...] | None]:
+def _plan_direct_read(kind: Any) -> tuple[Callable[[Any], tuple[Any, ...]], tuple[Any, ...] | None]:
     """Give what reads all fields of a struct, and their types where each is taken as it is."""
     types = tuple(field.plain for field in _list_fields(kind))
     is_whole = len(types) > 1 and None not in types
--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -52,7 +52,7 @@
     "young": (Switch("serving.requests.targeting", "LOADS_HEARD_S", 0.0),),
     "start_wait": (Switch("serving.context", "START_WAIT_S", 0.0),),
     "told_at_once": (Switch("serving.requests.targeting", "TOLD_TOKENS", NEVER),),
-    "readers": (Switch("serving.documents.catalogue", "READERS", 10_000),),
+    "readers": (Switch("serving.documents.catalogue", "READERS_PER_DOMAIN", 10_000),),
     "few_named": (Switch("core.entry", "BUSY_PART", 0.0),),
     "settle": (Switch("core.entry", "SETTLE_S", 0.0),),
     "retries": (Switch("core.budget", "USED_PART", 0.0),),
--- a/cloverway/tests/fleet/deployment.py
+++ b/cloverway/tests/fleet/deployment.py
@@ -12,7 +12,12 @@
 from cloverway.platform.dialect import PlatformDialect
 from cloverway.platform.store import PlatformStore
 from cloverway.serving.host import Host
-from cloverway.serving.http.client import AnswerError, Pool, Sending, make_request
+from cloverway.serving.http.client import (
+    ClientExchange,
+    ConnectionPool,
+    ResponseError,
+    make_request,
+)
 from cloverway.serving.settings import FleetSettings, Listen, Peers, StoreSettings
 from cloverway.serving.telemetry import LineWriter
 from cloverway.tests.fleet.standins import (
@@ -47,7 +52,7 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.hosts: list[Host] = []
         self.version = 0
-        self.pool = Pool()
+        self.pool = ConnectionPool()
         self.writer = LineWriter(1)
         self._calls = 0
 
@@ -107,7 +112,7 @@
         body: bytes = b"x",
         deadline_ms: int = 3000,
         headers: tuple[Header, ...] = (),
-    ) -> Sending:
+    ) -> ClientExchange:
         self._calls += 1
         entry = host or self.hosts[0]
         fields = [
@@ -118,7 +123,7 @@
         ]
         request = make_request(method, path, fields, body)
         connection = await self.pool.open_new(entry.settings.listen.callers, 1.0)
-        sending = Sending(connection, request, body)
+        sending = ClientExchange(connection, request, body)
         sending.write()
         return sending
 
@@ -141,13 +146,13 @@
         server.stop_accepting()
 
 
-async def read_reply(sending: Sending) -> Reply:
+async def read_reply(sending: ClientExchange) -> Reply:
     head = await sending.read_head(lambda head: True)
     body = b""
     try:
-        while part := await sending.read_part():
+        while part := await sending.read_chunk():
             body += part
-    except AnswerError:
+    except ResponseError:
         return Reply(head.status, dict(head.headers), body, False)
     return Reply(head.status, dict(head.headers), body, True)
 
--- a/cloverway/tests/fleet/soak.py
+++ b/cloverway/tests/fleet/soak.py
@@ -21,9 +21,9 @@
 from typing import Any
 
 from cloverway.serving.http.client import (
-    AnswerError,
     ConnectError,
-    Pool,
+    ConnectionPool,
+    ResponseError,
     fetch,
     make_request,
 )
@@ -75,7 +75,7 @@
         """When deadly requests ended an endpoint, by their bodies."""
         self.version = 0
         self._restarts: set[asyncio.Task[None]] = set()
-        self._pool = Pool()
+        self._pool = ConnectionPool()
         self._ports = Ports()
         self._numbers = iter(range(1, 1 << 60))
 
@@ -167,16 +167,18 @@
         target = f"/resolve?name=shop.example&region={DOMAINS[domain]}&zone={domain}"
         for host in sorted(asked, key=lambda host: host.domain != domain):
             request = make_request("GET", target, [(b"Host", b"x")], b"")
-            with contextlib.suppress(ConnectError, AnswerError):
+            with contextlib.suppress(ConnectError, ResponseError):
                 head, body = await fetch(
-                    Pool(), host.lookup, request, b"", timeout_s=1.0, limit=10_000
+                    ConnectionPool(), host.lookup, request, b"", timeout_s=1.0, limit=10_000
                 )
                 named = re.findall(rb'"([0-9.]+:\d+)"', body)
                 if head.status == 200 and named:
                     return random.choice(named).decode()
         return random.choice(self.hosts).callers
 
-    async def _send(self, host: str, route: str, pool: Pool, content: bytes = b"x") -> Seen:
+    async def _send(
+        self, host: str, route: str, pool: ConnectionPool, content: bytes = b"x"
+    ) -> Seen:
         return await send(f"c-{next(self._numbers)}", host, route, pool, content)
 
     # Faults
@@ -330,7 +332,7 @@
         until = time.monotonic() + DEADLY_S
         while time.monotonic() < until:
             host = self.random.choice(self.hosts)
-            self.seen.append(await self._send(host.callers, route, Pool(), body))
+            self.seen.append(await self._send(host.callers, route, ConnectionPool(), body))
             await asyncio.sleep(self.random.uniform(0.02, 0.4))
 
     def _crash(self, endpoint: CountingEndpoint, body: bytes) -> None:
@@ -357,7 +359,7 @@
         """Wait until a host that was started serves; one that can't yet is seen in the end."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(5.0):
-                while not (await self._send(host.callers, "safe", Pool())).whole:
+                while not (await self._send(host.callers, "safe", ConnectionPool())).whole:
                     await asyncio.sleep(0.1)
 
     async def _wait_served(self, seconds: float) -> list[str]:
@@ -365,7 +367,9 @@
         left = list(self.hosts)
         until = time.monotonic() + seconds
         while left and time.monotonic() < until:
-            replies = [await self._send(h.callers, f"v{self.version}", Pool()) for h in left]
+            replies = [
+                await self._send(h.callers, f"v{self.version}", ConnectionPool()) for h in left
+            ]
             left = [host for host, seen in zip(left, replies, strict=True) if seen.status != 200]
             await asyncio.sleep(0.1)
         return [host.name for host in left]
--- a/cloverway/tests/fleet/soak_parts.py
+++ b/cloverway/tests/fleet/soak_parts.py
@@ -10,11 +10,11 @@
 from typing import Any, NamedTuple
 
 from cloverway.serving.http.client import (
-    AnswerError,
+    ClientExchange,
     ConnectError,
-    Place,
-    Pool,
-    Sending,
+    ConnectionPool,
+    Destination,
+    ResponseError,
     make_request,
 )
 from cloverway.tests.fleet.deployment import read_reply
@@ -148,7 +148,7 @@
 """)
 
 
-async def send(call: str, host: str, route: str, pool: Pool, content: bytes) -> Seen:
+async def send(call: str, host: str, route: str, pool: ConnectionPool, content: bytes) -> Seen:
     """Send one request as a caller does; give what that saw."""
     fields = [
         (b"Host", b"shop.example"),
@@ -157,19 +157,19 @@
     ]
     request = make_request("POST", f"/{route}/a", fields, content)
     began_at = time.monotonic()
-    sending: Sending | None = None
+    sending: ClientExchange | None = None
     status, whole, body, error = 0, False, b"", ""
     try:
         async with asyncio.timeout(4.0):
-            sending = Sending(await pool.open(Place(host), 1.0), request, content)
+            sending = ClientExchange(await pool.acquire(Destination(host), 1.0), request, content)
             sending.write()
             reply = await read_reply(sending)
         status, whole, body = reply.status, reply.whole, reply.body
-    except (ConnectError, AnswerError, TimeoutError) as failure:
+    except (ConnectError, ResponseError, TimeoutError) as failure:
         error = repr(failure)
     finally:
         if sending is not None:
-            pool.release(Place(host), sending)
+            pool.release(Destination(host), sending)
     is_deadly = content.startswith(DEADLY)
     ended_at = time.monotonic()
     return Seen(call, route, host, began_at, ended_at, status, whole, body, error, is_deadly)
--- a/cloverway/tests/fleet/standins.py
+++ b/cloverway/tests/fleet/standins.py
@@ -14,7 +14,7 @@
 
 from cloverway.core.calls import Header
 from cloverway.core.deployment import CallerLimits
-from cloverway.serving.http.server import Exchange, Server, ServerTerms
+from cloverway.serving.http.server import Exchange, Server, ServerOptions
 
 SIGNATURE = (b"X-Cloverway-Response-Seal", b"1.2.3")
 
@@ -51,7 +51,7 @@
     def refuse(exchange, error):
         return b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 
-    return Server(handler, ServerTerms(CallerLimits, lambda: False, refuse))
+    return Server(handler, ServerOptions(CallerLimits, lambda: False, refuse))
 
 
 class Store:
--- a/cloverway/tests/test_core_lives.py
+++ b/cloverway/tests/test_core_lives.py
@@ -18,7 +18,7 @@
 from cloverway.core.load import SiblingLoad, Work
 from cloverway.core.members import Member, Members
 from cloverway.core.statements import Statement
-from cloverway.serving.hosts.endpoint_loads import UseExchange
+from cloverway.serving.hosts.endpoint_loads import EndpointLoadExchange
 from cloverway.serving.hosts.messages import EndpointUse, EndpointUses
 
 RUNS = int(os.environ.get("LIVES_RUNS", "60"))
@@ -157,12 +157,12 @@
     members = Members(own)
     members.hear(other, 0.0, True, 0.0)
     directory = make_directory(make_entry(2_000))
-    exchange = UseExchange(members, directory, lambda name, data: None)
+    exchange = EndpointLoadExchange(members, directory, lambda name, data: None)
     late = EndpointUse("e1", 5, 9_000, 9_050, (1,), (6_000,), 9_000, born_ms=1_000)
-    exchange.hear(EndpointUses("b", (late,)), 0.0)
+    exchange.receive(EndpointUses("b", (late,)), 0.0)
     load = directory.endpoints["e1"].load
     assert (load.sum_all(0.0).running, load.backlog(0.0)) == (0, 0.0)
-    exchange.hear(EndpointUses("b", (late._replace(born_ms=2_000),)), 0.0)
+    exchange.receive(EndpointUses("b", (late._replace(born_ms=2_000),)), 0.0)
     assert load.sum_all(0.0).running == 5
 
 
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -10,8 +10,8 @@
 from cloverway.core.members import Member, Members
 from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
 from cloverway.serving.hosts import broadcast, crashes
-from cloverway.serving.hosts.broadcast import TELL_AFTER_S, NewsExchange
-from cloverway.serving.hosts.crashes import MOST_TOLD, RETOLD_S, CrashExchange
+from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBroadcaster
+from cloverway.serving.hosts.crashes import MAX_REQUESTS_PER_MESSAGE, REBROADCAST_S, CrashExchange
 from cloverway.serving.hosts.messages import CODEC
 from cloverway.serving.telemetry import Figures
 
@@ -27,7 +27,7 @@
         self.members = Members(Member(name, 1, region, region, name, name, True))
         self.quarantine = Quarantine(QuarantineTerms())
         self.exchange = CrashExchange(name, self.quarantine, Figures())
-        self.news = NewsExchange(self.members, [self.exchange])
+        self.news = UpdateBroadcaster(self.members, [self.exchange])
         self.news.send = lambda to, data: net.send(name, to, data)
 
     def knows(self, digest=DEADLY):
@@ -47,8 +47,10 @@
     def send(self, sender, receiver, data):
         self.sent.append((sender, receiver, data))
         if not self.lost(sender, receiver):
-            is_far = sender[0] != receiver[0]
-            self.hosts[receiver].exchange.hear(CODEC.decode(data), is_far, crashes.read_clock())
+            is_remote = sender[0] != receiver[0]
+            self.hosts[receiver].exchange.receive(
+                CODEC.decode(data), is_remote, crashes.read_clock()
+            )
 
     def list_knowing(self):
         return {name for name, host in self.hosts.items() if host.knows()}
@@ -66,7 +68,7 @@
 async def settle():
     """Let news go on over three hosts."""
     for _ in range(3):
-        await asyncio.sleep(1.5 * TELL_AFTER_S)
+        await asyncio.sleep(1.5 * BROADCAST_DELAY_S)
 
 
 def test_all_hosts_of_all_regions_hear_of_an_end_at_once(clock):
@@ -74,7 +76,7 @@
     net = Net("a1", "a2", "a3", "b1", "b2", "b3", "b4", "c1", "c2", "c3")
 
     async def scenario():
-        net.hosts["a1"].exchange.note_end("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         assert net.list_knowing() == set(net.hosts)
         told_far = {to for sender, to, _ in net.sent if sender == "a1" and to[0] != "a"}
@@ -89,28 +91,28 @@
     net.lost = lambda sender, receiver: sender == "a1" and receiver != "a3"
 
     async def scenario():
-        net.hosts["a1"].exchange.note_end("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         assert net.list_knowing() == {"a1", "a3"}
         for host in net.hosts.values():
-            host.news.retell(clock[0] + 1.0)
+            host.news.rebroadcast(clock[0] + 1.0)
         await settle()
         assert net.list_knowing() == set(net.hosts)
         net.sent.clear()
         for host in net.hosts.values():
-            host.news.retell(clock[0] + RETOLD_S + 0.1)
+            host.news.rebroadcast(clock[0] + REBROADCAST_S + 0.1)
         assert not net.sent, "it isn't told for ever"
 
     asyncio.run(scenario())
 
 
 def test_hosts_tell_again_by_themselves(clock, monkeypatch):
-    monkeypatch.setattr(broadcast, "RETELL_S", 0.01)
+    monkeypatch.setattr(broadcast, "REBROADCAST_PERIOD_S", 0.01)
     net = Net("a1", "a2")
     net.lost = lambda sender, receiver: True
 
     async def scenario():
-        net.hosts["a1"].exchange.note_end("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         net.lost = lambda sender, receiver: False
         telling = asyncio.create_task(net.hosts["a1"].news.run())
@@ -128,11 +130,11 @@
     net.lost = lambda sender, receiver: True
 
     async def scenario():
-        net.hosts["a1"].exchange.note_end("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         net.lost = lambda sender, receiver: False
         clock[0] += 60.0
-        net.hosts["a1"].news.welcome("a2", clock[0])
+        net.hosts["a1"].news.sync_joining_host("a2", clock[0])
         assert net.list_knowing() == {"a1", "a2"}
         hold_s = [host.quarantine.list_news(0.0, 9).crashes[0].at for host in net.hosts.values()]
         assert hold_s[0] == pytest.approx(hold_s[1], abs=0.002), "it ended a minute ago for both"
@@ -144,14 +146,14 @@
     net = Net("a1", "a2", "b1")
 
     async def scenario():
-        net.hosts["a1"].exchange.note_end("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         assert net.list_knowing() == set(net.hosts)
-        net.hosts["a1"].exchange.note_served(DEADLY)
+        net.hosts["a1"].exchange.report_served(DEADLY)
         await settle()
         assert net.list_knowing() == set()
         net.sent.clear()
-        net.hosts["a1"].exchange.note_served(8)
+        net.hosts["a1"].exchange.report_served(8)
         await settle()
         assert not net.sent, "nobody asks whether any other request was served"
 
@@ -164,13 +166,13 @@
 
     async def scenario():
         name = "i-" + "f" * 10 + "@1700000000000"
-        for number in range(MOST_TOLD):
-            net.hosts["a1"].exchange.note_end(name, longest - number, clock[0])
+        for number in range(MAX_REQUESTS_PER_MESSAGE):
+            net.hosts["a1"].exchange.report_crash(name, longest - number, clock[0])
         await settle()
         assert len(net.sent) == 1
         for number in range(300):
             net.hosts["a1"].quarantine.note_crash(Crash(f"{name}{number}", (number,), clock[0]))
-        net.hosts["a1"].news.welcome("a2", clock[0])
+        net.hosts["a1"].news.sync_joining_host("a2", clock[0])
         assert all(len(data) <= PACKET_BYTES for _, _, data in net.sent)
         assert sum(net.hosts["a2"].knows(number) for number in range(300)) == 256
 
@@ -198,7 +200,7 @@
             net.sent.clear()
             for other in net.hosts.values():
                 if other is not host:
-                    other.news.welcome(newcomer, clock[0])
+                    other.news.sync_joining_host(newcomer, clock[0])
             assert host.knows()
             assert 2 <= count_told(net, newcomer) <= 6
 
@@ -215,7 +217,7 @@
     async def scenario():
         for name, host in net.hosts.items():
             for newcomer in (other for other in net.hosts if other[0] == "b" and other != name):
-                host.news.welcome(newcomer, clock[0])
+                host.news.sync_joining_host(newcomer, clock[0])
         assert all(host.knows() for host in net.hosts.values())
 
     asyncio.run(scenario())
@@ -227,9 +229,9 @@
     for number in range(3):
         quarantine.note_crash(Crash(f"held-{number}", (DEADLY,), clock[0]))
     quarantine.note_crash(Crash("old", (8,), clock[0]))
-    clock[0] += crashes.WELCOMED_S + 1.0
+    clock[0] += crashes.SYNC_AGE_S + 1.0
     quarantine.note_crash(Crash("new", (9,), clock[0]))
-    net.hosts["a1"].news.welcome("a2", clock[0])
+    net.hosts["a1"].news.sync_joining_host("a2", clock[0])
     assert [net.hosts["a2"].knows(digest) for digest in (DEADLY, 8, 9)] == [3, 0, 1]
 
 
@@ -242,6 +244,6 @@
             host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
         for _ in range(20):
             for host in net.hosts.values():
-                host.news.retell(clock[0] + 1.0)
+                host.news.rebroadcast(clock[0] + 1.0)
         told[hosts] = len(net.sent) / 20
     assert told[100] < 2 * told[10]
--- a/cloverway/tests/test_early.py
+++ b/cloverway/tests/test_early.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverway.serving.early import Early, listen_early
-from cloverway.serving.http.server import Server, ServerTerms
+from cloverway.serving.http.server import Server, ServerOptions
 from cloverway.tests.fleet.standins import CallerLimits, take_ports
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -36,7 +36,7 @@
         async def answer(exchange):
             await exchange.answer(200, [], b"served")
 
-        server = Server(answer, ServerTerms(CallerLimits, lambda: False, lambda *_: b""))
+        server = Server(answer, ServerOptions(CallerLimits, lambda: False, lambda *_: b""))
         await server.start(address, early)
         reader, _ = await asyncio.open_connection(sock=caller)
         async with asyncio.timeout(2.0):
@@ -62,7 +62,7 @@
     early = listen_early(write_settings(tmp_path / "settings", first))
 
     async def scenario():
-        server = Server(None, ServerTerms(CallerLimits, lambda: False, lambda *_: b""))
+        server = Server(None, ServerOptions(CallerLimits, lambda: False, lambda *_: b""))
         await server.start(second, early)
         (bound,) = server._server.sockets
         assert bound.getsockname()[1] == int(second.rpartition(":")[2])
--- a/cloverway/tests/test_endpoint_loads.py
+++ b/cloverway/tests/test_endpoint_loads.py
@@ -9,7 +9,7 @@
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import Work
 from cloverway.core.members import SMALL_REGION, Member, Members
-from cloverway.serving.hosts.endpoint_loads import MOST_TOLD_AT_ONCE, UseExchange
+from cloverway.serving.hosts.endpoint_loads import MAX_IMMEDIATE_RECIPIENTS, EndpointLoadExchange
 from cloverway.serving.hosts.messages import CODEC
 
 TOPOLOGY = Topology("d1", "north", {"d1": "north"})
@@ -33,7 +33,7 @@
         idle = EndpointEntry("e2", "model", "10.0.0.2:80", "d1", 64)
         self.directory.apply([EndpointPublished(e.id, e) for e in (entry, idle)], 0.0)
         self.sent = []
-        self.exchange = UseExchange(self.members, self.directory, self._send)
+        self.exchange = EndpointLoadExchange(self.members, self.directory, self._send)
 
     def _send(self, name, data):
         self.sent.append((name, CODEC.decode(data)))
@@ -42,7 +42,7 @@
         return self.directory.endpoints[name].load
 
     def tell(self, is_refresh=False):
-        self.exchange._tell(self.exchange._list_listeners(), is_refresh)
+        self.exchange._broadcast(self.exchange._list_recipients(), is_refresh)
         sent, self.sent = self.sent, []
         return sent
 
@@ -52,7 +52,7 @@
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     [(name, message)] = here.tell()
     assert name == "b"
-    there.exchange.hear(message, 0.0)
+    there.exchange.receive(message, 0.0)
     assert there.load().sum_all(0.1).running == 1
     assert there.load().backlog(0.0) == 9_000
     assert there.load().count_unread(PROMPT) == 0
@@ -89,21 +89,21 @@
     The telling then costs their number squared, just when they have the least to spare. So all of
     them hear of it with the next period, and of many prompts together.
     """
-    here = Side("a", [f"h{number}" for number in range(MOST_TOLD_AT_ONCE + 1)])
+    here = Side("a", [f"h{number}" for number in range(MAX_IMMEDIATE_RECIPIENTS + 1)])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
 
     async def tell_twice():
-        here.exchange.tell_at_once()
-        here.exchange.tell_at_once()
+        here.exchange.broadcast_at_once()
+        here.exchange.broadcast_at_once()
         await asyncio.sleep(0)
 
     asyncio.run(tell_twice())
     assert here.sent == []
-    assert len(here.tell()) == MOST_TOLD_AT_ONCE + 1
+    assert len(here.tell()) == MAX_IMMEDIATE_RECIPIENTS + 1
 
 
 def test_words_of_a_host_that_is_not_known_are_dropped():
     here, stranger = Side("a", ["b"]), Side("c", ["a"])
     stranger.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    here.exchange.hear(stranger.tell()[0][1], 0.0)
+    here.exchange.receive(stranger.tell()[0][1], 0.0)
     assert here.load().sum_all(0.1).running == 0
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -239,12 +239,12 @@
     async def scenario():
         async with run_deadly_fleet() as deadly:
             near, away = deadly.fleet.hosts
-            near.gossip.news.retell = lambda now: None
-            hear = away.gossip.news.hear
-            away.gossip.news.hear = lambda message, now: True
+            near.gossip.broadcaster.rebroadcast = lambda now: None
+            hear = away.gossip.broadcaster.receive
+            away.gossip.broadcaster.receive = lambda message, now: True
             await hold(deadly, near)
             await asyncio.sleep(0.5)
-            away.gossip.news.hear = hear
+            away.gossip.broadcaster.receive = hear
             del near.members.peers[away.members.own.name]
             await wait_for(lambda: away.context.quarantine.count_held(read_clock()) == 1, 2.0)
             assert (await deadly.fleet.call("/stream/a", away, body=DEADLY)).status == 503
@@ -262,7 +262,7 @@
     async def scenario():
         async with run_deadly_fleet(("d1", "d2"), ("d1", "d1")) as deadly:
             near, far = deadly.fleet.hosts
-            near.gossip.news.send = lambda address, data: None
+            near.gossip.broadcaster.send = lambda address, data: None
             await hold(deadly, near)
             (peer,) = far.members.peers.values()
             await wait_for(lambda: "model" in peer.offers)
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -10,13 +10,13 @@
 from cloverway.core.deployment import Configuration, EndpointEntry, EngineShape, Service, Topology
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.members import ACTIVE_RATE, LEAST_NAMED, Member, Members
-from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.gossip import (
-    FAR_HOSTS,
-    FAR_IDLE_PER_S,
-    MOST_IDLE_S,
-    MOST_NEAR_S,
-    SETTLING_S,
+    HOSTS_PER_REMOTE_REGION,
+    IDLE_REMOTE_HEARTBEATS_PER_S,
+    MAX_IDLE_PERIOD_S,
+    MAX_REGION_PERIOD_S,
+    RECENTLY_STARTED_S,
     Gossip,
 )
 from cloverway.serving.hosts.messages import CODEC
@@ -48,7 +48,7 @@
         directory.endpoints["e1"] = Endpoint(entry, "north")
         directory._index()
         catalogue = SimpleNamespace(read_at=0.0, table=SimpleNamespace(revision=1, digest=1))
-        sync = SimpleNamespace(note=lambda peer, now: None)
+        sync = SimpleNamespace(note_peer=lambda peer, now: None)
         figures = Figures()
         self.gossip = Gossip(
             self.members,
@@ -56,7 +56,7 @@
             catalogue,
             sync,
             figures,
-            news=NewsExchange(self.members, ()),
+            broadcaster=UpdateBroadcaster(self.members, ()),
             seeds=(),
         )
         self.sent = []
@@ -65,7 +65,7 @@
     def send_far(self, times, step_s=1.0):
         """Let the host speak to other regions once a second, or as often as is said."""
         for number in range(times):
-            self.gossip._send_far(1.0 + number * step_s)
+            self.gossip._send_to_remote_regions(1.0 + number * step_s)
         sent, self.sent = self.sent, []
         return sent
 
@@ -78,7 +78,7 @@
     """
     serving = Host(0)
     sent = serving.send_far(10)
-    assert len(sent) == 10 * FAR_HOSTS * 2
+    assert len(sent) == 10 * HOSTS_PER_REMOTE_REGION * 2
     assert {name for name, _ in sent} == {"south-00", "south-01", "west-00", "west-01"}
     assert all(message.offers for _, message in sent)
 
@@ -99,7 +99,7 @@
     idle = Host(20)
     sent = idle.send_far(60)
     assert all(not message.offers for _, message in sent)
-    assert 0 < len(sent) <= 60 * FAR_IDLE_PER_S / HOSTS * 2 * 1.5
+    assert 0 < len(sent) <= 60 * IDLE_REMOTE_HEARTBEATS_PER_S / HOSTS * 2 * 1.5
     assert all(other.region == "north" for _, message in sent for other in message.others)
 
 
@@ -124,7 +124,7 @@
     here.members.peers["north-09"].rate = 30.0
     sent = here.send_far(60, step_s=0.0)
     message = next(message for _, message in sent if _find(message, "north-09"))
-    there.gossip._hear(message, "north-00", 50.0)
+    there.gossip._receive_heartbeat(message, "north-00", 50.0)
     assert there.members.peers["north-09"].rate == 30.0
 
 
@@ -147,16 +147,19 @@
     often and missed later; one that begins to serve speaks as often as before at once.
     """
     idle = make_large(40)
-    assert idle.gossip._choose_period(SETTLING_S - 0.1) == MOST_NEAR_S
-    assert idle.gossip._choose_period(SETTLING_S) == MOST_IDLE_S
+    assert idle.gossip._choose_period(RECENTLY_STARTED_S - 0.1) == MAX_REGION_PERIOD_S
+    assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_IDLE_PERIOD_S
     for _ in range(20):
-        idle.members.note_arrival(SETTLING_S)
-    assert idle.gossip._choose_period(SETTLING_S) == MOST_NEAR_S
+        idle.members.note_arrival(RECENTLY_STARTED_S)
+    assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
 
 
 def test_hosts_that_others_depend_on_speak_as_often_as_before():
-    assert make_large(0).gossip._choose_period(SETTLING_S) == MOST_NEAR_S
-    assert make_large(40, is_reader=True).gossip._choose_period(SETTLING_S) == MOST_NEAR_S
+    assert make_large(0).gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
+    assert (
+        make_large(40, is_reader=True).gossip._choose_period(RECENTLY_STARTED_S)
+        == MAX_REGION_PERIOD_S
+    )
 
 
 def test_a_host_that_speaks_rarely_is_missed_by_its_own_period():
@@ -164,7 +167,7 @@
     members = make_large(0).members
     members.forget(0.0)
     peer = members.peers["north-40"]
-    peer.period_s = MOST_IDLE_S
+    peer.period_s = MAX_IDLE_PERIOD_S
     assert members.is_alive(peer, 6.0)
     assert not members.is_alive(peer, 8.1)
     peer.period_s = 0.0
@@ -177,7 +180,7 @@
     far = [p for p in host.members.peers.values() if p.member.region != "north"]
     far[0].rate = ACTIVE_RATE
     with caplog.at_level("INFO"):
-        host.gossip._note_alive(0.5)
+        host.gossip._update_alive_hosts(0.5)
     heard = [record.peer for record in caplog.records if record.message == "host_heard"]
     near = [p.member.name for p in host.members.peers.values() if p.member.region == "north"]
     assert sorted(heard) == sorted([*near, far[0].member.name])
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -10,8 +10,8 @@
 from cloverway.core.entry import SETTLE_S
 from cloverway.platform.store import Answer
 from cloverway.serving.clock import read_clock
-from cloverway.serving.documents.catalogue import FOLLOW_S
-from cloverway.serving.http.client import Sending, fetch, make_request
+from cloverway.serving.documents.catalogue import MAX_FOLLOWER_AGE_S
+from cloverway.serving.http.client import ClientExchange, fetch, make_request
 from cloverway.tests.fleet.deployment import play, read_reply, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service, take_ports
 
@@ -80,7 +80,9 @@
             before = len(fleet.store.calls)
             await asyncio.sleep(3.0)
             assert len(fleet.store.calls) - before <= 2 * 4
-            assert all(read_clock() - host.catalogue.read_at < FOLLOW_S for host in fleet.hosts)
+            assert all(
+                read_clock() - host.catalogue.read_at < MAX_FOLLOWER_AGE_S for host in fleet.hosts
+            )
             fleet.store.put("op/evacuate/d1", {})
             await wait_for(lambda: all(h.directory.evacuated for h in fleet.hosts), 1.5)
             fleet.store.delete("op/evacuate/d1")
@@ -152,7 +154,9 @@
             connection = await fleet.pool.open_new(listen, 1.0)
             await asyncio.sleep(0.12)
             fields = [(b"Host", b"shop.example"), (b"X-Cloverway-Request-Id", b"late")]
-            sending = Sending(connection, make_request("POST", "/once/a", fields, b"x"), b"x")
+            sending = ClientExchange(
+                connection, make_request("POST", "/once/a", fields, b"x"), b"x"
+            )
             sending.write()
             reply = await read_reply(sending)
             assert reply.status == 503
@@ -246,7 +250,7 @@
         async with run_fleet(hosts=2) as fleet:
             first, second = fleet.hosts
             await wait_for(lambda: first.members.peers and second.members.peers)
-            monkeypatch.setattr("cloverway.serving.hosts.endpoint_loads.TELL_S", 60.0)
+            monkeypatch.setattr("cloverway.serving.hosts.endpoint_loads.BROADCAST_PERIOD_S", 60.0)
             await asyncio.sleep(0.3)
             for host in fleet.hosts:
                 for peer in host.members.peers.values():
@@ -272,7 +276,7 @@
     async def scenario():
         async with run_fleet(hosts=12) as fleet:
             await wait_for(lambda: all(len(h.members.peers) == 11 for h in fleet.hosts))
-            monkeypatch.setattr("cloverway.serving.hosts.gossip.OTHERS", 0)
+            monkeypatch.setattr("cloverway.serving.hosts.gossip.MAX_RELAYED_HOSTS", 0)
             newcomer = await fleet.add_host()
             await wait_for(lambda: len(newcomer.members.peers) == 12, 1.0)
 
--- a/cloverway/tests/test_fleet_parts.py
+++ b/cloverway/tests/test_fleet_parts.py
@@ -49,7 +49,7 @@
 def test_half_an_event_is_dropped_before_a_stream_goes_on_elsewhere():
     splitter = EventSplitter()
     assert splitter.split(b"id: 1\ndata: a\n\nid: 2\nda") == [b"id: 1\ndata: a\n\n"]
-    splitter.drop_rest()
+    splitter.drop_incomplete()
     assert splitter.last_id == "1"
     assert splitter.split(b"id: 2\ndata: b\n\n") == [b"id: 2\ndata: b\n\n"]
 
--- a/cloverway/tests/test_fleet_path.py
+++ b/cloverway/tests/test_fleet_path.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cloverway.serving.http.client import AnswerError
+from cloverway.serving.http.client import ResponseError
 from cloverway.tests.fleet.deployment import count_runs, play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
@@ -252,9 +252,9 @@
             endpoint.answer = endpoint.stream(1, 3, gap_s=0.2)
             sending = await fleet.begin_call("/cut/a")
             await sending.read_head(lambda head: True)
-            assert b"token 1" in await sending.read_part()
+            assert b"token 1" in await sending.read_chunk()
             assert len(endpoint.requests) == 1
-            assert not sending.is_whole
+            assert not sending.is_complete
 
     play(scenario)
 
@@ -331,8 +331,8 @@
             endpoint.answer = endpoint.stream(1, 1, breaks=True)
             sending = await fleet.begin_call("/cut/a")
             await sending.read_head(lambda head: True)
-            with pytest.raises(AnswerError):
-                while await sending.read_part():
+            with pytest.raises(ResponseError):
+                while await sending.read_chunk():
                     continue
 
     play(scenario)
--- a/cloverway/tests/test_platform_answers.py
+++ b/cloverway/tests/test_platform_answers.py
@@ -5,11 +5,11 @@
 import pytest
 
 from cloverway.platform.dialect import PlatformDialect
-from cloverway.serving.http.client import ReplyHead
+from cloverway.serving.http.client import ResponseHead
 
 
 def decode(*headers, status=200):
-    return PlatformDialect().decode_reply(ReplyHead(status, headers))
+    return PlatformDialect().decode_reply(ResponseHead(status, headers))
 
 
 @pytest.mark.parametrize(
--- a/cloverway/tests/test_server_fuzz.py
+++ b/cloverway/tests/test_server_fuzz.py
@@ -10,7 +10,7 @@
 import random
 
 from cloverway.core.deployment import CallerLimits
-from cloverway.serving.http.server import Server, ServerTerms
+from cloverway.serving.http.server import Server, ServerOptions
 from cloverway.serving.http.transport import Connection
 
 INPUTS = int(os.environ.get("FUZZ_INPUTS", "3000"))
@@ -100,7 +100,7 @@
     def refuse(exchange, error):
         return b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-    server = Server(handle, ServerTerms(lambda: LIMITS, lambda: False, refuse))
+    server = Server(handle, ServerOptions(lambda: LIMITS, lambda: False, refuse))
     connection = Connection(server._accept)
     transport = FakeTransport()
     connection.connection_made(transport)
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -7,9 +7,13 @@
 from cloverway.core.deployment import EndpointEntry, EndpointPublished, Topology
 from cloverway.core.endpoints import Directory
 from cloverway.core.members import Member, Members
-from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.messages import CODEC
-from cloverway.serving.hosts.statements import ENDED_S, MOST_TOLD, StatementExchange
+from cloverway.serving.hosts.statements import (
+    ENDED_LIMIT_REBROADCAST_S,
+    MAX_STATEMENTS_PER_MESSAGE,
+    StatementExchange,
+)
 from cloverway.serving.ports import ReplyFacts
 from cloverway.serving.telemetry import Figures
 
@@ -32,7 +36,7 @@
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
         self.exchange = StatementExchange(name, self.directory, Figures())
-        self.news = NewsExchange(self.members, [self.exchange])
+        self.news = UpdateBroadcaster(self.members, [self.exchange])
         self.news.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
         self.sent = []
 
@@ -65,7 +69,7 @@
         await asyncio.sleep(0.1)
         [(name, report)] = here.take_sent()
         assert name == "b"
-        there.exchange.hear(report, False, 500.0)
+        there.exchange.receive(report, False, 500.0)
         assert there.statements.get(LIFE).limit_per_s == 2.5
         await asyncio.sleep(0.1)
         assert there.sent == []
@@ -112,10 +116,10 @@
         here.answer(None, 102.0, OTHER)
         await asyncio.sleep(0.1)
         here.take_sent()
-        here.news.retell(101.0 + ENDED_S - 1)
+        here.news.rebroadcast(101.0 + ENDED_LIMIT_REBROADCAST_S - 1)
         [(_, report)] = here.take_sent()
         assert {(s.life, s.limit_milli) for s in report.statements} == {(LIFE, 1000), (OTHER, -1)}
-        here.news.retell(102.0 + ENDED_S + 1)
+        here.news.rebroadcast(102.0 + ENDED_LIMIT_REBROADCAST_S + 1)
         [(_, report)] = here.take_sent()
         assert [s.life for s in report.statements] == [LIFE]
 
@@ -125,7 +129,7 @@
 def test_each_message_fits_into_one_packet():
     async def scenario():
         here = Side("a", ["b"])
-        for number in range(MOST_TOLD + 5):
+        for number in range(MAX_STATEMENTS_PER_MESSAGE + 5):
             here.answer(1.0, 100.0, f"engine-of-a-long-name-{number:03}@1760000000000")
         await asyncio.sleep(0.1)
         sizes = [len(CODEC.encode(report)) for _, report in here.take_sent()]
@@ -145,7 +149,7 @@
         here.answer(None, 101.0)
         await asyncio.sleep(0.1)
         [(_, report)] = here.take_sent()
-        there.exchange.hear(report, False, 500.0)
+        there.exchange.receive(report, False, 500.0)
         [usable] = there.directory.list_usable("desk", 500.0)
         assert usable.entry.life == OTHER
 
@@ -162,7 +166,7 @@
         here.answer(None, 100.0, OTHER, leaving=True)
         await asyncio.sleep(0.1)
         here.take_sent()
-        here.news.retell(300.0)
+        here.news.rebroadcast(300.0)
         [(_, report)] = here.take_sent()
         assert [(s.life, s.leaving, s.limit_milli) for s in report.statements] == [(LIFE, True, -1)]
 
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -10,9 +10,9 @@
 from cloverway.core.prediction import Candidate, Wanted
 from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.broadcast import NewsExchange
+from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.messages import CODEC
-from cloverway.serving.hosts.suspects import MOST_TOLD, SuspectWatch
+from cloverway.serving.hosts.suspects import MAX_SUSPECTS_PER_MESSAGE, SuspectTracker
 
 SUSPECT, OTHER, INNOCENT = 1, 2, 3
 NOW = read_clock()
@@ -29,8 +29,8 @@
         self.quarantine = Quarantine(QuarantineTerms())
         for number, digests in enumerate(((SUSPECT, OTHER), (SUSPECT,), (OTHER,))):
             self.quarantine.note_crash(Crash(f"gone-{number}", digests, NOW))
-        self.watch = SuspectWatch(name, self.quarantine)
-        self.news = NewsExchange(self.members, [self.watch])
+        self.watch = SuspectTracker(name, self.quarantine)
+        self.news = UpdateBroadcaster(self.members, [self.watch])
         self.news.send = lambda name, data: self.sent.append(CODEC.decode(data))
         self.sent = []
 
@@ -39,7 +39,7 @@
 
     def choose(self, digest):
         candidates = [make_candidate(life) for life in ("e1", "e2")]
-        kept = self.watch.keep_apart(want(digest), candidates, NOW)
+        kept = self.watch.weigh_candidates(want(digest), candidates, NOW)
         return {c.endpoint.entry.life: round(c.cost_s, 3) for c in kept}
 
 
@@ -64,13 +64,13 @@
         here.begin(7, SUSPECT)
         await asyncio.sleep(0.02)
         [report] = here.sent
-        there.watch.hear(report, False, NOW)
+        there.watch.receive(report, False, NOW)
         assert there.choose(OTHER).keys() == {"e2"}
         assert there.choose(SUSPECT) == {}, "it runs once at a time"
         assert there.choose(INNOCENT)["e1"] > there.choose(INNOCENT)["e2"] == 0.0
         here.watch.end(7)
         await asyncio.sleep(0.02)
-        there.watch.hear(here.sent[-1], False, NOW)
+        there.watch.receive(here.sent[-1], False, NOW)
         assert there.choose(OTHER).keys() == {"e1", "e2"}
 
     asyncio.run(scenario())
@@ -83,7 +83,7 @@
         here.watch.end(7)
         await asyncio.sleep(0.02)
         assert here.sent == []
-        assert here.watch.list_standing(NOW) == []
+        assert here.watch.list_for_rebroadcast(NOW) == []
 
     asyncio.run(scenario())
 
@@ -92,10 +92,10 @@
     async def scenario():
         here, there = Side("a", "b"), Side("b", "a")
         here.begin(7, SUSPECT)
-        there.watch.hear(CODEC.decode(here.watch.list_standing(NOW)[0]), False, NOW)
+        there.watch.receive(CODEC.decode(here.watch.list_for_rebroadcast(NOW)[0]), False, NOW)
         assert there.choose(OTHER).keys() == {"e2"}
         candidates = [make_candidate("e1")]
-        assert there.watch.keep_apart(want(OTHER), candidates, NOW + 2 * LEFT_S)
+        assert there.watch.weigh_candidates(want(OTHER), candidates, NOW + 2 * LEFT_S)
 
     asyncio.run(scenario())
 
@@ -103,9 +103,9 @@
 def test_what_is_told_of_many_suspects_fits_into_one_packet():
     async def scenario():
         here = Side("a", "b")
-        for number in range(3 * MOST_TOLD):
+        for number in range(3 * MAX_SUSPECTS_PER_MESSAGE):
             here.begin(number, SUSPECT, f"engine-of-a-long-name-{number:03}@1760000000000")
-        [message] = here.watch.list_standing(NOW)
+        [message] = here.watch.list_for_rebroadcast(NOW)
         assert len(message) <= 1_472
 
     asyncio.run(scenario())
--- a/cloverway/thrift_check.py
+++ b/cloverway/thrift_check.py
@@ -47,13 +47,13 @@
         if width is not None:
             at += width
         elif kind == STRING:
-            at = _skip_text(body, at)
+            at = _skip_string(body, at)
         else:
             at = _skip_nested(body, at, kind, depth - 1)
     return at + 1
 
 
-def _skip_text(body: bytes, at: int) -> int:
+def _skip_string(body: bytes, at: int) -> int:
     (size,) = _SIZE.unpack_from(body, at)
     if size < 0:
         raise PeerError("a message has a text of a negative length")
@@ -92,5 +92,5 @@
     if width is not None:
         return at + width
     if kind == STRING:
-        return _skip_text(body, at)
+        return _skip_string(body, at)
     return _skip_nested(body, at, kind, depth)
