--- a/cloverway/core/choice.py
+++ b/cloverway/core/choice.py
@@ -8,7 +8,7 @@
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.load import DUTY, EngineState
-from cloverway.core.members import Offer
+from cloverway.core.members import AdvertisedCapacity
 from cloverway.core.pauses import START_PART
 from cloverway.core.prediction import (
     DEFAULT_GAP_S,
@@ -76,7 +76,7 @@
     return Room(engine.queue_s + failed_s, places, left if places else 0, engine)
 
 
-def update_offer(offer: Offer, age_s: float) -> Offer:
+def update_offer(offer: AdvertisedCapacity, age_s: float) -> AdvertisedCapacity:
     """Give what a region has offered as it will stand some time later.
 
     What waits there beyond what may wait at engines is read first.
@@ -89,8 +89,8 @@
         return offer
     return offer._replace(
         wait_s=max(0.0, offer.wait_s - REGAINED_PART * age_s),
-        free=offer.free + int(regained_s / OFFER_S),
-        room=offer.room + int(regained_s / read_s_per_token),
+        free_slots=offer.free_slots + int(regained_s / OFFER_S),
+        max_prompt_tokens=offer.max_prompt_tokens + int(regained_s / read_s_per_token),
     )
 
 
--- a/cloverway/core/deployment.py
+++ b/cloverway/core/deployment.py
@@ -43,7 +43,7 @@
     """0 is the most urgent."""
     resumable: bool = False
     """Whether a stream may go on at another endpoint after its last event."""
-    homes: frozenset[str] = frozenset()
+    home_regions: frozenset[str] = frozenset()
     """The only regions that may see the request; empty for all."""
 
     @property
@@ -71,7 +71,7 @@
     """Memory of one token."""
     link_mbps: float = 0.0
     """Over which a replica fetches memory from another one; 0 where it can't."""
-    event_tokens: int = 0
+    tokens_per_event: int = 0
     """Tokens that one event of a stream holds; 0 where nothing says so."""
 
     @property
@@ -87,7 +87,7 @@
     max_connections: int
     """Connections that one endpoint accepts, from all hosts together."""
     cold_s: float = 0.0
-    cold_per_s: float = 0.0
+    cold_requests_per_s: float = 0.0
     """Requests a second that a cold endpoint bears; 0 for no bound."""
     engine: EngineShape | None = None
 
@@ -131,10 +131,10 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def count_homes(self, host: str) -> Counter[str]:
+    def count_home_regions(self, host: str) -> Counter[str]:
         """Count for each region the routes of a host that are bound to it, among others."""
         routes = self._hosts.get(host, {}).values()
-        return Counter(region for route in routes for region in route.homes)
+        return Counter(region for route in routes for region in route.home_regions)
 
 
 class EndpointEntry(NamedTuple):
@@ -149,15 +149,15 @@
     draining: bool = False
     cold_s: float = 0.0
     """How much longer it is cold, in seconds from when it was published."""
-    leaves_s: float | None = None
+    removal_in_s: float | None = None
     """How much longer it lives, where it is taken away at short notice."""
-    born_ms: int | None = None
+    started_ms: int | None = None
     """Unix time of its start; None where endpoints don't tell, and each start has a new id."""
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Name one life of the endpoint: what is known of one says nothing of the next."""
-        return self.id if self.born_ms is None else f"{self.id}@{self.born_ms}"
+        return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
 
 class Document(NamedTuple):
@@ -174,7 +174,7 @@
 
     revision: int
     documents: tuple[Document, ...]
-    whole: bool
+    complete: bool
     """Whether these are all documents; otherwise those that changed."""
 
 
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -134,12 +134,12 @@
         news = self.statements.note(life, statement)
         if News.LEAVING in news:
             for endpoint in self.endpoints.values():
-                endpoint.has_said_leaving |= endpoint.entry.life == life
+                endpoint.has_said_leaving |= endpoint.entry.incarnation == life
         return news
 
     def list_statements(self, since: float) -> list[tuple[str, Statement]]:
         """List what endpoints that are there have said, and the limits that ended after a time."""
-        lives = {endpoint.entry.life for endpoint in self.endpoints.values()}
+        lives = {endpoint.entry.incarnation for endpoint in self.endpoints.values()}
         return [item for item in self.statements.list_since(since) if item[0] in lives]
 
     def note_pause(self, life: str, seconds: float, now: float) -> None:
@@ -152,11 +152,11 @@
 
     def get_pause_s(self, endpoint: Endpoint, now: float) -> float:
         """Give the seconds for which an endpoint still wants nothing from this host."""
-        return max(0.0, self._paused_until.get(endpoint.entry.life, 0.0) - now)
+        return max(0.0, self._paused_until.get(endpoint.entry.incarnation, 0.0) - now)
 
     def is_limited(self, endpoint: Endpoint) -> bool:
         """Tell whether an endpoint names a limit for all hosts together."""
-        return self.statements.get(endpoint.entry.life).limit_per_s is not None
+        return self.statements.get(endpoint.entry.incarnation).limit_per_s is not None
 
     def count_limited(self) -> int:
         """Count the endpoints that name a limit."""
@@ -169,12 +169,16 @@
         after a start: loaded like the one before, it could end again at once.
         """
         endpoint = self.endpoints.get(name)
-        if endpoint is None or endpoint.entry.born_ms is None or born_ms <= endpoint.entry.born_ms:
+        if (
+            endpoint is None
+            or endpoint.entry.started_ms is None
+            or born_ms <= endpoint.entry.started_ms
+        ):
             return []
         entry = endpoint.entry._replace(
-            born_ms=born_ms,
+            started_ms=born_ms,
             draining=False,
-            leaves_s=None,
+            removal_in_s=None,
             cold_s=self._get_cold_s(endpoint.entry.service),
         )
         changes = self._apply_entry(entry, now)
@@ -255,20 +259,20 @@
     def _apply_entry(self, entry: EndpointEntry, now: float) -> list[Change]:
         endpoint = self.endpoints.get(entry.id)
         known = endpoint.entry if endpoint is not None else self._past_lives.get(entry.id)
-        if known is not None and known.born_ms is not None:
-            if entry.born_ms is None:
+        if known is not None and known.started_ms is not None:
+            if entry.started_ms is None:
                 return self._apply_unreadable(entry.id, "the start is missing")
-            if entry.born_ms < known.born_ms:
+            if entry.started_ms < known.started_ms:
                 # Written before the endpoint started again, and come late.
                 return []
         if endpoint is None:
             endpoint = self._add(entry)
             change = Change("endpoint_new", entry.id, entry.address)
-        elif entry.born_ms != endpoint.entry.born_ms:
+        elif entry.started_ms != endpoint.entry.started_ms:
             # It holds and knows nothing of before: not what it was sent, not that it drained.
             # Taken for the same, others would fetch prompts from its empty memory.
             endpoint = self._add(entry)
-            change = Change("endpoint_reborn", entry.id, entry.life)
+            change = Change("endpoint_reborn", entry.id, entry.incarnation)
         elif entry.draining and not endpoint.entry.draining:
             change = Change("endpoint_draining", entry.id)
         elif endpoint.missing_since is not None or endpoint.is_unreadable:
@@ -281,10 +285,10 @@
     def _add(self, entry: EndpointEntry) -> Endpoint:
         region = self.topology.region_of(entry.domain)
         past = self._past_lives.pop(entry.id, None)
-        if past is not None and past.born_ms == entry.born_ms:
+        if past is not None and past.started_ms == entry.started_ms:
             entry = entry._replace(draining=entry.draining or past.draining)
         endpoint = self.endpoints[entry.id] = Endpoint(entry, region)
-        endpoint.has_said_leaving = self.statements.get(entry.life).leaving
+        endpoint.has_said_leaving = self.statements.get(entry.incarnation).leaving
         return endpoint
 
     def _update(self, endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
@@ -300,8 +304,8 @@
         endpoint.cold_until = (
             now + entry.cold_s if entry.cold_s > 0 else min(endpoint.cold_until, now)
         )
-        if entry.leaves_s is not None:
-            endpoint.leaves_at = now + entry.leaves_s
+        if entry.removal_in_s is not None:
+            endpoint.leaves_at = now + entry.removal_in_s
 
     def _get_cold_s(self, service: str) -> float:
         configuration = self.configuration
--- a/cloverway/core/entry.py
+++ b/cloverway/core/entry.py
@@ -5,24 +5,24 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from cloverway.core.members import LEAST_NAMED, Member, Members, rank_by_strength
+from cloverway.core.members import MIN_NAMED_HOSTS, Member, Members, rank_by_capacity
 
-REQUEST_CORE_S = 0.007
+CORE_S_PER_REQUEST = 0.007
 """Time of one core for one request: 38 s of the processes' own code for 5,000 requests on a heavy
 day of a fleet of seven hosts, heartbeats and starts included."""
-REQUEST_BITS = 80_000
+LINK_BITS_PER_REQUEST = 80_000
 """Bits on a host's link in one direction for one request: half of the requests have bodies of 9 to
 18 KB, and each goes in and out again."""
-BUSY_PART = 0.5
+TARGET_UTILIZATION = 0.5
 """Part of its capacity that a named host is expected to use. What is left takes bursts, and the
 requests of a host that fails, for the seconds until more hosts are named. With 0.3 all hosts were
 named at each peak of a large deployment."""
-SETTLE_S = 1.0
+MIN_LOOKUP_AGE_S = 1.0
 """Age from which a host knows enough others to lead callers: it is told of them by the first that
 hears it, and hears all of its region with their next heartbeats."""
-YOUNG_S = 3.0
+RECENTLY_STARTED_S = 3.0
 """Age up to which it may still miss some."""
-YOUNG_TTL_S = 0.5
+RECENTLY_STARTED_TTL_S = 0.5
 """How long its answers hold until then."""
 
 
@@ -37,12 +37,12 @@
 
     def estimate_capacity(self) -> int:
         """Give the requests per second that the machine bears at most."""
-        by_cores = self.core_share * self.core_speed / REQUEST_CORE_S
-        by_link = self.link_mbps * 1e6 / REQUEST_BITS
+        by_cores = self.core_share * self.core_speed / CORE_S_PER_REQUEST
+        by_link = self.link_mbps * 1e6 / LINK_BITS_PER_REQUEST
         return max(1, int(min(by_cores, by_link)))
 
 
-def choose_ttl(ttl_s: float, age_s: float) -> float | None:
+def choose_lookup_ttl(ttl_s: float, age_s: float) -> float | None:
     """Give how long callers may keep the answer of a host of some age; None when it has none.
 
     After a restart of all hosts, each of them knows only itself for a moment. Named by itself, each
@@ -50,16 +50,16 @@
     they can read in a second, and answers paused for ten. Callers without a new answer keep their
     old one, which names the strong hosts.
     """
-    if age_s < SETTLE_S:
+    if age_s < MIN_LOOKUP_AGE_S:
         return None
-    return min(ttl_s, YOUNG_TTL_S) if age_s < YOUNG_S else ttl_s
+    return min(ttl_s, RECENTLY_STARTED_TTL_S) if age_s < RECENTLY_STARTED_S else ttl_s
 
 
-def choose_for_caller(
+def choose_hosts_for_caller(
     members: Members,
     domain: str,
     region: str,
-    homes: Mapping[str, int],
+    home_regions: Mapping[str, int],
     now: float,
 ) -> list[str]:
     """Give the addresses that a caller in a failure domain should use, at least one.
@@ -71,22 +71,22 @@
     own = members.own
     ready = [own] if own.ready else []
     ready += [peer.member for peer in members.list_alive(now) if peer.member.ready]
-    lingering = members.list_lingering(now)
-    most = max((homes.get(member.region, 0) for member in ready), default=0)
+    leaving = members.list_leaving(now)
+    most = max((home_regions.get(member.region, 0) for member in ready), default=0)
     near = [member for member in ready if member.domain == domain]
     choices: Iterable[Sequence[Member]] = (
-        narrow_hosts(near, members.sum_rates(domain, now)),
+        select_strongest_hosts(near, members.sum_request_rates(domain, now)),
         [member for member in ready if member.region == region],
-        [member for member in lingering if member.region == region],
-        [member for member in ready if homes.get(member.region, 0) == most],
+        [member for member in leaving if member.region == region],
+        [member for member in ready if home_regions.get(member.region, 0) == most],
         ready,
-        lingering,
+        leaving,
     )
     chosen = next((choice for choice in choices if choice), [own])
-    return sorted(member.callers for member in chosen)
+    return sorted(member.caller_address for member in chosen)
 
 
-def narrow_hosts(hosts: Sequence[Member], requests_per_s: float) -> Sequence[Member]:
+def select_strongest_hosts(hosts: Sequence[Member], requests_per_s: float) -> Sequence[Member]:
     """Give the strongest hosts, as many as bear the requests of a failure domain with ease.
 
     Each host that sends to an endpoint knows of the others' requests a little late. The fewer send
@@ -94,9 +94,13 @@
     third of the streams on a calm day had a pause over 600 ms at engines that read a quarter of the
     time. Callers choose among the named at random, so the weakest of them sets the bound.
     """
-    ranked = sorted(hosts, key=rank_by_strength)
-    counts = range(min(LEAST_NAMED, len(ranked)), len(ranked) + 1)
-    bears = [(count * ranked[count - 1].capacity * BUSY_PART, count) for count in counts if count]
+    ranked = sorted(hosts, key=rank_by_capacity)
+    counts = range(min(MIN_NAMED_HOSTS, len(ranked)), len(ranked) + 1)
+    bears = [
+        (count * ranked[count - 1].capacity * TARGET_UTILIZATION, count)
+        for count in counts
+        if count
+    ]
     enough = next((count for borne, count in bears if borne >= requests_per_s), None)
     if enough is None:
         enough = max(bears, default=(0.0, 0))[1]
--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -13,7 +13,7 @@
 from cloverway.core.decay import DecayingSum
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.fetch import SOUND_FAILURES
-from cloverway.core.members import rank_for
+from cloverway.core.members import rank_host
 from cloverway.core.prediction import DEFAULT_GAP_S, STALL_PART, Candidate, Wanted
 
 SEEN_HALF_S = 6.0
@@ -80,7 +80,7 @@
         sound = [e.entry.id for e in endpoints if e.load.failures(now) <= SOUND_FAILURES]
         if len(sound) < 2:
             return frozenset()
-        sound.sort(key=lambda name: rank_for(self._service, name))
+        sound.sort(key=lambda name: rank_host(self._service, name))
         share = self._large.get(now) / max(self._read.get(now), 1e-9)
         count = min(len(sound) - 1, max(1, round(len(sound) * share)))
         return frozenset(sound[:count])
--- a/cloverway/core/limits.py
+++ b/cloverway/core/limits.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cloverway.core.members import rank_for
+from cloverway.core.members import rank_host
 from cloverway.core.pacing import SETTLED_S
 
-LEAST_PER_S = 0.2
+MIN_REQUESTS_PER_S = 0.2
 """Requests a second that an endpoint gets, however little it takes: one in five seconds shows
 whether it still says so."""
-LEAST_HOLDERS = 4
-HOLDERS_PER_REQUEST = 0.5
+MIN_SENDERS = 4
+SENDERS_PER_RPS = 0.5
 """Hosts that may send, and how many more for each request a second of the limit. Each of them may
 send one request at a time that no other host knows of, so that many may come at once."""
 BURST_S = 0.25
@@ -20,7 +20,7 @@
 what isn't sent is lost to all."""
 
 
-class Share(NamedTuple):
+class LimitShare(NamedTuple):
     """The part of a limit that one host may use."""
 
     per_s: float
@@ -30,7 +30,7 @@
 
 def compute_share(
     limit_per_s: float, endpoint: str, host: str, hosts: Iterable[str], *, age_s: float
-) -> Share | None:
+) -> LimitShare | None:
     """Give this host's share of an endpoint's limit; None where it has none.
 
     `hosts` are the others that may send there. All get equal parts, whatever they need, so that the
@@ -40,36 +40,36 @@
     """
     if age_s < SETTLED_S:
         return None
-    limit_per_s = max(limit_per_s, LEAST_PER_S)
-    holders = LEAST_HOLDERS + int(HOLDERS_PER_REQUEST * limit_per_s)
-    ranked = sorted({host, *hosts}, key=lambda name: rank_for(endpoint, name))
-    if ranked.index(host) >= holders:
+    limit_per_s = max(limit_per_s, MIN_REQUESTS_PER_S)
+    senders = MIN_SENDERS + int(SENDERS_PER_RPS * limit_per_s)
+    ranked = sorted({host, *hosts}, key=lambda name: rank_host(endpoint, name))
+    if ranked.index(host) >= senders:
         return None
-    per_s = limit_per_s / min(holders, len(ranked))
-    return Share(per_s, 1 + BURST_S * per_s)
+    per_s = limit_per_s / min(senders, len(ranked))
+    return LimitShare(per_s, 1 + BURST_S * per_s)
 
 
-class Allowance:
+class TokenBucket:
     """The requests of its share that a host has not used yet, as a token bucket.
 
     It begins empty: an endpoint names a limit when it has too much already.
     """
 
     def __init__(self, now: float) -> None:
-        self._left = 0.0
-        self._at = now
+        self._tokens = 0.0
+        self._updated_at = now
 
-    def estimate_wait(self, share: Share, now: float) -> float:
+    def estimate_wait(self, share: LimitShare, now: float) -> float:
         """Give the seconds until a request may be sent; 0 where one may be sent now."""
-        self._fill(share, now)
-        return max(0.0, (1 - self._left) / share.per_s)
+        self._refill(share, now)
+        return max(0.0, (1 - self._tokens) / share.per_s)
 
-    def take(self, share: Share, now: float) -> None:
+    def take(self, share: LimitShare, now: float) -> None:
         """Count a request that is sent."""
-        self._fill(share, now)
-        self._left -= 1
+        self._refill(share, now)
+        self._tokens -= 1
 
-    def _fill(self, share: Share, now: float) -> None:
-        gained = (now - self._at) * share.per_s
-        self._left = min(share.burst, self._left + gained)
-        self._at = now
+    def _refill(self, share: LimitShare, now: float) -> None:
+        gained = (now - self._updated_at) * share.per_s
+        self._tokens = min(share.burst, self._tokens + gained)
+        self._updated_at = now
--- a/cloverway/core/pacing.py
+++ b/cloverway/core/pacing.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cloverway.core.members import rank_for
+from cloverway.core.members import rank_host
 
 WINDOW_S = 1.1
 """The second in which sends are counted, and a tenth more: sends spaced by just a second may
@@ -44,7 +44,7 @@
     if age_s < SETTLED_S:
         return None
     bound = int(cold_per_s * terms.overshoot + terms.slack)
-    rank = sorted({host, *hosts}, key=lambda name: rank_for(endpoint, name))
+    rank = sorted({host, *hosts}, key=lambda name: rank_host(endpoint, name))
     if rank.index(host) >= bound:
         return None
     return WINDOW_S / max(1, bound // len(rank))
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -11,7 +11,7 @@
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.fetch import Source, count_fetched, estimate_fetch
 from cloverway.core.load import DUTY, EngineState, Work
-from cloverway.core.members import Offer
+from cloverway.core.members import AdvertisedCapacity
 from cloverway.core.pace import START_S_PER_TOKEN
 from cloverway.core.pauses import STRAINED_S
 
@@ -254,7 +254,7 @@
     return EngineState(load.backlog(now) * read_s, read_s, load.estimate_token_s(now), running)
 
 
-def predict_region(wanted: Wanted, offer: Offer, far: Far, now: float) -> RegionOffer:
+def predict_region(wanted: Wanted, offer: AdvertisedCapacity, far: Far, now: float) -> RegionOffer:
     """Predict how a request would fare in another region, by what that region offers."""
     call = wanted.call
     wait_s = offer.wait_s + far.trip_s
--- a/cloverway/core/statements.py
+++ b/cloverway/core/statements.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MOST_LIVES = 4_096
+MAX_INCARNATIONS = 4_096
 """Lives of endpoints of which statements are remembered."""
 
 
@@ -31,7 +31,7 @@
         return last._replace(leaving=self.leaving or other.leaving)
 
 
-NOTHING = Statement()
+NO_STATEMENT = Statement()
 """What is known of an endpoint that said nothing of itself."""
 
 
@@ -47,32 +47,32 @@
     """The statements of all endpoints that this host knows."""
 
     def __init__(self) -> None:
-        self._by_life: OrderedDict[str, Statement] = OrderedDict()
+        self._by_incarnation: OrderedDict[str, Statement] = OrderedDict()
 
-    def get(self, life: str) -> Statement:
+    def get(self, incarnation: str) -> Statement:
         """Give what a life of an endpoint has said."""
-        return self._by_life.get(life, NOTHING)
+        return self._by_incarnation.get(incarnation, NO_STATEMENT)
 
-    def note(self, life: str, statement: Statement) -> tuple[News, ...]:
+    def note(self, incarnation: str, statement: Statement) -> tuple[News, ...]:
         """Take over what a life of an endpoint has said; give what is new of that."""
-        known = self._by_life.get(life)
+        known = self._by_incarnation.get(incarnation)
         if known is None:
             # Most answers say nothing, of endpoints that never did: nothing is kept of them.
             if statement.limit_per_s is None and not statement.leaving:
                 return ()
-            known = NOTHING
+            known = NO_STATEMENT
         joined = known.join(statement)
-        self._by_life[life] = joined
-        self._by_life.move_to_end(life)
-        if len(self._by_life) > MOST_LIVES:
-            self._by_life.popitem(last=False)
+        self._by_incarnation[incarnation] = joined
+        self._by_incarnation.move_to_end(incarnation)
+        if len(self._by_incarnation) > MAX_INCARNATIONS:
+            self._by_incarnation.popitem(last=False)
         return tuple(_list_news(known, joined))
 
     def list_since(self, since: float) -> list[tuple[str, Statement]]:
         """List what holds, and the limits that ended after some time, by life."""
         return [
-            (life, statement)
-            for life, statement in self._by_life.items()
+            (incarnation, statement)
+            for incarnation, statement in self._by_incarnation.items()
             if statement.limit_per_s is not None or statement.leaving or statement.limit_at >= since
         ]
 
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -13,13 +13,13 @@
 from cloverway.core.prediction import Candidate
 from cloverway.core.quarantine import Level
 
-APART_S = 1.0
+SUSPECT_PENALTY_S = 1.0
 """Time that an endpoint counts more at which another suspect runs: longer than most waits, so that
 suspects meet only where there are more of them than endpoints."""
-COMPANY_S = 0.03
+EXPOSURE_PENALTY_S = 0.03
 """Time that each request counts which runs at an endpoint that a suspect is sent to: it is lost
 with the endpoint."""
-AVOID_S = 0.3
+SUSPECT_AVOIDANCE_S = 0.3
 """Time that an endpoint counts more for other requests while a suspect runs there."""
 
 
@@ -27,7 +27,7 @@
     """A request that is suspected, and runs at an endpoint."""
 
     digest: int
-    life: str
+    incarnation: str
     level: Level
     until: float
     """When it has ended at the latest."""
@@ -52,7 +52,7 @@
         return [run for runs in self._by_host.values() for run in runs if run.until > now]
 
 
-def keep_apart(
+def isolate_suspects(
     digest: int, level: Level, candidates: Sequence[Candidate], runs: Sequence[SuspectRun]
 ) -> Sequence[Candidate]:
     """Weigh the endpoints that may run a request by the suspects that run there.
@@ -66,19 +66,19 @@
         return []
     levels: dict[str, Level] = {}
     for run in runs:
-        levels[run.life] = max(run.level, levels.get(run.life, Level.NONE))
+        levels[run.incarnation] = max(run.level, levels.get(run.incarnation, Level.NONE))
     weighed = (
-        _weigh(level, candidate, levels.get(candidate.endpoint.entry.life, Level.NONE))
+        _add_penalty(level, candidate, levels.get(candidate.endpoint.entry.incarnation, Level.NONE))
         for candidate in candidates
     )
     return [candidate for candidate in weighed if candidate is not None]
 
 
-def _weigh(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
+def _add_penalty(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
     """Add what it costs that suspects meet at an endpoint; None where they must not."""
     if level is Level.NONE:
-        return candidate.add_cost(AVOID_S * (there is not Level.NONE))
+        return candidate.add_cost(SUSPECT_AVOIDANCE_S * (there is not Level.NONE))
     if Level.ALONE in (level, there) and there is not Level.NONE:
         return None
-    apart_s = APART_S * (there is not Level.NONE)
-    return candidate.add_cost(apart_s + COMPANY_S * candidate.running)
+    penalty_s = SUSPECT_PENALTY_S * (there is not Level.NONE)
+    return candidate.add_cost(penalty_s + EXPOSURE_PENALTY_S * candidate.running)
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Iterable
 
-from cloverway.core.quarantine import Crash, CrashNews, Hold, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Block, Crash, CrashUpdate, Quarantine, QuarantineTerms
 from cloverway.dispatch.tickets import Ticket
 from cloverway.errors import Kind
 from cloverway.membership.view import EndpointState, View
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, terms: QuarantineTerms) -> None:
-        self._quarantine = Quarantine(terms, unsure_ends=0)
+        self._quarantine = Quarantine(terms, ambiguous_crashes=0)
         self._lock = threading.Lock()
         self._is_fresh = False
 
@@ -39,13 +39,13 @@
         hold = self.find_hold(request.compute_digest(), now)
         if hold is None:
             return None
-        why = f"{hold.ends} endpoints ended while they ran it"
-        return Refused(Kind.QUARANTINED, why, hold.left_s)
+        why = f"{hold.crashes} endpoints ended while they ran it"
+        return Refused(Kind.QUARANTINED, why, hold.remaining_s)
 
-    def find_hold(self, digest: int, now: float) -> Hold | None:
+    def find_hold(self, digest: int, now: float) -> Block | None:
         """Tell why a request must not be sent now, or None when it may."""
         with self._lock:
-            return self._quarantine.get_hold(digest, now)
+            return self._quarantine.get_block(digest, now)
 
     def note(self, ended: Ticket, outcome: Outcome, view: View, now: float) -> None:
         """Learn from the end of an attempt at an endpoint of this failure domain."""
@@ -82,7 +82,7 @@
             if self._quarantine.note_served(digest, now):
                 self._is_fresh = True
 
-    def hear(self, news: CrashNews, now: float) -> None:
+    def hear(self, news: CrashUpdate, now: float) -> None:
         """Take over what another host tells. It goes on with the next heartbeats."""
         with self._lock:
             for digest in news.served:
@@ -96,7 +96,7 @@
             is_fresh, self._is_fresh = self._is_fresh, False
         return is_fresh
 
-    def list_news(self, now: float, full: bool = False) -> CrashNews:
+    def list_news(self, now: float, full: bool = False) -> CrashUpdate:
         """List what was learnt lately, for other hosts; in full with what requests are held for.
 
         An end for which nothing is refused, and who was served, is told only while it is news. Told
@@ -104,8 +104,8 @@
         request that turns deadly later from being found out.
         """
         with self._lock:
-            recent = self._quarantine.list_news(now - RETOLD_S, MOST_TOLD)
-            held = self._quarantine.list_held(now, MOST_TOLD) if full else ()
+            recent = self._quarantine.list_updates(now - RETOLD_S, MOST_TOLD)
+            held = self._quarantine.list_blocked_crashes(now, MOST_TOLD) if full else ()
         return recent._replace(crashes=recent.crashes + held)
 
     def _tell(self, fresh: Iterable[Crash | None], is_heard: bool, now: float) -> None:
@@ -113,15 +113,19 @@
         for crash in filter(None, fresh):
             log.info(
                 "an endpoint has ended",
-                extra={"life": crash.life, "requests": len(crash.digests), "heard": is_heard},
+                extra={
+                    "life": crash.incarnation,
+                    "requests": len(crash.digests),
+                    "heard": is_heard,
+                },
             )
             for digest in crash.digests:
                 hold = self.find_hold(digest, now)
                 if hold is not None:
                     shown = {
                         "request_digest": f"{digest:016x}",
-                        "life": crash.life,
-                        "ends": hold.ends,
-                        "hold_s": round(hold.left_s, 1),
+                        "life": crash.incarnation,
+                        "ends": hold.crashes,
+                        "hold_s": round(hold.remaining_s, 1),
                     }
                     log.warning("a request is refused from now on", extra=shown)
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -13,7 +13,7 @@
 from cloverway.config.configuration import READERS, choose_readers
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
-from cloverway.core.quarantine import Crash, CrashNews
+from cloverway.core.quarantine import Crash, CrashUpdate
 from cloverway.dispatch.ends import Ends
 from cloverway.membership.cutting import BLANK, halve
 from cloverway.membership.heartbeats import (
@@ -345,7 +345,7 @@
     def _list_ends(self, turn: int, now: float) -> Heartbeat:
         """Give a message with the endpoints that ended lately; by turns with more of them."""
         news = self.ends.list_news(now, full=turn % FULL_EVERY == 0)
-        rows = tuple(EndRow(end.life, end.digests, now - end.at) for end in news.crashes)
+        rows = tuple(EndRow(end.incarnation, end.digests, now - end.at) for end in news.crashes)
         return BLANK._replace(ends=rows, served=news.served)
 
     def _summarise(self, now: float) -> DomainSummary:
@@ -390,7 +390,7 @@
             yield from self._address_parts(name, half, tag)
 
 
-def _read_ends(beat: Heartbeat, at: float) -> CrashNews:
+def _read_ends(beat: Heartbeat, at: float) -> CrashUpdate:
     """Give what a heartbeat that was sent at or after `at` tells of ends."""
     crashes = (Crash(row.life, row.digests, at - row.age_s) for row in beat.ends)
-    return CrashNews(tuple(crashes), beat.served)
+    return CrashUpdate(tuple(crashes), beat.served)
--- a/cloverway/platform/entries.py
+++ b/cloverway/platform/entries.py
@@ -85,8 +85,8 @@
             slots=self.slots,
             draining=self.state == "draining",
             cold_s=self.cold_ms / 1000,
-            leaves_s=self.leaves_ms / 1000 if self.leaves_ms is not None else None,
-            born_ms=self.born_ms,
+            removal_in_s=self.leaves_ms / 1000 if self.leaves_ms is not None else None,
+            started_ms=self.born_ms,
         )
 
 
@@ -130,7 +130,7 @@
             attempts=self.attempts,
             priority=self.priority,
             resumable=self.resumable,
-            homes=frozenset(self.homes or ()),
+            home_regions=frozenset(self.homes or ()),
         )
 
     def _list_services(self) -> tuple[WeightedService, ...]:
@@ -155,7 +155,7 @@
             kv_tokens=self.kv_tokens,
             token_bytes=int(self.token_bytes or 0),
             link_mbps=self.link_mbps or 0.0,
-            event_tokens=self.event_tokens or 0,
+            tokens_per_event=self.event_tokens or 0,
         )
 
 
@@ -171,7 +171,7 @@
             name=self.name,
             max_connections=self.max_connections or 100,
             cold_s=self.cold_s or 0.0,
-            cold_per_s=self.cold_per_s or 0.0,
+            cold_requests_per_s=self.cold_per_s or 0.0,
             engine=self.engine.make_shape() if self.engine is not None else None,
         )
 
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -8,7 +8,7 @@
 from cloverway.core.budget import RetryBudget
 from cloverway.core.deployment import Configuration
 from cloverway.core.endpoints import Directory
-from cloverway.core.failures import UsualFailures
+from cloverway.core.failures import FailureBaseline
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
@@ -50,7 +50,7 @@
         self.dialect = dialect
         self.figures = figures
         self.pool = Pool(figures.note_connect)
-        self.usual_failures = UsualFailures()
+        self.failure_baseline = FailureBaseline()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
         self.crashes = CrashExchange(own_name, self.quarantine, figures)
--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -10,7 +10,7 @@
 from cloverway.core.deployment import Snapshot
 from cloverway.core.documents import DocumentTable
 from cloverway.core.endpoints import Change, Directory
-from cloverway.core.members import Members, rank_for
+from cloverway.core.members import Members, rank_host
 from cloverway.errors import PlatformError
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.ports import Dialect, HistoryGoneError, Store
@@ -132,7 +132,7 @@
             and not peer.member.leaving
             and self._members.is_alive(peer, now)
         ]
-        ranked = sorted([own.name, *names], key=lambda name: rank_for(own.domain, name))
+        ranked = sorted([own.name, *names], key=lambda name: rank_host(own.domain, name))
         return own.name in ranked[:READERS]
 
     async def _read(self, whole: bool) -> bool:
@@ -161,7 +161,7 @@
         return is_reader or age_s > FOLLOW_S
 
     def _choose_pace(self) -> float:
-        share = self._reads_per_s * READS_PART / self._members.count_fleet()
+        share = self._reads_per_s * READS_PART / self._members.count_hosts()
         return max(PACE_S, 1 / share)
 
     def _note_lost(self, error: PlatformError) -> None:
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -42,8 +42,8 @@
     def note(self, peer: Peer, now: float) -> None:
         """Compare with what another host has just said that it knows."""
         table = self._catalogue.table
-        if table.follow(peer.revision, peer.digest):
-            read_at = now - peer.read_age_s - TRIP_S
+        if table.adopt_revision(peer.revision, peer.digest):
+            read_at = now - peer.store_read_age_s - TRIP_S
             self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         elif self._is_news(peer) and peer.member.domain == self._members.own.domain:
             self._news.set()
@@ -77,7 +77,7 @@
             peer
             for peer in self._members.peers.values()
             if self._is_news(peer)
-            and now >= peer.failed_until
+            and now >= peer.backoff_until
             and self._members.is_alive(peer, now)
         ]
         own = self._members.own
@@ -100,10 +100,10 @@
                 snapshot = await self._fetch(peer, None)
                 self._apply(snapshot)
         except (ConnectError, AnswerError, PeerError) as error:
-            peer.failed_until = read_clock() + FETCH_S
+            peer.backoff_until = read_clock() + FETCH_S
             tell("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
-        read_at = asked_at - peer.read_age_s - TRIP_S
+        read_at = asked_at - peer.store_read_age_s - TRIP_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         tell(
             "documents_fetched",
@@ -118,7 +118,12 @@
         target = SNAPSHOT_PATH if after is None else f"{SNAPSHOT_PATH}?after={after}"
         request = h11.Request(method="GET", target=target, headers=[(b"Host", b"peer")])
         head, body = await fetch(
-            self._pool, peer.member.inner, request, b"", timeout_s=FETCH_S, limit=FETCH_LIMIT
+            self._pool,
+            peer.member.forwarding_address,
+            request,
+            b"",
+            timeout_s=FETCH_S,
+            limit=FETCH_LIMIT,
         )
         if head.status != 200:
             raise AnswerError(f"status {head.status}")
@@ -142,9 +147,11 @@
     if parts.path != SNAPSHOT_PATH:
         return None
     after = parse_qs(parts.query).get("after", [""])[0]
-    snapshot = table.export(int(after) if after.isdigit() else -1)
+    snapshot = table.export_since(int(after) if after.isdigit() else -1)
     documents = tuple(
         StoredDocument(item.key, item.revision, item.value or b"", item.value is None)
         for item in snapshot.documents
     )
-    return CODEC.encode(StoredSnapshot(snapshot.revision, documents, snapshot.whole, table.digest))
+    return CODEC.encode(
+        StoredSnapshot(snapshot.revision, documents, snapshot.complete, table.digest)
+    )
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -16,7 +16,7 @@
 from cloverway.addresses import split_address
 from cloverway.core.deployment import CallerLimits
 from cloverway.core.endpoints import Change, Directory
-from cloverway.core.entry import choose_for_caller, choose_ttl
+from cloverway.core.entry import choose_hosts_for_caller, choose_lookup_ttl
 from cloverway.core.members import Member, Members
 from cloverway.errors import ConfigurationError, Kind, RequestError
 from cloverway.serving.clock import count_to_tick, read_clock, wait_for_tick
@@ -113,7 +113,7 @@
         """
         listen = self.settings.listen
         await self.gossip.start(listen.control, early.control)
-        await self.inner.start(self.members.own.inner)
+        await self.inner.start(self.members.own.forwarding_address)
         await self.readiness.start(listen.readiness)
         await self.lookup.start(listen.lookup)
         await self.callers.start(listen.callers, early.callers)
@@ -204,13 +204,15 @@
             await exchange.answer(404, [], b"")
             return
         age_s = read_clock() - self.started_at
-        ttl_s = choose_ttl(self.settings.lookup_ttl_s, age_s if self._has_seeds() else math.inf)
+        ttl_s = choose_lookup_ttl(
+            self.settings.lookup_ttl_s, age_s if self._has_seeds() else math.inf
+        )
         if ttl_s is None:
             tell("lookup_refused", domain=lookup.domain, age_s=round(age_s, 3))
             await exchange.answer(503, [], b"")
             return
-        homes = self.directory.routes.count_homes(lookup.host)
-        addresses = choose_for_caller(
+        homes = self.directory.routes.count_home_regions(lookup.host)
+        addresses = choose_hosts_for_caller(
             self.members, lookup.domain, lookup.region, homes, read_clock()
         )
         tell(
@@ -236,7 +238,7 @@
         if exchange.target != METRICS_PATH:
             await exchange.answer(404, [], b"")
             return
-        held = self.context.quarantine.count_held(read_clock())
+        held = self.context.quarantine.count_blocked(read_clock())
         limited = self.directory.count_limited()
         figures = self.figures.render(self.writer.dropped, held, limited)
         await exchange.answer(200, [TEXT], figures)
@@ -275,8 +277,8 @@
         incarnation=incarnation,
         domain=settings.domain,
         region=settings.region,
-        callers=settings.listen.callers,
-        inner=inner,
+        caller_address=settings.listen.callers,
+        forwarding_address=inner,
         capacity=settings.machine.estimate_capacity(),
     )
 
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from cloverway.core.quarantine import Crash, CrashNews, Quarantine
+from cloverway.core.quarantine import Crash, CrashUpdate, Quarantine
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.news import TELL_AFTER_S, FreshNews
 from cloverway.serving.hosts.peerwire import CODEC, CrashReport, EndpointCrash
@@ -65,7 +65,7 @@
         fresh = [news for crash in heard if (news := self._quarantine.note_crash(crash))]
         for crash in fresh:
             requests = len(crash.digests)
-            tell("end_heard", life=crash.life, requests=requests, peer=report.host)
+            tell("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
             self._tell_held(crash, now)
         if is_far:
             self._passed.extend(fresh)
@@ -73,39 +73,39 @@
 
     def take_fresh(self, now: float) -> FreshNews:
         """Give what wasn't told yet."""
-        own = CrashNews(tuple(map(_join, self._own.values())), tuple(self._served))
-        passed = CrashNews(tuple(self._passed), ())
+        own = CrashUpdate(tuple(map(_join, self._own.values())), tuple(self._served))
+        passed = CrashUpdate(tuple(self._passed), ())
         self._own, self._served, self._passed = defaultdict(list), [], []
         for crash in own.crashes:
-            tell("endpoint_ended", life=crash.life, requests=len(crash.digests))
+            tell("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
         messages = self._encode(own, now)
         return FreshNews([*messages, *self._encode(passed, now)], messages)
 
     def list_standing(self, now: float) -> list[bytes]:
         """Give messages of the ends of the last seconds."""
-        return self._encode(self._quarantine.list_news(now - RETOLD_S, MOST_TOLD), now)
+        return self._encode(self._quarantine.list_updates(now - RETOLD_S, MOST_TOLD), now)
 
     def list_for_newcomer(self, now: float) -> list[bytes]:
         """Give messages of the ends of the last minute, and of what is refused for older ones."""
-        recent = self._quarantine.list_news(now - WELCOMED_S, MOST_WELCOME)
-        held = self._quarantine.list_held(now, MOST_WELCOME)
+        recent = self._quarantine.list_updates(now - WELCOMED_S, MOST_WELCOME)
+        held = self._quarantine.list_blocked_crashes(now, MOST_WELCOME)
         return self._encode(recent._replace(crashes=recent.crashes + held), now)
 
-    def _encode(self, news: CrashNews, now: float) -> list[bytes]:
+    def _encode(self, news: CrashUpdate, now: float) -> list[bytes]:
         return [_encode(self._own_name, part, now) for part in _split(news)]
 
     def _tell_held(self, crash: Crash, now: float) -> None:
         """Log the requests that are refused from now on."""
         for digest in crash.digests:
-            hold = self._quarantine.get_hold(digest, now)
+            hold = self._quarantine.get_block(digest, now)
             if hold is not None:
                 self._figures.note_event("request_held")
                 tell(
                     "request_held",
                     request_digest=f"{digest:016x}",
-                    ends=hold.ends,
-                    hold_s=round(hold.left_s, 1),
-                    life=crash.life,
+                    ends=hold.crashes,
+                    hold_s=round(hold.remaining_s, 1),
+                    life=crash.incarnation,
                 )
 
 
@@ -115,10 +115,10 @@
     return crashes[-1]._replace(digests=digests)
 
 
-def _split(news: CrashNews) -> Iterator[CrashNews]:
+def _split(news: CrashUpdate) -> Iterator[CrashUpdate]:
     """Split news into parts that fit into one datagram each."""
     for first in range(0, len(news.served), MOST_TOLD):
-        yield CrashNews((), news.served[first : first + MOST_TOLD])
+        yield CrashUpdate((), news.served[first : first + MOST_TOLD])
     part: list[Crash] = []
     room = MOST_TOLD
     for crash in news.crashes:
@@ -126,17 +126,19 @@
             piece = crash._replace(digests=crash.digests[first : first + MOST_TOLD])
             size = len(piece.digests) + LIFE_SIZE
             if part and size > room:
-                yield CrashNews(tuple(part), ())
+                yield CrashUpdate(tuple(part), ())
                 part, room = [], MOST_TOLD
             part.append(piece)
             room -= size
     if part:
-        yield CrashNews(tuple(part), ())
+        yield CrashUpdate(tuple(part), ())
 
 
-def _encode(host: str, news: CrashNews, now: float) -> bytes:
+def _encode(host: str, news: CrashUpdate, now: float) -> bytes:
     crashes = tuple(
-        EndpointCrash(crash.life, crash.digests, min(MOST_AGE_MS, int((now - crash.at) * 1000)))
+        EndpointCrash(
+            crash.incarnation, crash.digests, min(MOST_AGE_MS, int((now - crash.at) * 1000))
+        )
         for crash in news.crashes
     )
     return CODEC.encode(CrashReport(host, crashes, news.served))
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -11,7 +11,7 @@
 
 from cloverway.addresses import format_address, split_address
 from cloverway.core.endpoints import Directory
-from cloverway.core.members import ACTIVE_RATE, Member, Members, Peer
+from cloverway.core.members import ACTIVE_REQUESTS_PER_S, Member, Members, Peer
 from cloverway.errors import PeerError
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.documents.catalogue import Catalogue
@@ -302,7 +302,7 @@
             int(age_ms),
             others,
             offers,
-            int(self.members.get_own_rate(now) * 1000),
+            int(self.members.get_own_request_rate(now) * 1000),
             self.catalogue.table.digest,
             len(self.members.peers),
         )
@@ -320,7 +320,7 @@
             for peer in self.members.list_alive(now)
             if near is None or self._is_near(peer.member) == near
         ]
-        count = min(OTHERS, self.members.count_fleet() // HOSTS_PER_OTHER)
+        count = min(OTHERS, self.members.count_hosts() // HOSTS_PER_OTHER)
         chosen = random.sample(alive, min(count, len(alive)))
         return tuple(_describe_peer(peer, now) for peer in chosen)
 
@@ -331,8 +331,8 @@
         for other in heartbeat.others:
             self._hear_of(other, now)
         known = self.members.peers.get(state.name)
-        was_heard = known is not None and known.direct_at > float("-inf")
-        peer = self.members.hear(_read_member(state), 0.0, True, now)
+        was_heard = known is not None and known.heard_directly_at > float("-inf")
+        peer = self.members.apply_state(_read_member(state), 0.0, True, now)
         if peer is None:
             return
         if peer is not known or not was_heard:
@@ -343,16 +343,16 @@
             log.warning(
                 "a heartbeat came from elsewhere", extra={"from": address, "is": state.name}
             )
-        peer.version = heartbeat.version
+        peer.configuration_version = heartbeat.version
         peer.revision = heartbeat.revision
-        peer.read_age_s = heartbeat.read_age_ms / 1000
-        peer.rate = heartbeat.rate_mhz / 1000
-        peer.period_s = state.period_ms / 1000
+        peer.store_read_age_s = heartbeat.read_age_ms / 1000
+        peer.request_rate = heartbeat.rate_mhz / 1000
+        peer.heartbeat_period_s = state.period_ms / 1000
         peer.digest = heartbeat.digest
         self.sync.note(peer, now)
         if heartbeat.offers:
-            peer.offers_at = now
-            peer.offers = {offer.service_name: read_offer(offer) for offer in heartbeat.offers}
+            peer.advertised_at = now
+            peer.advertised = {offer.service_name: read_offer(offer) for offer in heartbeat.offers}
         self._note_introduced(peer, now)
 
     def _note_introduced(self, peer: Peer, now: float) -> None:
@@ -369,10 +369,10 @@
         known = self.members.peers.get(state.name)
         heard_at = known.heard_at if known is not None else float("-inf")
         age_s = state.age_ms / 1000
-        peer = self.members.hear(_read_member(state), age_s, False, now)
+        peer = self.members.apply_state(_read_member(state), age_s, False, now)
         if peer is not None and now - age_s > heard_at:
-            peer.rate = state.rate_mhz / 1000
-            peer.period_s = state.period_ms / 1000
+            peer.request_rate = state.rate_mhz / 1000
+            peer.heartbeat_period_s = state.period_ms / 1000
 
     def _note_alive(self, now: float) -> None:
         """Note which hosts came and went: those of the region, and those that serve elsewhere.
@@ -383,7 +383,7 @@
         alive = {
             peer.member.name
             for peer in self.members.list_alive(now)
-            if self._is_near(peer.member) or peer.rate >= ACTIVE_RATE
+            if self._is_near(peer.member) or peer.request_rate >= ACTIVE_REQUESTS_PER_S
         }
         for name in alive - self._alive:
             self.figures.note_event("host_heard")
@@ -396,8 +396,8 @@
 
 
 def _describe_peer(peer: Peer, now: float) -> HostState:
-    state = _describe(peer.member, now - peer.heard_at, peer.period_s)
-    return state._replace(rate_mhz=int(peer.rate * 1000))
+    state = _describe(peer.member, now - peer.heard_at, peer.heartbeat_period_s)
+    return state._replace(rate_mhz=int(peer.request_rate * 1000))
 
 
 def _describe(member: Member, age_s: float, period_s: float) -> HostState:
--- a/cloverway/serving/hosts/news.py
+++ b/cloverway/serving/hosts/news.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
-from cloverway.core.members import Members, rank_for
+from cloverway.core.members import Members, rank_host
 from cloverway.serving.clock import read_clock, wait_for_tick
 
 TELL_AFTER_S = 0.02
@@ -132,11 +132,11 @@
         own = self._members.own
         members = [other.member for other in self._members.list_alive(now)]
         regions = {own.region, *(member.region for member in members)}
-        telling = sorted(regions, key=lambda region: rank_for(name, region))[:WELCOME_REGIONS]
+        telling = sorted(regions, key=lambda region: rank_host(name, region))[:WELCOME_REGIONS]
         if own.region not in telling and not self._is_near(name):
             return False
         near = {member.name for member in members if member.region == own.region}
-        ranked = sorted({own.name, *near} - {name}, key=lambda host: rank_for(name, host))
+        ranked = sorted({own.name, *near} - {name}, key=lambda host: rank_host(name, host))
         return own.name in ranked[:WELCOMERS]
 
     def _is_near(self, name: str) -> bool:
--- a/cloverway/serving/hosts/offers.py
+++ b/cloverway/serving/hosts/offers.py
@@ -7,7 +7,7 @@
 from cloverway.core.choice import Room, offer_region
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import EngineState
-from cloverway.core.members import Offer
+from cloverway.core.members import AdvertisedCapacity
 from cloverway.serving.hosts.peerwire import RegionOffer
 
 MOST_FREE = 1000
@@ -45,11 +45,11 @@
     return tuple(offers)
 
 
-def read_offer(offer: RegionOffer) -> Offer:
+def read_offer(offer: RegionOffer) -> AdvertisedCapacity:
     """Decode what another region offers."""
     wait_s = offer.wait_ms / 1000
     engine = EngineState(wait_s, offer.read_ns / 1e9, offer.token_us / 1e6, offer.running)
-    return Offer(offer.service_name, wait_s, offer.free, offer.room, engine)
+    return AdvertisedCapacity(offer.service_name, wait_s, offer.free, offer.room, engine)
 
 
 def _encode_room(service: str, room: Room) -> RegionOffer:
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -6,7 +6,7 @@
 
 from cloverway.core.prediction import Candidate, Wanted
 from cloverway.core.quarantine import Level, Quarantine
-from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
+from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 from cloverway.serving.hosts.news import FreshNews
 from cloverway.serving.hosts.peerwire import CODEC, SuspectReport, SuspectSend
 from cloverway.serving.telemetry import tell
@@ -36,7 +36,7 @@
     ) -> Sequence[Candidate]:
         """Weigh the endpoints that may run a request by the suspects that run there."""
         level = self._quarantine.get_level(wanted.digest, now)
-        return keep_apart(wanted.digest, level, candidates, self._runs.list_running(now))
+        return isolate_suspects(wanted.digest, level, candidates, self._runs.list_running(now))
 
     def begin(self, number: int, wanted: Wanted, life: str, until: float, now: float) -> None:
         """Note that a request is sent to an endpoint."""
@@ -50,8 +50,8 @@
             request_id=wanted.call.id,
             request_digest=f"{wanted.digest:016x}",
             to=life,
-            ends=self._quarantine.count_ends(wanted.digest),
-            beside=sum(run.life == life for run in self._runs.list_running(now)) - 1,
+            ends=self._quarantine.count_crashes(wanted.digest),
+            beside=sum(run.incarnation == life for run in self._runs.list_running(now)) - 1,
         )
 
     def end(self, number: int) -> None:
@@ -89,7 +89,7 @@
 
 def _make_send(run: SuspectRun, now: float) -> SuspectSend:
     left_ms = max(0, int((run.until - now) * 1000))
-    return SuspectSend(run.digest, run.life, int(run.level), left_ms)
+    return SuspectSend(run.digest, run.incarnation, int(run.level), left_ms)
 
 
 def _read_run(send: SuspectSend, now: float) -> SuspectRun:
--- a/cloverway/serving/hosts/uses.py
+++ b/cloverway/serving/hosts/uses.py
@@ -63,7 +63,7 @@
             return
         for use in message.uses:
             endpoint = self._directory.endpoints.get(use.endpoint)
-            if endpoint is not None and (endpoint.entry.born_ms or 0) == use.born_ms:
+            if endpoint is not None and (endpoint.entry.started_ms or 0) == use.born_ms:
                 # What was sent to another life of it is neither at work nor in memory there.
                 parts = [PromptPart(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
                 load = SiblingLoad(use.running, use.unread, use.held, now)
@@ -102,5 +102,5 @@
         tuple(part.id for part in news.parts),
         tuple(part.tokens for part in news.parts),
         news.read,
-        endpoint.entry.born_ms or 0,
+        endpoint.entry.started_ms or 0,
     )
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -231,7 +231,7 @@
         if not outcome.blames_host:
             return
         if target.peer is not None:
-            target.peer.failed_until = now + PEER_FAILED_S
+            target.peer.backoff_until = now + PEER_FAILED_S
         self._blame_endpoint(target, now)
 
     def _blame_endpoint(self, target: Target, now: float) -> None:
@@ -244,12 +244,12 @@
             return
         load = target.candidate.endpoint.load
         now = read_clock()
-        usual = self.context.usual_failures
+        baseline = self.context.failure_baseline
         if failed:
-            load.note_failure(now, usual.weigh(self.route.name))
+            load.note_failure(now, baseline.weigh(self.route.name))
         else:
             load.note_success(now)
-        usual.note(self.route.name, failed)
+        baseline.note(self.route.name, failed)
 
     def _note_pauses(self, target: Target) -> None:
         objective_s = self.route.gap_objective_s
--- a/cloverway/serving/requests/lives.py
+++ b/cloverway/serving/requests/lives.py
@@ -58,8 +58,8 @@
 
     async def may_send(self, endpoint: Endpoint, digest: int) -> bool:
         """Tell whether an endpoint may be sent a request, as far as it hasn't ended under it."""
-        life = endpoint.entry.life
-        if endpoint.entry.born_ms is None or not self._quarantine.has_ended(digest, life):
+        life = endpoint.entry.incarnation
+        if endpoint.entry.started_ms is None or not self._quarantine.has_crashed(digest, life):
             return True
         asking = self._asking.get(life)
         if asking is None:
@@ -88,7 +88,7 @@
         self._figures.note_event(f"life_{standing.value}")
         tell(
             "life_asked",
-            life=endpoint.entry.life,
+            life=endpoint.entry.incarnation,
             standing=standing.value,
             born_ms=born_ms,
             why=why or None,
@@ -111,13 +111,13 @@
         if facts.elsewhere:
             endpoint.misdirected_at = now
             return Standing.GONE
-        if facts.born_ms is None or entry.born_ms is None:
+        if facts.born_ms is None or entry.started_ms is None:
             return Standing.UNKNOWN
-        if facts.born_ms > entry.born_ms:
+        if facts.born_ms > entry.started_ms:
             self.on_born(entry.id, facts.born_ms)
             return Standing.REBORN
-        if facts.born_ms < entry.born_ms:
+        if facts.born_ms < entry.started_ms:
             # An answer of the life before this one: it says nothing of whether this one is there.
             return Standing.UNKNOWN
-        self._quarantine.note_found(entry.life, now)
+        self._quarantine.note_confirmed_alive(entry.incarnation, now)
         return Standing.SAME
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -90,5 +90,5 @@
         return RequestError(Kind.NO_CAPACITY, why, ran=Ran.NO, retry_after=retry_s)
 
     def _may_send_again(self, now: float) -> bool:
-        hosts = self._context.members.count_fleet()
+        hosts = self._context.members.count_hosts()
         return self._context.get_budget(self._wanted.service.name).take(hosts, now)
--- a/cloverway/serving/requests/shares.py
+++ b/cloverway/serving/requests/shares.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.limits import Allowance, Share, compute_share
+from cloverway.core.limits import LimitShare, TokenBucket, compute_share
 from cloverway.core.members import Members
 
 HOSTS_FOR_S = 0.2
@@ -17,7 +17,7 @@
         self._members = members
         self._directory = directory
         self._started_at = started_at
-        self._allowances: dict[str, Allowance] = {}
+        self._allowances: dict[str, TokenBucket] = {}
         self._hosts: list[str] | None = None
         self._hosts_at = float("-inf")
 
@@ -27,7 +27,7 @@
         `waiting` requests wait here before it where it may get none now.
         """
         if not self._directory.is_limited(endpoint):
-            self._allowances.pop(endpoint.entry.life, None)
+            self._allowances.pop(endpoint.entry.incarnation, None)
             return 0.0
         share = self._get_share(endpoint, now)
         if share is None:
@@ -41,21 +41,21 @@
         if share is not None:
             self._get_allowance(endpoint, now).take(share, now)
 
-    def _get_allowance(self, endpoint: Endpoint, now: float) -> Allowance:
-        life = endpoint.entry.life
+    def _get_allowance(self, endpoint: Endpoint, now: float) -> TokenBucket:
+        life = endpoint.entry.incarnation
         allowance = self._allowances.get(life)
         if allowance is None:
-            allowance = self._allowances[life] = Allowance(now)
+            allowance = self._allowances[life] = TokenBucket(now)
         return allowance
 
-    def _get_share(self, endpoint: Endpoint, now: float) -> Share | None:
-        limit_per_s = self._directory.statements.get(endpoint.entry.life).limit_per_s
+    def _get_share(self, endpoint: Endpoint, now: float) -> LimitShare | None:
+        limit_per_s = self._directory.statements.get(endpoint.entry.incarnation).limit_per_s
         hosts = self._list_hosts(now)
         if limit_per_s is None or hosts is None:
             return None
         own = self._members.own.name
         age_s = now - self._started_at
-        return compute_share(limit_per_s, endpoint.entry.life, own, hosts, age_s=age_s)
+        return compute_share(limit_per_s, endpoint.entry.incarnation, own, hosts, age_s=age_s)
 
     def _list_hosts(self, now: float) -> list[str] | None:
         """List the other hosts of the region that send to endpoints; None where this one doesn't.
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -99,7 +99,7 @@
 
     def _make_gap(self, seconds: float, events: int) -> Gap:
         shape = self._wanted.service.engine
-        tokens = events * shape.event_tokens if shape is not None else 0
+        tokens = events * shape.tokens_per_event if shape is not None else 0
         return Gap(seconds, self._wanted.route.gap_objective_s or DEFAULT_GAP_S, tokens)
 
 
--- a/cloverway/serving/requests/suspicion.py
+++ b/cloverway/serving/requests/suspicion.py
@@ -31,10 +31,10 @@
 
         `ran` is what is known of its own runs.
         """
-        hold = self._context.quarantine.get_hold(self._digest, read_clock())
+        hold = self._context.quarantine.get_block(self._digest, read_clock())
         if hold is not None:
-            why = f"{hold.ends} endpoints ended while they ran it"
-            left_s = hold.left_s if ran is Ran.NO else None
+            why = f"{hold.crashes} endpoints ended while they ran it"
+            left_s = hold.remaining_s if ran is Ran.NO else None
             raise RequestError(Kind.QUARANTINED, why, ran=ran, retry_after=left_s)
 
     async def may_send(self, target: Target) -> bool:
@@ -69,7 +69,7 @@
         if target.candidate is not None:
             # Only the life that a connection was opened to answers on it. By its entry alone, one
             # that is back before its entry tells would take back the end that it came from.
-            life = target.candidate.endpoint.entry.life
+            life = target.candidate.endpoint.entry.incarnation
             opened_at = answered.sending.connection.opened_at
             self._context.quarantine.note_alive(life, opened_at, read_clock())
 
@@ -92,7 +92,7 @@
 
     def _note_end(self, target: Target, at: float) -> None:
         if target.candidate is not None:
-            life = target.candidate.endpoint.entry.life
+            life = target.candidate.endpoint.entry.incarnation
             self.ended.append(life)
             self._context.crashes.note_end(life, self._digest, at)
 
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -18,7 +18,7 @@
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.fetch import Source, find_source
 from cloverway.core.isolation import Isolation, keep_apart
-from cloverway.core.members import Members, Offer, Peer
+from cloverway.core.members import AdvertisedCapacity, Members, Peer
 from cloverway.core.pacing import compute_cold_spacing
 from cloverway.core.prediction import (
     Candidate,
@@ -146,8 +146,8 @@
         said knowing of that line.
         """
         for peer in self._members.peers.values():
-            if peer.member.region == region and peer.offers_at <= sent_at:
-                peer.offers.pop(service, None)
+            if peer.member.region == region and peer.advertised_at <= sent_at:
+                peer.advertised.pop(service, None)
 
     def explain(self, wanted: Wanted, now: float) -> str:
         """Say why a request has no place."""
@@ -173,7 +173,7 @@
     def list_candidates(self, wanted: Wanted, now: float) -> Sequence[Candidate]:
         """List the endpoints of this region that may run a request."""
         region = self._settings.region
-        if wanted.route.homes and region not in wanted.route.homes:
+        if wanted.route.home_regions and region not in wanted.route.home_regions:
             return []
         sender = Sender(
             self._settings.domain,
@@ -189,7 +189,7 @@
         predicted = (
             predict(wanted, endpoint, sender=sender, now=now, source=source)
             for endpoint in near
-            if not wanted.tried[endpoint.entry.life]
+            if not wanted.tried[endpoint.entry.incarnation]
             and self._may_load(endpoint, wanted.service, now)
         )
         wished = list(self._keep_wishes(predicted, wanted.service, now))
@@ -237,14 +237,21 @@
         self._change_free(member.region, service.name, -1)
         lent_by = service.name if service.engine is None else ""
         number = next(self._numbers)
-        return Target(member.inner, member.name, member.region, number, peer=peer, lent_by=lent_by)
+        return Target(
+            member.forwarding_address,
+            member.name,
+            member.region,
+            number,
+            peer=peer,
+            lent_by=lent_by,
+        )
 
     def _change_free(self, region: str, service: str, by: int) -> None:
         """Change the count of places that a region is taken to have."""
         for peer in self._members.peers.values():
-            offer = peer.offers.get(service)
+            offer = peer.advertised.get(service)
             if peer.member.region == region and offer is not None:
-                peer.offers[service] = offer._replace(free=offer.free + by)
+                peer.advertised[service] = offer._replace(free_slots=offer.free_slots + by)
 
     def _take_here(self, wanted: Wanted, here: Candidate, now: float) -> Target:
         endpoint = here.endpoint
@@ -259,15 +266,17 @@
         self._shares.take(endpoint, now)
         entry = endpoint.entry
         until = min(wanted.call.deadline, wanted.call.arrived_at + wanted.route.timeout_s)
-        self._suspects.begin(number, wanted, entry.life, until, now)
-        return Target(entry.address, entry.life, self._settings.region, number, candidate=here)
+        self._suspects.begin(number, wanted, entry.incarnation, until, now)
+        return Target(
+            entry.address, entry.incarnation, self._settings.region, number, candidate=here
+        )
 
     def _may_load(self, endpoint: Endpoint, service: Service, now: float) -> bool:
         """Tell whether an endpoint may get a request just now, as far as it is cold."""
-        if not endpoint.is_cold(now) or not service.cold_per_s:
+        if not endpoint.is_cold(now) or not service.cold_requests_per_s:
             return True
         spacing = compute_cold_spacing(
-            service.cold_per_s,
+            service.cold_requests_per_s,
             self._settings.cold,
             endpoint.entry.id,
             self._members.own.name,
@@ -281,13 +290,13 @@
         predicted = []
         work = estimate_far_work(wanted.call)
         for region, offer in self._find_latest_offers(wanted.service.name, now).items():
-            is_home = not wanted.route.homes or region in wanted.route.homes
-            has_room = offer.free > 0 and offer.room >= work.unread
+            is_home = not wanted.route.home_regions or region in wanted.route.home_regions
+            has_room = offer.free_slots > 0 and offer.max_prompt_tokens >= work.unread
             if is_home and has_room and wanted.tried[region] < FAR_TRIES:
                 predicted.append(predict_region(wanted, offer, Far(region, FAR_S), now))
         return predicted
 
-    def _find_latest_offers(self, service: str, now: float) -> dict[str, Offer]:
+    def _find_latest_offers(self, service: str, now: float) -> dict[str, AdvertisedCapacity]:
         """Find what each other region has offered last.
 
         Of offers by several hosts the best one would be the most wrong one.
@@ -295,18 +304,18 @@
         latest: dict[str, Peer] = {}
         for peer in self._members.list_alive(now):
             region = peer.member.region
-            usable = service in peer.offers and peer.member.ready and now >= peer.failed_until
+            usable = service in peer.advertised and peer.member.ready and now >= peer.backoff_until
             if region == self._settings.region or not usable:
                 continue
-            if region not in latest or peer.offers_at > latest[region].offers_at:
+            if region not in latest or peer.advertised_at > latest[region].advertised_at:
                 latest[region] = peer
         return {
-            region: update_offer(peer.offers[service], now - peer.offers_at)
+            region: update_offer(peer.advertised[service], now - peer.advertised_at)
             for region, peer in latest.items()
         }
 
     def _choose_peer(self, wanted: Wanted, region: str, now: float) -> Peer | None:
-        peers = self._members.list_for_passing(region, now)
+        peers = self._members.list_forwarding_targets(region, now)
         peers = [peer for peer in peers if not wanted.tried[peer.member.name]]
         return random.choice(peers) if peers else None
 
--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -29,7 +29,7 @@
     "fetch": (Switch("core.fetch", "LEAST_TOKENS", NEVER),),
     "home_bonus": (Switch("core.prediction", "HOME_BONUS", 0.0),),
     "blame": (Switch("core.prediction", "FAILURE_S", 0.0),),
-    "usual_failures": (Switch("core.failures", "BLAME_FACTOR", 0.0),),
+    "usual_failures": (Switch("core.failures", "BASELINE_FACTOR", 0.0),),
     "stalled": (Switch("core.prediction", "STALLED_S", 0.0),),
     "spread": (Switch("core.prediction", "SPREAD_S", 0.0),),
     "read_weight": (Switch("core.prediction", "READ_WEIGHT", 0.0),),
@@ -53,8 +53,8 @@
     "start_wait": (Switch("serving.context", "START_WAIT_S", 0.0),),
     "told_at_once": (Switch("serving.requests.targeting", "TOLD_TOKENS", NEVER),),
     "readers": (Switch("serving.documents.catalogue", "READERS", 10_000),),
-    "few_named": (Switch("core.entry", "BUSY_PART", 0.0),),
-    "settle": (Switch("core.entry", "SETTLE_S", 0.0),),
+    "few_named": (Switch("core.entry", "TARGET_UTILIZATION", 0.0),),
+    "settle": (Switch("core.entry", "MIN_LOOKUP_AGE_S", 0.0),),
     "retries": (Switch("core.budget", "USED_PART", 0.0),),
 }
 
--- a/cloverway/tests/test_core_blame.py
+++ b/cloverway/tests/test_core_blame.py
@@ -15,7 +15,7 @@
 
 from cloverway.core.prediction import Candidate
 from cloverway.core.quarantine import Crash, Level, Quarantine, QuarantineTerms
-from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
+from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 
 NEWS_S = 0.02
 ENDS_AFTER_S = 0.2
@@ -73,7 +73,7 @@
         self.send(self.draw.choice(self.hosts), digest, attempts=2, returns=returns)
 
     def send(self, host, digest, attempts, returns):
-        if host.quarantine.get_hold(digest, self.now) is not None:
+        if host.quarantine.get_block(digest, self.now) is not None:
             if digest not in self.deadly:
                 self.held.add(digest)
             self.come_back(digest, returns, refused=True)
@@ -95,7 +95,7 @@
     def choose(self, host, digest):
         candidates = [
             Candidate(
-                SimpleNamespace(entry=SimpleNamespace(life=life)),
+                SimpleNamespace(entry=SimpleNamespace(incarnation=life)),
                 *(0.0, 0.02 * len(running) + self.draw.uniform(0, 0.004), None, False),
                 running=len(running),
             )
@@ -104,9 +104,9 @@
         if self.apart:
             level = host.quarantine.get_level(digest, self.now)
             running = host.runs.list_running(self.now)
-            candidates = keep_apart(digest, level, candidates, running)
+            candidates = isolate_suspects(digest, level, candidates, running)
         best = min(candidates, key=lambda candidate: candidate.cost_s, default=None)
-        return best.endpoint.entry.life if best is not None else None
+        return best.endpoint.entry.incarnation if best is not None else None
 
     def tell_runs(self, host, number, digest, life):
         level = host.quarantine.get_level(digest, self.now)
@@ -228,7 +228,7 @@
     quarantine.note_crash(Crash("e1", (1, 2), 1.0))
     assert [quarantine.get_level(digest, 1.0) for digest in (1, 2)] == [Level.ALONE] * 2
     quarantine.note_crash(Crash("e2", (1, 3), 2.0))
-    assert quarantine.get_hold(1, 2.0) is not None
+    assert quarantine.get_block(1, 2.0) is not None
     assert [quarantine.get_level(digest, 2.0) for digest in (2, 3)] == [Level.NONE] * 2
 
 
@@ -237,10 +237,10 @@
     quarantine = Quarantine(TERMS)
     for number in range(3):
         quarantine.note_crash(Crash(f"e{number}", (1, 2), float(number)))
-    assert [quarantine.get_hold(digest, 3.0) for digest in (1, 2)] == [None, None]
+    assert [quarantine.get_block(digest, 3.0) for digest in (1, 2)] == [None, None]
     quarantine.note_crash(Crash("e3", (1,), 3.0))
-    assert quarantine.get_hold(1, 3.0) is not None
-    assert quarantine.get_hold(2, 3.0) is None
+    assert quarantine.get_block(1, 3.0) is not None
+    assert quarantine.get_block(2, 3.0) is None
     for number in range(5):
         quarantine.note_crash(Crash(f"e{number}", (8, 9), 10.0))
-    assert quarantine.get_hold(8, 11.0) is not None, "it ends engines, whoever else does"
+    assert quarantine.get_block(8, 11.0) is not None, "it ends engines, whoever else does"
--- a/cloverway/tests/test_core_documents.py
+++ b/cloverway/tests/test_core_documents.py
@@ -43,9 +43,9 @@
     reader = make_table(Document("servers/a", 5, make_entry()))
     follower = make_table(Document("servers/a", 4, make_entry()), revision=9)
     change(reader, 20, Document("servers/a", 20, make_entry(sequence=9)))
-    assert follower.follow(reader.revision, reader.digest)
+    assert follower.adopt_revision(reader.revision, reader.digest)
     assert follower.revision == 20
-    assert not follower.follow(19, reader.digest)
+    assert not follower.adopt_revision(19, reader.digest)
 
 
 def test_a_host_that_misses_a_change_does_not_take_it_for_known():
@@ -53,7 +53,7 @@
     reader = make_table(Document("servers/a", 5, make_entry()))
     follower = make_table(Document("servers/a", 5, make_entry()))
     change(reader, 12, Document("servers/a", 12, make_entry("draining")))
-    assert not follower.follow(reader.revision, reader.digest)
+    assert not follower.adopt_revision(reader.revision, reader.digest)
     assert follower.revision == 10
 
 
@@ -61,8 +61,8 @@
     reader = make_table(Document("servers/a", 5, make_entry()), Document("servers/b", 6, b"{}"))
     follower = make_table(Document("servers/a", 5, make_entry()), Document("servers/b", 6, b"{}"))
     change(reader, 12, Document("servers/a", 12, None))
-    told = reader.export(follower.revision)
-    assert not told.whole
+    told = reader.export_since(follower.revision)
+    assert not told.complete
     assert [item.key for item in told.documents] == ["servers/a"]
     follower.apply(told)
     assert follower.digest == reader.digest
@@ -70,17 +70,17 @@
 
 def test_who_is_far_behind_is_given_everything(monkeypatch):
     """A host that was frozen for long asks for changes, some of which nobody remembers."""
-    monkeypatch.setattr(documents_module, "MOST_REMOVED", 2)
+    monkeypatch.setattr(documents_module, "MAX_TOMBSTONES", 2)
     keys = [f"servers/{number}" for number in range(6)]
     reader = make_table(*(Document(key, 5, make_entry()) for key in keys))
     behind = make_table(*(Document(key, 5, make_entry()) for key in keys))
     for number, key in enumerate(keys[:4]):
         change(reader, 20 + number, Document(key, 20 + number, None))
-    told = reader.export(behind.revision)
-    assert told.whole
+    told = reader.export_since(behind.revision)
+    assert told.complete
     behind.apply(told)
     assert behind.digest == reader.digest
-    assert reader.export(-1).whole
+    assert reader.export_since(-1).complete
 
 
 def test_an_older_snapshot_changes_nothing():
@@ -113,10 +113,10 @@
                 change(table, revision, *new)
             case which:
                 table = readers[which - 2]
-                if not follower.follow(table.revision, table.digest):
-                    follower.apply(table.export(follower.revision))
+                if not follower.adopt_revision(table.revision, table.digest):
+                    follower.apply(table.export_since(follower.revision))
     for table in readers:
         change(table, 100, *(item for item in history if item.revision > table.revision))
-    if not follower.follow(100, readers[0].digest):
-        follower.apply(readers[0].export(follower.revision))
+    if not follower.adopt_revision(100, readers[0].digest):
+        follower.apply(readers[0].export_since(follower.revision))
     assert readers[0].digest == readers[1].digest == follower.digest
--- a/cloverway/tests/test_core_endpoints.py
+++ b/cloverway/tests/test_core_endpoints.py
@@ -15,13 +15,13 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Directory
-from cloverway.core.entry import choose_for_caller
+from cloverway.core.entry import choose_hosts_for_caller
 from cloverway.core.members import (
-    ALIVE_S,
-    FAR_ALIVE_S,
-    FORGET_S,
-    LINGER_S,
-    MOST_FAR_ALIVE_S,
+    ALIVE_TIMEOUT_S,
+    FORGET_AFTER_S,
+    LEAVING_NAMED_S,
+    MAX_REMOTE_ALIVE_TIMEOUT_S,
+    REMOTE_ALIVE_TIMEOUT_S,
     Member,
     Members,
 )
@@ -46,7 +46,7 @@
 def make_route(host="shop", prefix="/a/", homes=()):
     share = (WeightedService("desk", 1.0),)
     kind = CallKind.IDEMPOTENT
-    return Route("r", host, prefix, kind, share, 2.0, 0.5, homes=frozenset(homes))
+    return Route("r", host, prefix, kind, share, 2.0, 0.5, home_regions=frozenset(homes))
 
 
 def publish(version, *routes):
@@ -93,7 +93,7 @@
 
 
 def test_an_endpoint_that_is_taken_away_at_short_notice_gets_nothing_new():
-    directory = make_directory(make_entry(leaves_s=2.0))
+    directory = make_directory(make_entry(removal_in_s=2.0))
     assert names(directory, 0.0) == []
 
 
@@ -122,37 +122,44 @@
 def make_member(name, domain="d1", **fields):
     region = TOPOLOGY.region_of(domain)
     fields = {"ready": True, "incarnation": 1} | fields
-    return Member(name, domain=domain, region=region, callers=f"{name}:80", inner="", **fields)
+    return Member(
+        name,
+        domain=domain,
+        region=region,
+        caller_address=f"{name}:80",
+        forwarding_address="",
+        **fields,
+    )
 
 
 def make_members(*members, own="own"):
     known = Members(make_member(own))
     for member in members:
-        known.hear(member, 0.0, True, 0.0)
+        known.apply_state(member, 0.0, True, 0.0)
     return known
 
 
 def choose(members, domain="d1", now=0.0, homes=None):
-    return choose_for_caller(members, domain, TOPOLOGY.region_of(domain), homes or {}, now)
+    return choose_hosts_for_caller(members, domain, TOPOLOGY.region_of(domain), homes or {}, now)
 
 
 def test_a_host_that_fell_silent_is_not_named():
     members = make_members(make_member("peer"))
     assert choose(members) == ["own:80", "peer:80"]
-    assert choose(members, now=ALIVE_S + 0.1) == ["own:80"]
+    assert choose(members, now=ALIVE_TIMEOUT_S + 0.1) == ["own:80"]
 
 
 def test_words_of_others_do_not_revive_a_host_that_left():
     members = make_members(make_member("peer", ready=False, leaving=True))
-    members.hear(make_member("peer"), 0.0, False, 0.5)
+    members.apply_state(make_member("peer"), 0.0, False, 0.5)
     assert choose(members, now=0.5) == ["own:80"]
 
 
 def test_a_host_that_started_anew_at_the_same_address_is_named():
     members = make_members(make_member("peer", ready=False, leaving=True))
-    members.hear(make_member("peer", incarnation=2), 0.0, True, 1.0)
+    members.apply_state(make_member("peer", incarnation=2), 0.0, True, 1.0)
     assert choose(members, now=1.0) == ["own:80", "peer:80"]
-    members.hear(make_member("peer", leaving=True), 0.0, True, 1.1)
+    members.apply_state(make_member("peer", leaving=True), 0.0, True, 1.1)
     assert choose(members, now=1.1) == ["own:80", "peer:80"]
 
 
@@ -163,10 +170,10 @@
     """
     members = make_members(make_member("far", "d2"))
     members.begin_leaving(10.0)
-    members.hear(make_member("far", "d2"), 0.0, True, 10.0)
-    assert choose(members, now=10.0 + LINGER_S - 0.1) == ["own:80"]
-    members.hear(make_member("far", "d2"), 0.0, True, 12.0)
-    assert choose(members, now=10.0 + LINGER_S + 0.1) == ["far:80"]
+    members.apply_state(make_member("far", "d2"), 0.0, True, 10.0)
+    assert choose(members, now=10.0 + LEAVING_NAMED_S - 0.1) == ["own:80"]
+    members.apply_state(make_member("far", "d2"), 0.0, True, 12.0)
+    assert choose(members, now=10.0 + LEAVING_NAMED_S + 0.1) == ["far:80"]
 
 
 def test_callers_without_a_host_of_their_region_are_led_to_the_homes_of_what_they_ask_for():
@@ -177,9 +184,9 @@
     table = RouteTable(
         [make_route(homes=("north", "south")), make_route(prefix="/b/", homes=("north", "east"))]
     )
-    homes = table.count_homes("shop")
+    homes = table.count_home_regions("shop")
     members = make_members(make_member("far", "d2"))
-    assert choose_for_caller(members, "d9", "west", homes, 0.0) == ["own:80"]
+    assert choose_hosts_for_caller(members, "d9", "west", homes, 0.0) == ["own:80"]
 
 
 def test_a_host_that_knows_nobody_names_itself():
@@ -189,9 +196,12 @@
 
 def test_hosts_that_were_not_heard_for_long_are_forgotten():
     members = make_members(make_member("peer"))
-    assert members.forget(FORGET_S + 1) == ["peer"]
-    assert members.count_fleet() == 1
-    assert members.hear(make_member("peer"), FORGET_S + 1, False, FORGET_S + 2) is None
+    assert members.forget(FORGET_AFTER_S + 1) == ["peer"]
+    assert members.count_hosts() == 1
+    assert (
+        members.apply_state(make_member("peer"), FORGET_AFTER_S + 1, False, FORGET_AFTER_S + 2)
+        is None
+    )
 
 
 def test_hosts_far_away_count_as_alive_for_longer_in_a_large_fleet():
@@ -202,6 +212,6 @@
     """
     few = make_members(*(make_member(f"far-{n}", "d2") for n in range(4)))
     many = make_members(*(make_member(f"far-{n}", "d2") for n in range(48)))
-    assert few.list_alive(FAR_ALIVE_S + 1) == []
-    assert len(many.list_alive(FAR_ALIVE_S + 1)) == 48
-    assert many.list_alive(MOST_FAR_ALIVE_S + 0.1) == []
+    assert few.list_alive(REMOTE_ALIVE_TIMEOUT_S + 1) == []
+    assert len(many.list_alive(REMOTE_ALIVE_TIMEOUT_S + 1)) == 48
+    assert many.list_alive(MAX_REMOTE_ALIVE_TIMEOUT_S + 0.1) == []
--- a/cloverway/tests/test_core_entry.py
+++ b/cloverway/tests/test_core_entry.py
@@ -9,15 +9,15 @@
 
 from cloverway.core.decay import DecayingSum
 from cloverway.core.entry import (
-    BUSY_PART,
-    LEAST_NAMED,
-    SETTLE_S,
-    YOUNG_S,
-    YOUNG_TTL_S,
+    MIN_LOOKUP_AGE_S,
+    MIN_NAMED_HOSTS,
+    RECENTLY_STARTED_S,
+    RECENTLY_STARTED_TTL_S,
+    TARGET_UTILIZATION,
     Machine,
-    choose_for_caller,
-    choose_ttl,
-    narrow_hosts,
+    choose_hosts_for_caller,
+    choose_lookup_ttl,
+    select_strongest_hosts,
 )
 from cloverway.core.members import Member, Members
 
@@ -39,52 +39,57 @@
     Each of 24 hosts hears of the others' prompts up to a second late, and several take the same
     engine for idle. With the strongest two of each domain named, nearly all streams were in time.
     """
-    named = narrow_hosts(make_domain(), 50.0)
+    named = select_strongest_hosts(make_domain(), 50.0)
     assert [host.name for host in named] == ["strong-0", "strong-1"]
 
 
 def test_more_hosts_are_named_when_the_strongest_no_longer_bear_the_requests():
     """Callers choose among the named at random: the weakest must bear an equal part."""
-    beyond = LEAST_NAMED * STRONG * BUSY_PART + 1
-    named = narrow_hosts(make_domain(), beyond)
-    assert len(named) > LEAST_NAMED
-    assert len(named) * WEAK * BUSY_PART >= beyond
+    beyond = MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION + 1
+    named = select_strongest_hosts(make_domain(), beyond)
+    assert len(named) > MIN_NAMED_HOSTS
+    assert len(named) * WEAK * TARGET_UTILIZATION >= beyond
 
 
 def test_under_more_requests_than_all_bear_those_are_named_that_bear_the_most():
-    assert len(narrow_hosts(make_domain(), 1e6)) == 14
-    assert len(narrow_hosts(make_domain(weak=2), 1e6)) == 2
+    assert len(select_strongest_hosts(make_domain(), 1e6)) == 14
+    assert len(select_strongest_hosts(make_domain(weak=2), 1e6)) == 2
 
 
 def test_a_second_host_is_always_named_where_there_is_one():
     """The only named host fails, and its callers have no other address until the next lookup."""
-    assert len(narrow_hosts(make_domain(strong=1, weak=1), 0.0)) == 2
-    assert len(narrow_hosts(make_domain(strong=1, weak=0), 0.0)) == 1
-    assert narrow_hosts([], 5.0) == []
+    assert len(select_strongest_hosts(make_domain(strong=1, weak=1), 0.0)) == 2
+    assert len(select_strongest_hosts(make_domain(strong=1, weak=0), 0.0)) == 1
+    assert select_strongest_hosts([], 5.0) == []
 
 
 def test_the_requests_of_a_host_that_fell_silent_still_count():
     """A strong host dies; its callers come to the others at once, before any rate shows them."""
     members = Members(make_host("own", WEAK))
     for host in make_domain():
-        peer = members.hear(host, 0.0, True, 0.0)
+        peer = members.apply_state(host, 0.0, True, 0.0)
         assert peer is not None
-        peer.rate = LEAST_NAMED * STRONG * BUSY_PART / 2 if host.capacity == STRONG else 0.0
-    assert len(choose_for_caller(members, "d1", "north", {}, 0.0)) == LEAST_NAMED
+        peer.request_rate = (
+            MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION / 2 if host.capacity == STRONG else 0.0
+        )
+    assert len(choose_hosts_for_caller(members, "d1", "north", {}, 0.0)) == MIN_NAMED_HOSTS
     for name in [name for name in members.peers if name != "strong-0"]:
-        members.hear(members.peers[name].member, 0.0, True, 3.0)
-    named = choose_for_caller(members, "d1", "north", {}, 3.0)
+        members.apply_state(members.peers[name].member, 0.0, True, 3.0)
+    named = choose_hosts_for_caller(members, "d1", "north", {}, 3.0)
     assert "strong-0:80" not in named
-    assert len(named) * WEAK * BUSY_PART >= LEAST_NAMED * STRONG * BUSY_PART - WEAK
+    assert (
+        len(named) * WEAK * TARGET_UTILIZATION
+        >= MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION - WEAK
+    )
 
 
 def test_own_requests_count_until_they_are_over():
     members = Members(make_host("own", WEAK))
     for number in range(200):
         members.note_arrival(number / 20)
-    assert members.sum_rates("d1", 10.0) == pytest.approx(20.0, rel=0.1)
-    assert members.sum_rates("d2", 10.0) == 0.0
-    assert members.sum_rates("d1", 40.0) < 0.1
+    assert members.sum_request_rates("d1", 10.0) == pytest.approx(20.0, rel=0.1)
+    assert members.sum_request_rates("d2", 10.0) == 0.0
+    assert members.sum_request_rates("d1", 40.0) < 0.1
 
 
 @pytest.mark.parametrize(
@@ -109,7 +114,7 @@
     It would name itself, and the callers of its domain stay with it for seconds, however weak it
     is, while the strong hosts are back a moment later.
     """
-    assert choose_ttl(2.0, SETTLE_S - 0.1) is None
-    assert choose_ttl(2.0, SETTLE_S + 0.1) == YOUNG_TTL_S
-    assert choose_ttl(2.0, YOUNG_S + 0.1) == 2.0
-    assert choose_ttl(0.2, SETTLE_S + 0.1) == 0.2
+    assert choose_lookup_ttl(2.0, MIN_LOOKUP_AGE_S - 0.1) is None
+    assert choose_lookup_ttl(2.0, MIN_LOOKUP_AGE_S + 0.1) == RECENTLY_STARTED_TTL_S
+    assert choose_lookup_ttl(2.0, RECENTLY_STARTED_S + 0.1) == 2.0
+    assert choose_lookup_ttl(0.2, MIN_LOOKUP_AGE_S + 0.1) == 0.2
--- a/cloverway/tests/test_core_limits.py
+++ b/cloverway/tests/test_core_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.core.limits import Allowance, compute_share
+from cloverway.core.limits import TokenBucket, compute_share
 from cloverway.core.pacing import SETTLED_S
 
 STEP_S = 0.01
@@ -26,7 +26,7 @@
         self.heard_at = heard_at
         """When it heard of each other host for the first time."""
         self.started_at = started_at
-        self.allowance = Allowance(max(0.0, started_at))
+        self.allowance = TokenBucket(max(0.0, started_at))
 
     def may_send(self, limit_per_s, now):
         if now < self.started_at:
@@ -142,4 +142,4 @@
 def test_an_allowance_begins_empty():
     """Guards against a burst at the moment at which an endpoint says that it has too much."""
     share = compute_share(2.0, "e", "host-0", (), age_s=SETTLED_S)
-    assert Allowance(5.0).estimate_wait(share, 5.0) == pytest.approx(0.5)
+    assert TokenBucket(5.0).estimate_wait(share, 5.0) == pytest.approx(0.5)
--- a/cloverway/tests/test_core_lives.py
+++ b/cloverway/tests/test_core_lives.py
@@ -27,7 +27,7 @@
 
 
 def make_entry(born, name="e1", **fields):
-    return EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 6, born_ms=born, **fields)
+    return EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 6, started_ms=born, **fields)
 
 
 def make_directory(*entries):
@@ -46,7 +46,7 @@
 
     Draining was kept for good, so the endpoint was never used again until the host itself ended.
     """
-    directory = make_directory(make_entry(1_000, draining=True, leaves_s=1.0))
+    directory = make_directory(make_entry(1_000, draining=True, removal_in_s=1.0))
     assert directory.list_usable("desk", 0.0) == []
     assert publish(directory, 5.0, make_entry(9_000)) == ["endpoint_reborn"]
     assert len(directory.list_usable("desk", 5.0)) == 1
@@ -155,7 +155,7 @@
     """
     own, other = (Member(n, 1, "d1", "north", f"{n}:80", f"{n}:81", True) for n in "ab")
     members = Members(own)
-    members.hear(other, 0.0, True, 0.0)
+    members.apply_state(other, 0.0, True, 0.0)
     directory = make_directory(make_entry(2_000))
     exchange = UseExchange(members, directory, lambda name, data: None)
     late = EndpointUse("e1", 5, 9_000, 9_050, (1,), (6_000,), 9_000, born_ms=1_000)
@@ -196,7 +196,7 @@
 
     @rule(later=st.integers(1, 3), draining=st.booleans())
     def write(self, later, draining):
-        start = (self.written[-1].born_ms if self.written else 1_000) + later
+        start = (self.written[-1].started_ms if self.written else 1_000) + later
         self._hear(make_entry(start, draining=draining))
 
     @rule(pick=st.integers(0, 1_000), draining=st.booleans())
@@ -221,7 +221,7 @@
         for endpoint in self.directory.list_usable("desk", self.now):
             number = len(self.requests) + 1
             endpoint.load.begin(number, Work(9_000, 9_050), PROMPT, self.now)
-            self.requests[number] = (endpoint.entry.born_ms, endpoint.load)
+            self.requests[number] = (endpoint.entry.started_ms, endpoint.load)
 
     @rule(number=st.integers(1, 5))
     def end(self, number):
@@ -231,18 +231,18 @@
     def _hear(self, entry):
         self.written.append(entry)
         self.directory.apply([EndpointPublished("e1", entry)], self.now)
-        if self.latest is not None and entry.born_ms < self.latest:
+        if self.latest is not None and entry.started_ms < self.latest:
             return
-        self.latest = entry.born_ms
+        self.latest = entry.started_ms
         self.gone_at = None
         if entry.draining:
-            self.drained.add(entry.born_ms)
+            self.drained.add(entry.started_ms)
 
     @invariant()
     def only_the_latest_life_is_known(self):
         endpoint = self.directory.endpoints.get("e1")
         if endpoint is not None:
-            assert endpoint.entry.born_ms == self.latest
+            assert endpoint.entry.started_ms == self.latest
 
     @invariant()
     def it_is_used_while_it_is_there_and_does_not_drain(self):
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -13,7 +13,7 @@
     update_offer,
 )
 from cloverway.core.load import DUTY, EngineState
-from cloverway.core.members import Offer
+from cloverway.core.members import AdvertisedCapacity
 from cloverway.core.pace import START_S_PER_TOKEN
 from cloverway.core.pauses import START_PART, Gap
 from cloverway.core.prediction import DEFAULT_GAP_S, Far, RegionOffer, predict, predict_region
@@ -36,7 +36,7 @@
 
 
 def make_offer(room):
-    return Offer("model", room.wait_s, room.free, room.tokens, room.engine)
+    return AdvertisedCapacity("model", room.wait_s, room.free, room.tokens, room.engine)
 
 
 def pass_on(hosts: int, local_s: float = 0.0):
@@ -57,8 +57,8 @@
             send(endpoint, make_call(f"local-{number}", TOKENS), number, now)
         for host, (told_at, told) in enumerate(offers):
             updated = update_offer(told, now - told_at)
-            if updated.free > 0 and updated.room >= TOKENS:
-                offers[host] = (told_at, told._replace(free=told.free - 1))
+            if updated.free_slots > 0 and updated.max_prompt_tokens >= TOKENS:
+                offers[host] = (told_at, told._replace(free_slots=told.free_slots - 1))
                 number += 1
                 sent += 1
                 send(endpoint, make_call(f"far-{number}", TOKENS), number, now)
@@ -85,19 +85,19 @@
 
 
 def test_a_region_behind_a_line_has_no_place_until_that_is_read():
-    busy = offer(queue_s=2.0)._replace(free=0, room=0)
+    busy = offer(queue_s=2.0)._replace(free_slots=0, max_prompt_tokens=0)
     assert update_offer(busy, 1.0) == busy
 
 
 def test_an_offer_that_nobody_repeats_does_not_grow_for_ever():
-    full = offer(queue_s=0.3)._replace(free=0, room=0)
-    assert update_offer(full, 1e6).free <= 10
-    assert update_offer(full, 1e6).room < ANY_TOKENS
+    full = offer(queue_s=0.3)._replace(free_slots=0, max_prompt_tokens=0)
+    assert update_offer(full, 1e6).free_slots <= 10
+    assert update_offer(full, 1e6).max_prompt_tokens < ANY_TOKENS
 
 
 def test_places_of_a_plain_service_do_not_come_back_by_waiting():
     """They are lent one by one, and given back when the request has ended."""
-    plain = Offer("desk", 0.1, 0, 0)
+    plain = AdvertisedCapacity("desk", 0.1, 0, 0)
     assert update_offer(plain, 5.0) == plain
 
 
@@ -151,7 +151,7 @@
 
 def offer(queue_s=0.0, token_s=0.006, running=0):
     engine = EngineState(queue_s, START_S_PER_TOKEN, token_s, running)
-    return Offer("model", queue_s, 10, ANY_TOKENS, engine)
+    return AdvertisedCapacity("model", queue_s, 10, ANY_TOKENS, engine)
 
 
 def test_long_answers_leave_a_region_whose_engines_make_tokens_slowly():
--- a/cloverway/tests/test_core_pauses.py
+++ b/cloverway/tests/test_core_pauses.py
@@ -27,7 +27,7 @@
 from cloverway.core.pauses import LEAST_PART, MOST_PART, START_PART, Gap, PromptBurst
 from cloverway.core.prediction import Sender, Wanted, predict
 
-SERVICE = Service("model", 360, engine=EngineShape(64, 240_000, event_tokens=5))
+SERVICE = Service("model", 360, engine=EngineShape(64, 240_000, tokens_per_event=5))
 SHARE = (WeightedService("model", 1.0),)
 TOKENS_PER_S = 38_000
 CHUNK = 4_096
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -31,7 +31,7 @@
         self.news.send = lambda to, data: net.send(name, to, data)
 
     def knows(self, digest=DEADLY):
-        return self.quarantine.count_ends(digest)
+        return self.quarantine.count_crashes(digest)
 
 
 class Net:
@@ -42,7 +42,7 @@
         self.sent = []
         self.hosts = {name: Host(self, name, name[0]) for name in names}
         for host, other in itertools.permutations(self.hosts.values(), 2):
-            host.members.hear(other.members.own, 0.0, True, crashes.read_clock())
+            host.members.apply_state(other.members.own, 0.0, True, crashes.read_clock())
 
     def send(self, sender, receiver, data):
         self.sent.append((sender, receiver, data))
@@ -134,7 +134,7 @@
         clock[0] += 60.0
         net.hosts["a1"].news.welcome("a2", clock[0])
         assert net.list_knowing() == {"a1", "a2"}
-        hold_s = [host.quarantine.list_news(0.0, 9).crashes[0].at for host in net.hosts.values()]
+        hold_s = [host.quarantine.list_updates(0.0, 9).crashes[0].at for host in net.hosts.values()]
         assert hold_s[0] == pytest.approx(hold_s[1], abs=0.002), "it ended a minute ago for both"
 
     asyncio.run(scenario())
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.core.quarantine import SERVED_S, Crash, CrashNews
+from cloverway.core.quarantine import SERVED_IMMUNITY_S, Crash, CrashUpdate
 from cloverway.dispatch.ends import RETOLD_S, Ends
 from cloverway.errors import Kind
 from cloverway.membership.gossip import FULL_EVERY
@@ -126,7 +126,7 @@
     """Ends are rare; what tells of them must cost nothing on all other days."""
     world = make_world(hosts=4)
     quiet = [host.gossip.ends.list_news(world.now, full=True) for host in world.hosts.values()]
-    assert quiet == [CrashNews((), ())] * 4
+    assert quiet == [CrashUpdate((), ())] * 4
 
 
 def test_ends_that_nothing_is_refused_for_are_not_told_for_ever():
@@ -140,7 +140,7 @@
     assert all(len(each.crashes) >= 20 for each in news)
     world.run(RETOLD_S + 1.0)
     news = [host.gossip.ends.list_news(world.now, full=True) for host in world.hosts.values()]
-    assert news == [CrashNews((), ())] * 3
+    assert news == [CrashUpdate((), ())] * 3
 
 
 def test_many_ends_at_once_fit_into_datagrams():
@@ -164,7 +164,7 @@
     ends = Ends(make_settings().quarantine)
     request = make_request(1, 0.0, 20.0)
     for number in range(ALLOWED_ENDS):
-        ends.hear(CrashNews((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0)
+        ends.hear(CrashUpdate((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0)
     refused = ends.find_refusal(request, 10.0)
     assert refused is not None
     assert refused.kind is Kind.QUARANTINED
@@ -176,7 +176,7 @@
     ends = Ends(make_settings().quarantine)
     with caplog.at_level("INFO", logger="cloverway.dispatch.ends"):
         for number in range(ALLOWED_ENDS):
-            ends.hear(CrashNews((Crash(f"e{number}", (DEADLY,), 5.0),), ()), 6.0)
+            ends.hear(CrashUpdate((Crash(f"e{number}", (DEADLY,), 5.0),), ()), 6.0)
     told = [record for record in caplog.records if record.msg == "an endpoint has ended"]
     held = [record for record in caplog.records if record.levelname == "WARNING"]
     assert [record.life for record in told] == ["e0", "e1", "e2"]
@@ -201,7 +201,10 @@
     for host in world.hosts.values():
         hold = host.gossip.ends.find_hold(DEADLY, world.now)
         assert hold is not None
-        assert world.now + hold.left_s <= begun_at + hold_s * 2 ** (hold.ends - ALLOWED_ENDS) + 5.0
+        assert (
+            world.now + hold.remaining_s
+            <= begun_at + hold_s * 2 ** (hold.crashes - ALLOWED_ENDS) + 5.0
+        )
 
 
 def test_a_request_that_was_cleared_once_and_turns_deadly_is_found_out_at_all_hosts():
@@ -215,6 +218,6 @@
     caller.ask(first)
     world.run(1.0)
     world.hosts[first].gossip.ends.note_served(DEADLY, world.now)
-    world.run(SERVED_S + 10.0)
+    world.run(SERVED_IMMUNITY_S + 10.0)
     caller.ask_all([*world.hosts] * 3, pause_s=0.5)
     assert caller.ended == 1 + ALLOWED_ENDS
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -143,7 +143,11 @@
     def is_told(self):
         """Tell whether all hosts know the lives that run."""
         known = [
-            host.directory.endpoints[name].entry.born_ms if name in host.directory.endpoints else 0
+            (
+                host.directory.endpoints[name].entry.started_ms
+                if name in host.directory.endpoints
+                else 0
+            )
             for host in self.fleet.hosts
             for name in self.lives
         ]
@@ -202,7 +206,7 @@
         await wait_for(lambda: deadly.count_usable(host) >= 2)
         assert (await deadly.fleet.call("/stream/a", host, body=DEADLY)).status == 502
     assert len(deadly.ended) == ALLOWED_ENDS
-    assert host.context.quarantine.count_held(read_clock()) == 1
+    assert host.context.quarantine.count_blocked(read_clock()) == 1
 
 
 def test_hosts_of_all_regions_refuse_it_and_those_that_start_later():
@@ -246,7 +250,7 @@
             await asyncio.sleep(0.5)
             away.gossip.news.hear = hear
             del near.members.peers[away.members.own.name]
-            await wait_for(lambda: away.context.quarantine.count_held(read_clock()) == 1, 2.0)
+            await wait_for(lambda: away.context.quarantine.count_blocked(read_clock()) == 1, 2.0)
             assert (await deadly.fleet.call("/stream/a", away, body=DEADLY)).status == 503
 
     play(scenario)
@@ -265,7 +269,7 @@
             near.gossip.news.send = lambda address, data: None
             await hold(deadly, near)
             (peer,) = far.members.peers.values()
-            await wait_for(lambda: "model" in peer.offers)
+            await wait_for(lambda: "model" in peer.advertised)
             withdrawn = []
             far.context.targeting.withdraw_offer = lambda *names: withdrawn.append(names)
             reply = await deadly.fleet.call("/stream/a", far, body=DEADLY)
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -9,7 +9,7 @@
 
 from cloverway.core.deployment import Configuration, EndpointEntry, EngineShape, Service, Topology
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.members import ACTIVE_RATE, LEAST_NAMED, Member, Members
+from cloverway.core.members import ACTIVE_REQUESTS_PER_S, MIN_NAMED_HOSTS, Member, Members
 from cloverway.serving.hosts.gossip import (
     FAR_HOSTS,
     FAR_IDLE_PER_S,
@@ -28,7 +28,7 @@
 
 def make_member(region, number):
     name = f"{region}-{number:02}"
-    capacity = 100 if number < LEAST_NAMED else 10
+    capacity = 100 if number < MIN_NAMED_HOSTS else 10
     return Member(name, 1, f"{region}-a", region, name, name, True, False, capacity)
 
 
@@ -40,7 +40,7 @@
         self.members = Members(own)
         for region in REGIONS:
             for other in range(hosts):
-                self.members.hear(make_member(region, other), 0.0, True, 0.0)
+                self.members.apply_state(make_member(region, other), 0.0, True, 0.0)
         directory = Directory(Topology("north-a", "north", {"north-a": "north"}))
         service = Service("model", 360, engine=EngineShape(64, 240_000))
         directory.configuration = Configuration(1, (), {"model": service})
@@ -87,7 +87,7 @@
     busy = Host(7)
     for step in range(100):
         busy.members.note_arrival(step / 100)
-    assert busy.members.get_own_rate(1.0) > ACTIVE_RATE
+    assert busy.members.get_own_request_rate(1.0) > ACTIVE_REQUESTS_PER_S
     assert all(message.offers for _, message in busy.send_far(1))
 
 
@@ -111,21 +111,21 @@
 def test_requests_are_passed_on_to_hosts_that_serve_callers():
     """Any other host doesn't know what is at the engines, and would fill one that is full."""
     members = Host(0).members
-    names = {peer.member.name for peer in members.list_for_passing("south", 1.0)}
+    names = {peer.member.name for peer in members.list_forwarding_targets("south", 1.0)}
     assert names == {"south-00", "south-01"}
     for name in names:
-        members.peers[name].failed_until = 9.0
-    assert len(members.list_for_passing("south", 1.0)) == HOSTS - LEAST_NAMED
+        members.peers[name].backoff_until = 9.0
+    assert len(members.list_forwarding_targets("south", 1.0)) == HOSTS - MIN_NAMED_HOSTS
 
 
 def test_the_rate_of_a_host_is_told_from_host_to_host():
     """A host of another region is heard itself now and then only; others speak of it."""
     here, there = Host(0), Host(1)
-    here.members.peers["north-09"].rate = 30.0
+    here.members.peers["north-09"].request_rate = 30.0
     sent = here.send_far(60, step_s=0.0)
     message = next(message for _, message in sent if _find(message, "north-09"))
     there.gossip._hear(message, "north-00", 50.0)
-    assert there.members.peers["north-09"].rate == 30.0
+    assert there.members.peers["north-09"].request_rate == 30.0
 
 
 def _find(message, name):
@@ -164,10 +164,10 @@
     members = make_large(0).members
     members.forget(0.0)
     peer = members.peers["north-40"]
-    peer.period_s = MOST_IDLE_S
+    peer.heartbeat_period_s = MOST_IDLE_S
     assert members.is_alive(peer, 6.0)
     assert not members.is_alive(peer, 8.1)
-    peer.period_s = 0.0
+    peer.heartbeat_period_s = 0.0
     assert not members.is_alive(peer, 6.0)
 
 
@@ -175,7 +175,7 @@
     """Guards against a log that is full of hosts which speak rarely, and tells nothing of them."""
     host = Host(2)
     far = [p for p in host.members.peers.values() if p.member.region != "north"]
-    far[0].rate = ACTIVE_RATE
+    far[0].request_rate = ACTIVE_REQUESTS_PER_S
     with caplog.at_level("INFO"):
         host.gossip._note_alive(0.5)
     heard = [record.peer for record in caplog.records if record.message == "host_heard"]
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.core.entry import SETTLE_S
+from cloverway.core.entry import MIN_LOOKUP_AGE_S
 from cloverway.platform.store import Answer
 from cloverway.serving.clock import read_clock
 from cloverway.serving.documents.catalogue import FOLLOW_S
@@ -169,7 +169,7 @@
             await wait_for(
                 lambda: sum(peer.member.ready for peer in south.members.peers.values()) == 2
             )
-            south.started_at -= SETTLE_S
+            south.started_at -= MIN_LOOKUP_AGE_S
             status, addresses = await look_up(fleet, south)
             assert status == 200
             assert set(addresses) == north
@@ -203,7 +203,7 @@
             with caplog.at_level("INFO"):
                 assert (await look_up(fleet, other))[0] == 503
             assert "lookup_refused" in caplog.messages
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(MIN_LOOKUP_AGE_S)
             status, addresses = await look_up(fleet, other)
             assert (status, len(addresses)) == (200, 2)
 
@@ -250,7 +250,7 @@
             await asyncio.sleep(0.3)
             for host in fleet.hosts:
                 for peer in host.members.peers.values():
-                    peer.rate = 10.0
+                    peer.request_rate = 10.0
             for endpoint in fleet.endpoints.values():
                 endpoint.answer = endpoint.answer_never
             tokens = (b"X-Cloverway-Token-Usage", b"9000,50")
@@ -313,7 +313,7 @@
             norths = [await fleet.add_host("d1", seeds=(south.members.own.name,)) for _ in range(3)]
             peers = [host.members.peers for host in norths]
             await wait_for(
-                lambda: all(any(peer.offers for peer in known.values()) for known in peers),
+                lambda: all(any(peer.advertised for peer in known.values()) for known in peers),
                 0.5,
             )
 
--- a/cloverway/tests/test_fleet_lives.py
+++ b/cloverway/tests/test_fleet_lives.py
@@ -92,14 +92,14 @@
         async with run_fleet(endpoints=1) as fleet:
             first = fleet.endpoints["desk-0"]
             fleet.store.put("servers/desk-0", first.describe(born=1_000))
-            await wait_for(lambda: get_entry(fleet, "desk-0").born_ms == 1_000)
+            await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 1_000)
             await fleet.call("/once/")
             old = [exchange.connection for exchange in first.requests]
             fleet.store.put("servers/desk-0", first.describe(born=1_000, state="draining"))
             await wait_for(lambda: get_entry(fleet, "desk-0").draining)
             fleet.store.put("servers/desk-0", first.describe(born=2_000))
             began = read_clock()
-            await wait_for(lambda: get_entry(fleet, "desk-0").born_ms == 2_000)
+            await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 2_000)
             count = len(first.requests)
             assert (await fleet.call("/once/")).status == 200
             assert read_clock() - began < 1.0
@@ -129,12 +129,12 @@
                 engine.answer = engine.stream(1, 2)
                 fleet.store.put(f"servers/{engine.name}", engine.describe(born=1_000))
             known = host.directory.endpoints
-            await wait_for(lambda: all(get_entry(fleet, e.name).born_ms for e in engines))
+            await wait_for(lambda: all(get_entry(fleet, e.name).started_ms for e in engines))
             await fleet.call("/cut/", headers=share_part(1, 1_000))
             holder = next(engine for engine in engines if engine.requests)
             await wait_for(lambda: not known[holder.name].load.backlog(read_clock()))
             fleet.store.put(f"servers/{holder.name}", holder.describe(born=2_000))
-            await wait_for(lambda: get_entry(fleet, holder.name).born_ms == 2_000)
+            await wait_for(lambda: get_entry(fleet, holder.name).started_ms == 2_000)
             await fleet.call("/cut/", headers=share_part(3, 1_000))
             sent = [exchange for engine in engines for exchange in engine.requests]
             assert len(sent) == 2
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -25,7 +25,7 @@
             await wait_for(
                 lambda: all(h.directory.configuration.version == fleet.version for h in fleet.hosts)
                 and "far-0" in south.directory.endpoints
-                and any("desk" in p.offers for p in north.members.peers.values())
+                and any("desk" in p.advertised for p in north.members.peers.values())
             )
             reply = await fleet.call("/once/a", north)
             assert reply.body == b"ran at far-0"
@@ -47,7 +47,9 @@
             await fleet.add_host("d2")
             await fleet.add_endpoint("far-0", "desk", "d2")
             north = fleet.hosts[0]
-            await wait_for(lambda: any("desk" in p.offers for p in north.members.peers.values()))
+            await wait_for(
+                lambda: any("desk" in p.advertised for p in north.members.peers.values())
+            )
             endpoint = fleet.endpoints["desk-0"]
 
             async def fail(exchange):
@@ -73,7 +75,9 @@
             await fleet.add_host("d2")
             await fleet.add_endpoint("far-0", "desk", "d2", slots=2)
             north = fleet.hosts[0]
-            await wait_for(lambda: any("desk" in p.offers for p in north.members.peers.values()))
+            await wait_for(
+                lambda: any("desk" in p.advertised for p in north.members.peers.values())
+            )
             replies = [await fleet.call("/once/a", north) for _ in range(20)]
             assert [reply.status for reply in replies] == [200] * 20
 
@@ -92,13 +96,15 @@
             await fleet.add_host("d2")
             await fleet.add_endpoint("far-0", "desk", "d2")
             north = fleet.hosts[0]
-            await wait_for(lambda: any("desk" in p.offers for p in north.members.peers.values()))
-            (peer,) = (p for p in north.members.peers.values() if "desk" in p.offers)
+            await wait_for(
+                lambda: any("desk" in p.advertised for p in north.members.peers.values())
+            )
+            (peer,) = (p for p in north.members.peers.values() if "desk" in p.advertised)
             targeting = north.context.targeting
-            targeting.withdraw_offer("south", "desk", peer.offers_at - 0.2)
-            assert "desk" in peer.offers
-            targeting.withdraw_offer("south", "desk", peer.offers_at)
-            assert "desk" not in peer.offers
+            targeting.withdraw_offer("south", "desk", peer.advertised_at - 0.2)
+            assert "desk" in peer.advertised
+            targeting.withdraw_offer("south", "desk", peer.advertised_at)
+            assert "desk" not in peer.advertised
 
     play(scenario)
 
@@ -123,7 +129,12 @@
             ]
             request = make_request("POST", "/once/a", fields, b"x")
             head, _ = await fetch(
-                fleet.pool, host.members.own.inner, request, b"x", timeout_s=2.0, limit=10_000
+                fleet.pool,
+                host.members.own.forwarding_address,
+                request,
+                b"x",
+                timeout_s=2.0,
+                limit=10_000,
             )
             assert head.status == 503
             assert head.get(b"cloverway-ran") == b"no"
@@ -146,8 +157,8 @@
             north = fleet.hosts[0]
 
             def offers_room():
-                offers = [p.offers.get("desk") for p in north.members.peers.values()]
-                return any(offer is not None and offer.free > 0 for offer in offers)
+                offers = [p.advertised.get("desk") for p in north.members.peers.values()]
+                return any(offer is not None and offer.free_slots > 0 for offer in offers)
 
             await wait_for(offers_room)
             assert (await fleet.call("/safe/a", north)).body == b"ran at far-0"
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_welcome.py
@@ -35,7 +35,7 @@
     for host in fleet.hosts:
         for number in range(3):
             host.context.quarantine.note_crash(Crash(f"gone-{number}", (DEADLY,), now - 30.0))
-        life = host.directory.endpoints["desk-0"].entry.life
+        life = host.directory.endpoints["desk-0"].entry.incarnation
         host.directory.note_statement(life, Statement(0.5, now, True))
     await asyncio.sleep(0.1)
 
@@ -53,7 +53,9 @@
                 await wait_for(lambda: all(len(h.gossip._alive) == 2 for h in fleet.hosts))
                 began_at = read_clock()
                 new = await restart(fleet, old)
-                await wait_for(lambda new=new: new.context.quarantine.count_held(read_clock()), 1)
+                await wait_for(
+                    lambda new=new: new.context.quarantine.count_blocked(read_clock()), 1
+                )
                 await wait_for(
                     lambda new=new: "desk-0" in new.directory.endpoints
                     and new.directory.endpoints["desk-0"].has_said_leaving,
--- a/cloverway/tests/test_lives.py
+++ b/cloverway/tests/test_lives.py
@@ -31,7 +31,7 @@
 def note_end(host, digest: int = DIGEST):
     """Let the engine seem to end under a request; give what the host knows of the engine."""
     known = host.directory.endpoints["engine"]
-    host.context.quarantine.note_crash(Crash(known.entry.life, (digest,), read_clock()))
+    host.context.quarantine.note_crash(Crash(known.entry.incarnation, (digest,), read_clock()))
     return known
 
 
@@ -45,11 +45,11 @@
         async with run_engine() as (fleet, engine, host):
             engine.answer = engine.break_off
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 502
-            (crash,) = host.context.quarantine.list_news(0.0, 9).crashes
+            (crash,) = host.context.quarantine.list_updates(0.0, 9).crashes
             engine.answer = engine.answer_plainly
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 200
             assert engine.questions == 1
-            assert not host.context.quarantine.has_ended(crash.digests[0], crash.life)
+            assert not host.context.quarantine.has_crashed(crash.digests[0], crash.incarnation)
 
     play(scenario)
 
@@ -61,7 +61,7 @@
             engine.crash()
             assert not await host.context.lives.may_send(known, DIGEST)
             assert known.is_down(read_clock())
-            assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
+            assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
 
     play(scenario)
 
@@ -94,7 +94,7 @@
             engine.born = 5
             assert not await host.context.lives.may_send(known, DIGEST)
             reborn = host.directory.endpoints["engine"]
-            assert reborn.entry.born_ms == 5
+            assert reborn.entry.started_ms == 5
             assert reborn.is_cold(read_clock() + 15.0)
             assert await host.context.lives.may_send(reborn, DIGEST), "nothing ended there yet"
             assert engine.questions == 1
@@ -115,7 +115,7 @@
             known = note_end(host)
             engine.born = said
             assert await host.context.lives.may_send(known, DIGEST)
-            assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
+            assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
             assert engine.questions == questions
 
     play(scenario)
--- a/cloverway/tests/test_platform_entries.py
+++ b/cloverway/tests/test_platform_entries.py
@@ -22,7 +22,7 @@
     Snapshot,
     Topology,
 )
-from cloverway.core.documents import MOST_HELD, MOST_UNREADABLE, DocumentTable
+from cloverway.core.documents import MAX_DOCUMENTS, MAX_UNREADABLE, DocumentTable
 from cloverway.core.endpoints import Directory
 from cloverway.platform import entries, store
 from cloverway.platform.documents import decode_documents
@@ -131,8 +131,8 @@
 
 def test_fields_that_are_not_known_change_nothing():
     entry = decode(encode(born=1_700_000_000_000, models=[{"name": "m"}], stage=None)).entry
-    assert (entry.address, entry.born_ms) == ("10.0.0.1:80", 1_700_000_000_000)
-    assert decode(encode(remainingMs=None)).entry.leaves_s is None
+    assert (entry.address, entry.started_ms) == ("10.0.0.1:80", 1_700_000_000_000)
+    assert decode(encode(remainingMs=None)).entry.removal_in_s is None
 
 
 # Beside good entries
@@ -215,13 +215,13 @@
     """It gets documents from a host that reads the store, and would go on using the endpoint."""
     reader, directory = make_fleet()
     follower = DocumentTable(decode_documents)
-    follower.apply(reader.export(-1))
+    follower.apply(reader.export_since(-1))
     assert follower.digest == reader.digest
     read(reader, directory, 2, "servers/e1", b"{", now=1.0)
-    assert not follower.follow(reader.revision, reader.digest)
-    (told,) = follower.apply(reader.export(1))
+    assert not follower.adopt_revision(reader.revision, reader.digest)
+    (told,) = follower.apply(reader.export_since(1))
     assert isinstance(told, EndpointUnreadable)
-    assert follower.follow(reader.revision, reader.digest)
+    assert follower.adopt_revision(reader.revision, reader.digest)
 
 
 def test_a_configuration_that_cannot_be_read_never_takes_the_place_of_a_good_one():
@@ -236,7 +236,7 @@
     ]
     assert [type(item) for item in told] == [DocumentUnreadable]
     late = DocumentTable(decode_documents)
-    assert late.apply(table.export(-1))[0].configuration.version == 3
+    assert late.apply(table.export_since(-1))[0].configuration.version == 3
 
 
 def test_an_evacuation_of_a_domain_that_is_not_known_does_nothing():
@@ -263,14 +263,14 @@
 def test_what_others_write_takes_a_bounded_part_of_a_hosts_memory():
     """A writer leaves more keys than a host could hold; endpoints that it knows stay in use."""
     table, directory = make_fleet()
-    junk = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MOST_UNREADABLE))
+    junk = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MAX_UNREADABLE))
     directory.apply(table.apply(Snapshot(2, junk, False)), 1.0)
-    assert len(table._unreadable) <= MOST_UNREADABLE
+    assert len(table._unreadable) <= MAX_UNREADABLE
     other = tuple(Document(f"else/{n}", 3, b"x") for n in range(1_000))
     assert table.apply(Snapshot(3, other, False)) == []
-    many = (Document(f"servers/m{n}", 4, encode()) for n in range(MOST_HELD + 10))
+    many = (Document(f"servers/m{n}", 4, encode()) for n in range(MAX_DOCUMENTS + 10))
     directory.apply(table.apply(Snapshot(4, tuple(many), False)), 1.0)
-    assert len(table._held) == MOST_HELD
+    assert len(table._known) == MAX_DOCUMENTS
     assert "e1" in {endpoint.entry.id for endpoint in directory.list_usable("desk", 1.0)}
 
 
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -26,9 +26,9 @@
     def __init__(self, name, others=("b",), far=()):
         self.members = Members(make_member(name))
         for other in others:
-            self.members.hear(make_member(other), 0.0, True, 0.0)
+            self.members.apply_state(make_member(other), 0.0, True, 0.0)
         for other in far:
-            self.members.hear(make_member(other, "south"), 0.0, True, 0.0)
+            self.members.apply_state(make_member(other, "south"), 0.0, True, 0.0)
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
         self.exchange = StatementExchange(name, self.directory, Figures())
@@ -39,7 +39,7 @@
     def publish(self, *lives):
         for life in lives:
             name, _, born_ms = life.partition("@")
-            entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, born_ms=int(born_ms))
+            entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, started_ms=int(born_ms))
             self.directory.apply([EndpointPublished(name, entry)], 0.0)
 
     def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, sealed=True):
@@ -147,7 +147,7 @@
         [(_, report)] = here.take_sent()
         there.exchange.hear(report, False, 500.0)
         [usable] = there.directory.list_usable("desk", 500.0)
-        assert usable.entry.life == OTHER
+        assert usable.entry.incarnation == OTHER
 
     play(scenario)
 
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -25,7 +25,7 @@
 
     def __init__(self, name, other):
         self.members = Members(_make_member(name))
-        self.members.hear(_make_member(other), 0.0, True, 0.0)
+        self.members.apply_state(_make_member(other), 0.0, True, 0.0)
         self.quarantine = Quarantine(QuarantineTerms())
         for number, digests in enumerate(((SUSPECT, OTHER), (SUSPECT,), (OTHER,))):
             self.quarantine.note_crash(Crash(f"gone-{number}", digests, NOW))
@@ -40,7 +40,7 @@
     def choose(self, digest):
         candidates = [make_candidate(life) for life in ("e1", "e2")]
         kept = self.watch.keep_apart(want(digest), candidates, NOW)
-        return {c.endpoint.entry.life: round(c.cost_s, 3) for c in kept}
+        return {c.endpoint.entry.incarnation: round(c.cost_s, 3) for c in kept}
 
 
 def _make_member(name):
@@ -52,7 +52,7 @@
 
 
 def make_candidate(life):
-    endpoint = SimpleNamespace(entry=SimpleNamespace(life=life))
+    endpoint = SimpleNamespace(entry=SimpleNamespace(incarnation=life))
     return Candidate(endpoint, 0.0, 0.0, None, False)
 
 
--- a/cloverway/tests/test_uses.py
+++ b/cloverway/tests/test_uses.py
@@ -8,7 +8,7 @@
 from cloverway.core.deployment import EndpointEntry, EndpointPublished, Topology
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import Work
-from cloverway.core.members import SMALL_REGION, Member, Members
+from cloverway.core.members import SMALL_REGION_HOSTS, Member, Members
 from cloverway.serving.hosts.peerwire import CODEC
 from cloverway.serving.hosts.uses import MOST_TOLD_AT_ONCE, UseExchange
 
@@ -26,8 +26,8 @@
     def __init__(self, name, others, rate=10.0):
         self.members = Members(make_member(name))
         for other in others:
-            peer = self.members.hear(make_member(other), 0.0, True, 0.0)
-            peer.rate = rate
+            peer = self.members.apply_state(make_member(other), 0.0, True, 0.0)
+            peer.request_rate = rate
         self.directory = Directory(TOPOLOGY)
         entry = EndpointEntry("e1", "model", "10.0.0.1:80", "d1", 64)
         idle = EndpointEntry("e2", "model", "10.0.0.2:80", "d1", 64)
@@ -76,9 +76,9 @@
 
 def test_in_a_large_region_only_hosts_that_serve_callers_are_told():
     """Callers are led to the two hosts that rank first, and to others while they are needed."""
-    others = [f"h{number}" for number in range(SMALL_REGION + 4)]
+    others = [f"h{number}" for number in range(SMALL_REGION_HOSTS + 4)]
     here = Side("a", others, rate=0.5)
-    here.members.peers["h3"].rate = 40.0
+    here.members.peers["h3"].request_rate = 40.0
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     assert [name for name, _ in here.tell()] == ["h0", "h3"]
 
