--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -16,7 +16,7 @@
 from cloverway.addresses import split_address
 from cloverway.core.deployment import CallerLimits
 from cloverway.core.endpoints import Change, Directory
-from cloverway.core.entry import choose_hosts_for_caller, choose_lookup_ttl
+from cloverway.core.lookup import choose_hosts_for_caller, choose_lookup_ttl
 from cloverway.core.members import Member, Members
 from cloverway.errors import ConfigurationError, Kind, RequestError
 from cloverway.serving.clock import count_to_tick, read_clock, wait_for_tick
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -12,7 +12,7 @@
 from cloverway.config.tables import Check, check_table
 from cloverway.core.budget import BudgetTerms
 from cloverway.core.deployment import Topology
-from cloverway.core.entry import Machine
+from cloverway.core.lookup import Machine
 from cloverway.core.pacing import ColdTerms
 from cloverway.core.quarantine import QuarantineTerms
 
--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -53,8 +53,8 @@
     "start_wait": (Switch("serving.context", "START_WAIT_S", 0.0),),
     "told_at_once": (Switch("serving.requests.targeting", "TOLD_TOKENS", NEVER),),
     "readers": (Switch("serving.documents.catalogue", "READERS", 10_000),),
-    "few_named": (Switch("core.entry", "TARGET_UTILIZATION", 0.0),),
-    "settle": (Switch("core.entry", "MIN_LOOKUP_AGE_S", 0.0),),
+    "few_named": (Switch("core.lookup", "TARGET_UTILIZATION", 0.0),),
+    "settle": (Switch("core.lookup", "MIN_LOOKUP_AGE_S", 0.0),),
     "retries": (Switch("core.budget", "USED_PART", 0.0),),
 }
 
--- a/cloverway/tests/test_core_endpoints.py
+++ b/cloverway/tests/test_core_endpoints.py
@@ -15,7 +15,7 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Directory
-from cloverway.core.entry import choose_hosts_for_caller
+from cloverway.core.lookup import choose_hosts_for_caller
 from cloverway.core.members import (
     ALIVE_TIMEOUT_S,
     FORGET_AFTER_S,
--- a/cloverway/tests/test_core_entry.py
+++ b/cloverway/tests/test_core_lookup.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverway.core.decay import DecayingSum
-from cloverway.core.entry import (
+from cloverway.core.lookup import (
     MIN_LOOKUP_AGE_S,
     MIN_NAMED_HOSTS,
     RECENTLY_STARTED_S,
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.core.entry import MIN_LOOKUP_AGE_S
+from cloverway.core.lookup import MIN_LOOKUP_AGE_S
 from cloverway.platform.store import Answer
 from cloverway.serving.clock import read_clock
 from cloverway.serving.documents.catalogue import FOLLOW_S
