--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -12,7 +12,7 @@
 
 from cloverway.core.decay import DecayingSum
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.fetch import SOUND_FAILURES
+from cloverway.core.kv_fetch import SOUND_FAILURES
 from cloverway.core.members import rank_for
 from cloverway.core.prediction import DEFAULT_GAP_S, STALL_PART, Candidate, Wanted
 
--- a/cloverway/core/limits.py
+++ b/cloverway/core/limits.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from cloverway.core.cold_start import SETTLED_S
 from cloverway.core.members import rank_for
-from cloverway.core.pacing import SETTLED_S
 
 LEAST_PER_S = 0.2
 """Requests a second that an endpoint gets, however little it takes: one in five seconds shows
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -8,9 +8,9 @@
 
 from cloverway.core.calls import Prompt, PromptPart
 from cloverway.core.decay import DecayingSum
-from cloverway.core.pace import START_STEP_S, ReadPace, TokenPace
-from cloverway.core.parts import HeldParts
-from cloverway.core.pauses import Gap, PromptBurst, Strain
+from cloverway.core.engine_speed import START_STEP_S, ReadPace, TokenPace
+from cloverway.core.prefix_cache import HeldParts
+from cloverway.core.token_gaps import Gap, PromptBurst, Strain
 
 SIBLING_AGE_S = 2.0
 """How long a sibling's report counts; four lost datagrams in a row are rarer than a dead host."""
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -9,11 +9,11 @@
 from cloverway.core.calls import Call, Prompt
 from cloverway.core.deployment import Route, Service
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.fetch import Source, count_fetched, estimate_fetch
+from cloverway.core.engine_speed import START_S_PER_TOKEN
+from cloverway.core.kv_fetch import Source, count_fetched, estimate_fetch
 from cloverway.core.load import DUTY, EngineState, Work
 from cloverway.core.members import Offer
-from cloverway.core.pace import START_S_PER_TOKEN
-from cloverway.core.pauses import STRAINED_S
+from cloverway.core.token_gaps import STRAINED_S
 
 FAILURE_S = 0.5
 """Time that each recent failure of an endpoint adds to its prediction: about what a caller loses
--- a/cloverway/core/choice.py
+++ b/cloverway/core/selection.py
@@ -9,7 +9,6 @@
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.load import DUTY, EngineState
 from cloverway.core.members import Offer
-from cloverway.core.pauses import START_PART
 from cloverway.core.prediction import (
     DEFAULT_GAP_S,
     FAILURE_S,
@@ -17,6 +16,7 @@
     RegionOffer,
     describe_engine,
 )
+from cloverway.core.token_gaps import START_PART
 
 OFFER_S = 0.05
 """Time to read one request that another region is told there is room for: between a small and a
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -5,12 +5,12 @@
 import asyncio
 import contextlib
 
-from cloverway.core.budget import RetryBudget
 from cloverway.core.deployment import Configuration
 from cloverway.core.endpoints import Directory
 from cloverway.core.failures import UsualFailures
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
+from cloverway.core.retry_budget import RetryBudget
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.crashes import CrashExchange
 from cloverway.serving.hosts.news import NewsExchange
--- a/cloverway/serving/hosts/offers.py
+++ b/cloverway/serving/hosts/offers.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from cloverway.core.choice import Room, offer_region
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import EngineState
 from cloverway.core.members import Offer
+from cloverway.core.selection import Room, offer_region
 from cloverway.serving.hosts.peerwire import RegionOffer
 
 MOST_FREE = 1000
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from cloverway.core.calls import Header
-from cloverway.core.pauses import Gap
 from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
+from cloverway.core.token_gaps import Gap
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.client import ReplyHead, Sending
 from cloverway.serving.http.events import EventSplitter
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -7,19 +7,12 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import NamedTuple
 
-from cloverway.core.choice import (
-    choose_endpoint,
-    choose_region,
-    estimate_start,
-    estimate_wait,
-    update_offer,
-)
+from cloverway.core.cold_start import compute_cold_spacing
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.fetch import Source, find_source
 from cloverway.core.isolation import Isolation, keep_apart
+from cloverway.core.kv_fetch import Source, find_source
 from cloverway.core.members import Members, Offer, Peer
-from cloverway.core.pacing import compute_cold_spacing
 from cloverway.core.prediction import (
     Candidate,
     Far,
@@ -30,6 +23,13 @@
     predict,
     predict_region,
 )
+from cloverway.core.selection import (
+    choose_endpoint,
+    choose_region,
+    estimate_start,
+    estimate_wait,
+    update_offer,
+)
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Place
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -10,11 +10,11 @@
 from cloverway.addresses import check_address
 from cloverway.config.findings import Findings, read_toml
 from cloverway.config.tables import Check, check_table
-from cloverway.core.budget import BudgetTerms
+from cloverway.core.cold_start import ColdTerms
 from cloverway.core.deployment import Topology
 from cloverway.core.entry import Machine
-from cloverway.core.pacing import ColdTerms
 from cloverway.core.quarantine import QuarantineTerms
+from cloverway.core.retry_budget import BudgetTerms
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -26,7 +26,7 @@
 
 
 MECHANISMS: dict[str, tuple[Switch, ...]] = {
-    "fetch": (Switch("core.fetch", "LEAST_TOKENS", NEVER),),
+    "fetch": (Switch("core.kv_fetch", "LEAST_TOKENS", NEVER),),
     "home_bonus": (Switch("core.prediction", "HOME_BONUS", 0.0),),
     "blame": (Switch("core.prediction", "FAILURE_S", 0.0),),
     "usual_failures": (Switch("core.failures", "BLAME_FACTOR", 0.0),),
@@ -39,13 +39,16 @@
     "risk": (Switch("core.prediction", "RISK_S", 0.0),),
     "crossing": (Switch("core.prediction", "CROSS_S_PER_BYTE", 0.0),),
     "burst": (
-        Switch("core.pauses", "START_PART", NEVER),
-        Switch("core.pauses", "MOST_PART", NEVER),
+        Switch("core.token_gaps", "START_PART", NEVER),
+        Switch("core.token_gaps", "MOST_PART", NEVER),
     ),
     "large": (Switch("core.prediction", "LARGE_PART", NEVER),),
-    "strain": (Switch("core.pauses", "STRAINED_S", 0.0),),
-    "read_pace": (Switch("core.pace", "FIRST_STEP", 0.0), Switch("core.pace", "STEP", 0.0)),
-    "token_pace": (Switch("core.pace", "LEAST_SEEN_S", NEVER),),
+    "strain": (Switch("core.token_gaps", "STRAINED_S", 0.0),),
+    "read_pace": (
+        Switch("core.engine_speed", "FIRST_STEP", 0.0),
+        Switch("core.engine_speed", "STEP", 0.0),
+    ),
+    "token_pace": (Switch("core.engine_speed", "LEAST_SEEN_S", NEVER),),
     "give_back": (Switch("core.load", "SURE_FACTOR", NEVER),),
     "other_regions": (Switch("serving.requests.targeting", "FAR_MARGIN_S", NEVER),),
     "line": (Switch("serving.requests.placement", "WAIT_PART", 0.0),),
@@ -55,7 +58,7 @@
     "readers": (Switch("serving.documents.catalogue", "READERS", 10_000),),
     "few_named": (Switch("core.entry", "BUSY_PART", 0.0),),
     "settle": (Switch("core.entry", "SETTLE_S", 0.0),),
-    "retries": (Switch("core.budget", "USED_PART", 0.0),),
+    "retries": (Switch("core.retry_budget", "USED_PART", 0.0),),
 }
 
 
--- a/cloverway/tests/engine_steps.py
+++ b/cloverway/tests/simulated_engine.py
@@ -21,8 +21,8 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.pauses import Gap
 from cloverway.core.prediction import Candidate, Wanted
+from cloverway.core.token_gaps import Gap
 
 PAUSE_S = 0.6
 ROUTE = Route(
--- a/cloverway/tests/test_ablated.py
+++ b/cloverway/tests/test_ablated.py
@@ -22,13 +22,13 @@
     """Set only where it is defined, the module that decides would go on with the old value."""
     code = """
 from cloverway.tests.ablated import switch_off
-from cloverway.core import choice, fetch, pace, pauses, prediction
+from cloverway.core import engine_speed, kv_fetch, prediction, selection, token_gaps
 switch_off("blame")
-assert prediction.FAILURE_S == choice.FAILURE_S == 0.0
+assert prediction.FAILURE_S == selection.FAILURE_S == 0.0
 switch_off("burst")
-assert pauses.START_PART == pauses.PromptBurst().part == 1e9
+assert token_gaps.START_PART == token_gaps.PromptBurst().part == 1e9
 switch_off("fetch")
-assert fetch.LEAST_TOKENS == 1e9 and pace.LEAST_TOKENS < 1e9
+assert kv_fetch.LEAST_TOKENS == 1e9 and engine_speed.LEAST_TOKENS < 1e9
 """
     subprocess.run([sys.executable, "-c", code], check=True)
 
--- a/cloverway/tests/test_core_pacing.py
+++ b/cloverway/tests/test_core_cold_start.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.core.pacing import SETTLED_S, ColdTerms, compute_cold_spacing
+from cloverway.core.cold_start import SETTLED_S, ColdTerms, compute_cold_spacing
 
 TERMS = ColdTerms(overshoot=1.5, slack=3.0)
 COLD_PER_S = 1.6
--- a/cloverway/tests/test_core_pace.py
+++ b/cloverway/tests/test_core_engine_speed.py
@@ -11,8 +11,8 @@
 
 import pytest
 
+from cloverway.core.engine_speed import ReadPace
 from cloverway.core.load import EndpointLoad, Work
-from cloverway.core.pace import ReadPace
 
 OTHER_S = 0.02
 
--- a/cloverway/tests/test_core_lives.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -1,7 +1,8 @@
 """Endpoints that start again under their id: what was known of one life says nothing of the next.
 
-No network. `LIVES_RUNS=2000 python -m pytest -o addopts= cloverway/tests/test_core_lives.py` plays
-more random histories.
+No network. To play more random histories:
+
+    LIVES_RUNS=2000 python -m pytest -o addopts= cloverway/tests/test_core_incarnations.py
 """
 
 from __future__ import annotations
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -13,7 +13,6 @@
 
 import pytest
 
-from cloverway.core.choice import choose_endpoint
 from cloverway.core.isolation import (
     AVOID_S,
     CHOOSE_EVERY_S,
@@ -24,7 +23,8 @@
     keep_apart,
 )
 from cloverway.core.prediction import Sender, Wanted, predict
-from cloverway.tests.engine_steps import PAUSE_S, Ask, Region, Speed
+from cloverway.core.selection import choose_endpoint
+from cloverway.tests.simulated_engine import PAUSE_S, Ask, Region, Speed
 
 HERE = Sender("d1")
 NOTES_PER_S = 14.0
--- a/cloverway/tests/test_core_fetch.py
+++ b/cloverway/tests/test_core_kv_fetch.py
@@ -12,7 +12,6 @@
 import pytest
 
 from cloverway.core.calls import Call, Prompt, PromptPart
-from cloverway.core.choice import choose_endpoint
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -22,8 +21,9 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.fetch import LEAST_TOKENS, estimate_fetch, find_source
+from cloverway.core.kv_fetch import LEAST_TOKENS, estimate_fetch, find_source
 from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.selection import choose_endpoint
 
 SHAPE = EngineShape(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
 MODEL = Service("model", 360, engine=SHAPE)
--- a/cloverway/tests/test_core_limits.py
+++ b/cloverway/tests/test_core_limits.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from cloverway.core.cold_start import SETTLED_S
 from cloverway.core.limits import Allowance, compute_share
-from cloverway.core.pacing import SETTLED_S
 
 STEP_S = 0.01
 WINDOW_S = 4.0
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from cloverway.core.choice import (
+from cloverway.core.engine_speed import START_S_PER_TOKEN
+from cloverway.core.load import DUTY, EngineState
+from cloverway.core.members import Offer
+from cloverway.core.prediction import DEFAULT_GAP_S, Far, RegionOffer, predict, predict_region
+from cloverway.core.selection import (
     ANY_TOKENS,
     choose_endpoint,
     choose_region,
@@ -12,12 +16,8 @@
     offer_region,
     update_offer,
 )
-from cloverway.core.load import DUTY, EngineState
-from cloverway.core.members import Offer
-from cloverway.core.pace import START_S_PER_TOKEN
-from cloverway.core.pauses import START_PART, Gap
-from cloverway.core.prediction import DEFAULT_GAP_S, Far, RegionOffer, predict, predict_region
-from cloverway.tests.test_core_choice import (
+from cloverway.core.token_gaps import START_PART, Gap
+from cloverway.tests.test_core_selection import (
     BURST_TOKENS,
     HERE,
     MODEL,
--- a/cloverway/tests/test_core_choice.py
+++ b/cloverway/tests/test_core_selection.py
@@ -10,11 +10,7 @@
 
 import pytest
 
-from cloverway.core.budget import BudgetTerms, RetryBudget
 from cloverway.core.calls import Call, Prompt, PromptPart
-from cloverway.core.choice import (
-    choose_endpoint,
-)
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -24,9 +20,8 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
+from cloverway.core.engine_speed import START_S_PER_TOKEN
 from cloverway.core.load import DUTY, SiblingLoad, Work
-from cloverway.core.pace import START_S_PER_TOKEN
-from cloverway.core.pauses import START_PART, STRAINED_PART, STRAINED_S, Gap
 from cloverway.core.prediction import (
     DEFAULT_GAP_S,
     Sender,
@@ -34,6 +29,11 @@
     estimate_work,
     predict,
 )
+from cloverway.core.retry_budget import BudgetTerms, RetryBudget
+from cloverway.core.selection import (
+    choose_endpoint,
+)
+from cloverway.core.token_gaps import START_PART, STRAINED_PART, STRAINED_S, Gap
 
 HERE = Sender("d1")
 
--- a/cloverway/tests/test_core_pauses.py
+++ b/cloverway/tests/test_core_token_gaps.py
@@ -13,7 +13,6 @@
 from collections import Counter, deque
 
 from cloverway.core.calls import Call, Prompt, PromptPart
-from cloverway.core.choice import choose_endpoint
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -24,8 +23,9 @@
 )
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.load import SiblingLoad, Work
-from cloverway.core.pauses import LEAST_PART, MOST_PART, START_PART, Gap, PromptBurst
 from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.selection import choose_endpoint
+from cloverway.core.token_gaps import LEAST_PART, MOST_PART, START_PART, Gap, PromptBurst
 
 SERVICE = Service("model", 360, engine=EngineShape(64, 240_000, event_tokens=5))
 SHARE = (WeightedService("model", 1.0),)
--- a/cloverway/tests/test_fleet_limits.py
+++ b/cloverway/tests/test_fleet_limits.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from cloverway.core.pacing import SETTLED_S
+from cloverway.core.cold_start import SETTLED_S
 from cloverway.serving.clock import read_clock
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 
