--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -73,7 +73,9 @@
 
     def take_pending(self, now: float) -> UpdateBatch:
         """Give what wasn't told yet."""
-        own = CrashUpdate(tuple(map(_merge, self._pending_own.values())), tuple(self._pending_served))
+        own = CrashUpdate(
+            tuple(map(_merge, self._pending_own.values())), tuple(self._pending_served)
+        )
         passed = CrashUpdate(tuple(self._pending_from_remote), ())
         self._pending_own, self._pending_served, self._pending_from_remote = (
             defaultdict(list),
