--- a/cloverway/core/deployment.py
+++ b/cloverway/core/deployment.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints publish: routes, services, endpoints and evacuated domains."""
+"""Published data of operators and endpoints: routes, services, endpoints, evacuated domains."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallKind(StrEnum):
-    """What may be repeated of a request."""
+    """Whether a request may be repeated, and whether its answer is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -17,14 +17,14 @@
 
 
 class WeightedService(NamedTuple):
-    """One of the services that share the requests of a route."""
+    """A service and its share of the requests of a route."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """How requests below a prefix are served. Times are seconds."""
+    """How requests below a path prefix are served. Times are in seconds."""
 
     name: str
     host: str
@@ -32,27 +32,27 @@
     kind: CallKind
     services: tuple[WeightedService, ...]
     timeout_s: float
-    """The longest that a caller is kept waiting."""
+    """Maximum time that a caller waits."""
     objective_s: float
-    """The answer, or the first event of a stream, is wanted within this."""
+    """Target latency of the answer, or of the first event of a stream."""
     gap_objective_s: float = 0.0
-    """The longest wanted pause between the events of a stream."""
+    """Target for the gap between two events of a stream."""
     attempts: int = 1
-    """How many endpoints may run one request."""
+    """Maximum number of endpoints that run one request."""
     priority: int = 0
-    """0 is the most urgent."""
+    """0 is the highest priority."""
     resumable: bool = False
-    """Whether a stream may go on at another endpoint after its last event."""
+    """Whether another endpoint may continue a stream after the last event received."""
     home_regions: frozenset[str] = frozenset()
-    """The only regions that may see the request; empty for all."""
+    """The regions that may process the request (data residency); empty for all regions."""
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again from its beginning."""
+        """Whether a request that may already have run may be sent again from the start."""
         return self.kind is CallKind.IDEMPOTENT or self.resumable
 
     def pick_service(self, point: float) -> str:
-        """Give the service at a point in [0, 1) of the weights."""
+        """Return the service at `point`, in [0, 1), of the cumulative weights."""
         left = point * sum(share.weight for share in self.services)
         for share in self.services:
             left -= share.weight
@@ -62,21 +62,21 @@
 
 
 class EngineShape(NamedTuple):
-    """What each replica of a model service holds."""
+    """Capacity of each replica of a model service."""
 
     slots: int
     kv_tokens: int
-    """Tokens of prompts and answers that fit into its memory."""
+    """Prompt and output tokens that fit into the KV cache."""
     token_bytes: int = 0
-    """Memory of one token."""
+    """Size of one token in the KV cache."""
     link_mbps: float = 0.0
-    """Over which a replica fetches memory from another one; 0 where it can't."""
+    """Bandwidth for KV cache transfers between replicas; 0 where they are not supported."""
     tokens_per_event: int = 0
-    """Tokens that one event of a stream holds; 0 where nothing says so."""
+    """Tokens in one event of a stream; 0 where it is not known."""
 
     @property
     def can_fetch(self) -> bool:
-        """Whether a replica can fetch parts of prompts that another one has read."""
+        """Whether a replica can fetch KV cache of prompt segments from another replica."""
         return self.token_bytes > 0 and self.link_mbps > 0
 
 
@@ -85,15 +85,16 @@
 
     name: str
     max_connections: int
-    """Connections that one endpoint accepts, from all hosts together."""
+    """Connections that one endpoint accepts, over all hosts."""
     cold_s: float = 0.0
+    """Time for which an endpoint is cold after it has started."""
     cold_requests_per_s: float = 0.0
-    """Requests a second that a cold endpoint bears; 0 for no bound."""
+    """Requests per second that a cold endpoint can sustain; 0 for no limit."""
     engine: EngineShape | None = None
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take. Times are seconds."""
+    """Limits on the size and the duration of callers' requests. Times are in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -102,7 +103,7 @@
 
 
 class Configuration(NamedTuple):
-    """One version of what operators publish, whole."""
+    """One complete version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -111,7 +112,7 @@
 
 
 class RouteTable:
-    """Finds the route of a request by its host and the longest prefix of its path."""
+    """Routes by host name and path prefix; the longest matching prefix wins."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._hosts: dict[str, dict[str, Route]] = defaultdict(dict)
@@ -119,7 +120,7 @@
             self._hosts[route.host][route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Give the route, or None."""
+        """Return the route of a request, or None."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
@@ -132,41 +133,41 @@
         return None
 
     def count_home_regions(self, host: str) -> Counter[str]:
-        """Count for each region the routes of a host that are bound to it, among others."""
+        """Count, by region, the routes of a host that have the region among their home regions."""
         routes = self._hosts.get(host, {}).values()
         return Counter(region for route in routes for region in route.home_regions)
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint as it published itself."""
+    """An endpoint's own published description."""
 
     id: str
-    """New at each start of the endpoint, unless it tells when it was born."""
+    """New at each start of the endpoint, unless the entry has its start time."""
     service: str
     address: str
     domain: str
     slots: int
     draining: bool = False
     cold_s: float = 0.0
-    """How much longer it is cold, in seconds from when it was published."""
+    """Seconds for which it is still cold, counted from publication."""
     removal_in_s: float | None = None
-    """How much longer it lives, where it is taken away at short notice."""
+    """Seconds until its machine is reclaimed at short notice; None where that isn't announced."""
     started_ms: int | None = None
-    """Unix time of its start; None where endpoints don't tell, and each start has a new id."""
+    """Start time, as Unix time in milliseconds; None where entries lack it and ids change."""
 
     @property
     def incarnation(self) -> str:
-        """Name one life of the endpoint: what is known of one says nothing of the next."""
+        """Identify one run of the endpoint; what is known of one run isn't valid for the next."""
         return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
 
 class Document(NamedTuple):
-    """One published value, not decoded."""
+    """A published value, not decoded."""
 
     key: str
     revision: int
     value: bytes | None
-    """None when the revision deleted it."""
+    """None where this revision deleted the document."""
 
 
 class Snapshot(NamedTuple):
@@ -175,38 +176,38 @@
     revision: int
     documents: tuple[Document, ...]
     complete: bool
-    """Whether these are all documents; otherwise those that changed."""
+    """Whether these are all documents, rather than only those that changed."""
 
 
 class ConfigurationPublished(NamedTuple):
-    """A version of the configuration."""
+    """A new version of the configuration."""
 
     configuration: Configuration
 
 
 class EndpointPublished(NamedTuple):
-    """An endpoint's entry, or None where it was removed."""
+    """A new entry of an endpoint, or None where the entry was removed."""
 
     id: str
     entry: EndpointEntry | None
 
 
 class EndpointUnreadable(NamedTuple):
-    """An endpoint's entry that can't be read: it names no endpoint to use."""
+    """An endpoint's entry that can't be decoded; the endpoint isn't used."""
 
     id: str
     why: str
 
 
 class DocumentUnreadable(NamedTuple):
-    """Another document that can't be read; what was known of it holds on."""
+    """Another document that can't be decoded; its last valid value stays in force."""
 
     key: str
     why: str
 
 
 class EvacuationPublished(NamedTuple):
-    """A failure domain is to get nothing, or may be used again."""
+    """The evacuation of a failure domain begins or ends."""
 
     domain: str
     active: bool
@@ -222,12 +223,12 @@
 
 
 class Topology(NamedTuple):
-    """Where this host is, and the region of each failure domain."""
+    """Location of this host, and the region of each failure domain."""
 
     domain: str
     region: str
     regions: dict[str, str]
 
     def region_of(self, domain: str) -> str:
-        """Give the region of a failure domain; an unknown domain is a region of its own."""
+        """Return the region of a failure domain; an unknown domain is a region of its own."""
         return self.regions.get(domain, domain)
--- a/cloverway/core/documents.py
+++ b/cloverway/core/documents.py
@@ -1,11 +1,11 @@
-"""The published documents that a host knows, told apart by what they mean and not by their writes.
+"""The published documents known to a host, compared by content rather than by revision.
 
-Endpoints write their entries every second, and nearly all of these writes say nothing new. Hosts
-that get documents from each other compare digests of what the documents mean: while these are
-equal, a host that did not read the store knows as much as one that did.
+Endpoints write their entries every second, and nearly all of these writes change nothing. Hosts
+that synchronize documents with each other compare digests of the decoded content: while the digests
+are equal, a host that did not read the store is as up to date as one that did.
 
-Others may write there too. What can't be read means nothing: its bytes are not kept and it has no
-part in the digest, so that writing it again and again costs one decode each time and nothing else.
+Other programs may write to the store too. Documents that can't be decoded are not stored and are
+not part of the digest, so that rewriting one costs a decode each time and nothing else.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 )
 
 MAX_TOMBSTONES = 2_000
-"""Deletions that are remembered for hosts that ask what has changed; whoever asks for older ones is
-given all documents. An hour of them at 840 restarts a day is 35."""
+"""Deletions retained for hosts that request changes; a host that requests older changes receives
+all documents. At 840 restarts a day, an hour has 35 deletions."""
 MAX_UNREADABLE = 2_000
-"""Unreadable documents that are remembered, to tell of each only once and to tell other hosts which
-entries have turned bad. Of more, the ones that were noted first are forgotten."""
+"""Unreadable documents retained, so that each is reported once and other hosts learn which entries
+became invalid. Beyond this number the oldest are forgotten."""
 MAX_DOCUMENTS = 30_000
-"""Documents that are kept: three times the endpoints of the largest deployment aimed at. A writer
-that fills the store must not fill the memory of hosts; what comes beyond is left out."""
+"""Documents stored: three times the endpoints of the largest deployment planned for. Further
+documents are ignored, so that a writer that fills the store can't exhaust the memory of hosts."""
 
 Decode = Callable[[Iterable[Document]], list[Publication]]
 
@@ -40,28 +40,28 @@
 class _KnownDocument(NamedTuple):
     document: Document
     content_hash: int
-    """A hash of what it means."""
+    """Hash of the decoded content."""
     changed_revision: int
-    """The revision at which the meaning was new to this host."""
+    """The revision at which this host first saw this content."""
 
 
 class DocumentTable:
-    """All documents up to a revision of the store."""
+    """All known documents up to a revision of the store."""
 
     def __init__(self, decode: Decode) -> None:
         self.revision = 0
         self.digest = 0
-        """Of the meanings of all documents; equal on hosts that know the same."""
+        """XOR of the content hashes of all documents; equal on hosts with the same content."""
         self._decode = decode
         self._known: dict[str, _KnownDocument] = {}
         self._removed: OrderedDict[str, int] = OrderedDict()
         self._unreadable: OrderedDict[str, int] = OrderedDict()
-        """The keys of unreadable documents, and the revisions at which they became that."""
+        """Keys of unreadable documents, with the revision at which each became unreadable."""
         self._complete_since = 0
-        """The revision since which every change is known here, deletions too."""
+        """The revision since which this table knows every change, including deletions."""
 
     def apply(self, snapshot: Snapshot) -> list[Publication]:
-        """Take over documents; give those whose meaning is new. An older snapshot does nothing."""
+        """Apply a snapshot; return the documents whose content changed. Ignore an older one."""
         if snapshot.revision < self.revision:
             return []
         documents = [item for item in snapshot.documents if self._is_newer(item)]
@@ -73,23 +73,23 @@
         return changed
 
     def adopt_revision(self, revision: int, digest: int) -> bool:
-        """Take over a later revision from a host that knows the same; tell whether it does."""
+        """Adopt a later revision from a host with the same digest; return whether it was done."""
         if digest != self.digest or revision < self.revision:
             return False
         self.revision = revision
         return True
 
     def export_since(self, after: int) -> Snapshot:
-        """Give what has changed since a revision; all documents where that is not known."""
+        """Return the changes since a revision, or all documents where those aren't known."""
         if not self._complete_since <= after <= self.revision:
-            good = [known.document for known in self._known.values()]
+            readable = [known.document for known in self._known.values()]
             unreadable = [
                 _make_unreadable_document(key, at)
                 for key, at in self._unreadable.items()
                 if key not in self._known
             ]
-            return Snapshot(self.revision, (*good, *unreadable), True)
-        changed = [h.document for h in self._known.values() if h.changed_revision > after]
+            return Snapshot(self.revision, (*readable, *unreadable), True)
+        changed = [k.document for k in self._known.values() if k.changed_revision > after]
         removed = [Document(key, at, None) for key, at in self._removed.items() if at > after]
         unreadable = [
             _make_unreadable_document(key, at) for key, at in self._unreadable.items() if at > after
@@ -136,9 +136,9 @@
     def _record_unreadable(
         self, document: Document, known: _KnownDocument | None, publications: list[Publication]
     ) -> list[Publication]:
-        """Remember an unreadable document; give what is to be told of it, once.
+        """Record an unreadable document; return its publications the first time.
 
-        An endpoint's entry is no longer in force then; another document stays as it was.
+        The entry of an endpoint is dropped; any other document keeps its last valid value.
         """
         if isinstance(publications[0], EndpointUnreadable):
             self._drop(document.key, known)
@@ -170,15 +170,15 @@
 
 
 def _make_unreadable_document(key: str, revision: int) -> Document:
-    """Give a document that no host can read: its own bytes are not kept."""
+    """Return a placeholder that no host can decode; the original bytes aren't stored."""
     return Document(key, revision, b"")
 
 
 def _hash_content(document: Document, publications: list[Publication]) -> int:
-    """Hash what a document means, alike on all hosts and never 0."""
+    """Hash the content of a document; the hash is the same on all hosts and never 0."""
     match publications:
         case [EndpointPublished(_, entry)]:
-            # Without the counters that an endpoint writes anew each time.
+            # The entry leaves out the counters that an endpoint changes with each write.
             data = repr(entry).encode()
         case _:
             data = document.value or b""
--- a/cloverway/core/failures.py
+++ b/cloverway/core/failures.py
@@ -1,15 +1,15 @@
-"""How usual failures are on each route, so that an endpoint is blamed for unusual ones only."""
+"""The usual failure rate of each route, so that only unusual failures count against endpoints."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 
 MIN_SAMPLE_WEIGHT = 0.02
-"""Weight of one answer in the share of failures, once there were many: half of it is forgotten
-after 35, so that a fault of some seconds doesn't become usual while it lasts."""
+"""Weight of one answer in the moving average, once there are many: the half-life is 35 answers, so
+that a fault of a few seconds doesn't become part of the baseline while it lasts."""
 BASELINE_FACTOR = 5.0
-"""A failure on a route on which one answer in five fails says nothing of the endpoint; one on a
-route that never fails counts whole."""
+"""Weight of the usual failure rate. On a route where one answer in five fails, a failure doesn't
+count against the endpoint; on a route without failures, it counts fully."""
 
 
 class _FailureRate:
@@ -23,20 +23,21 @@
 
 
 class FailureBaseline:
-    """The share of answers, by route, with which endpoints say that they failed.
+    """The fraction of answers, by route, that report a failure.
 
-    Some applications answer one request in seven with a failure of their own, at every endpoint.
-    Taken for a fault, each of these sent the next requests to another region: a third of them
-    went there, for 170 ms more and bytes that are dear.
+    Some applications answer one request in seven with an error of their own, at every endpoint.
+    When these were treated as faults of the endpoint, each sent the next requests to another
+    region: a third of all requests went there, with 170 ms more latency and the cost of the
+    traffic.
     """
 
     def __init__(self) -> None:
         self._rates: defaultdict[str, _FailureRate] = defaultdict(_FailureRate)
 
     def note(self, route: str, failed: bool) -> None:
-        """Note a whole answer of an endpoint."""
+        """Record a complete answer of an endpoint."""
         self._rates[route].note(failed)
 
     def weigh(self, route: str) -> float:
-        """Give how much a failure on a route counts against its endpoint, from 0 to 1."""
+        """Return the weight, from 0 to 1, of a failure on a route against its endpoint."""
         return max(0.0, 1 - BASELINE_FACTOR * self._rates[route].value)
--- a/cloverway/core/limits.py
+++ b/cloverway/core/limits.py
@@ -1,4 +1,4 @@
-"""How often one host may send to an endpoint that names a limit for all hosts together."""
+"""This host's share of a request rate limit that an endpoint sets for all hosts together."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 from cloverway.core.pacing import SETTLED_S
 
 MIN_REQUESTS_PER_S = 0.2
-"""Requests a second that an endpoint gets, however little it takes: one in five seconds shows
-whether it still says so."""
+"""Minimum request rate to a limited endpoint: one request in five seconds shows whether the limit
+still applies."""
 MIN_SENDERS = 4
 SENDERS_PER_RPS = 0.5
-"""Hosts that may send, and how many more for each request a second of the limit. Each of them may
-send one request at a time that no other host knows of, so that many may come at once."""
+"""Number of hosts that may send: a minimum, and the increase per request per second of the limit.
+Each of them may send one request at any time without the others' knowledge, so that all these
+requests may arrive at once."""
 BURST_S = 0.25
-"""Seconds of its share that a host may send at once beside that one: requests come unevenly, and
-what isn't sent is lost to all."""
+"""Seconds of its share that a host may send as a burst, in addition to that one request. Requests
+arrive unevenly, and capacity that one host doesn't use is lost to all."""
 
 
 class LimitShare(NamedTuple):
-    """The part of a limit that one host may use."""
+    """The share of a limit that one host may use."""
 
     per_s: float
+    """Requests per second."""
     burst: float
     """Requests that it may send at once."""
 
@@ -31,12 +33,12 @@
 def compute_share(
     limit_per_s: float, endpoint: str, host: str, hosts: Iterable[str], *, age_s: float
 ) -> LimitShare | None:
-    """Give this host's share of an endpoint's limit; None where it has none.
+    """Return this host's share of an endpoint's limit, or None if it has none.
 
-    `hosts` are the others that may send there. All get equal parts, whatever they need, so that the
-    sum stays within the limit without a word between them. Where they are many, only some of them
-    send, those that a hash ranks first for this endpoint. A host that has just started, `age_s`
-    ago, doesn't know the others yet and has no share.
+    `hosts` are the other hosts that may send there. All get equal shares, regardless of demand, so
+    that the sum stays within the limit without coordination. If there are many hosts, only those
+    that a hash ranks first for this endpoint may send. A host that started only `age_s` ago doesn't
+    know the others yet and has no share.
     """
     if age_s < SETTLED_S:
         return None
@@ -50,9 +52,9 @@
 
 
 class TokenBucket:
-    """The requests of its share that a host has not used yet, as a token bucket.
+    """Token bucket for a host's share of a limit.
 
-    It begins empty: an endpoint names a limit when it has too much already.
+    It starts empty, because an endpoint sets a limit when it is already overloaded.
     """
 
     def __init__(self, now: float) -> None:
@@ -60,12 +62,12 @@
         self._updated_at = now
 
     def estimate_wait(self, share: LimitShare, now: float) -> float:
-        """Give the seconds until a request may be sent; 0 where one may be sent now."""
+        """Return the seconds until a request may be sent; 0 if one may be sent now."""
         self._refill(share, now)
         return max(0.0, (1 - self._tokens) / share.per_s)
 
     def take(self, share: LimitShare, now: float) -> None:
-        """Count a request that is sent."""
+        """Take the token of a request that is sent."""
         self._refill(share, now)
         self._tokens -= 1
 
--- a/cloverway/core/lookup.py
+++ b/cloverway/core/lookup.py
@@ -1,4 +1,4 @@
-"""Which hosts callers are told to use."""
+"""Lookups: which hosts a caller is told to send its requests to."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 from cloverway.core.members import MIN_NAMED_HOSTS, Member, Members, rank_by_capacity
 
 CORE_S_PER_REQUEST = 0.007
-"""Time of one core for one request: 38 s of the processes' own code for 5,000 requests on a heavy
-day of a fleet of seven hosts, heartbeats and starts included."""
+"""CPU time of one request: 38 s for 5,000 requests under high load on a fleet of seven hosts,
+including heartbeats and process starts."""
 LINK_BITS_PER_REQUEST = 80_000
-"""Bits on a host's link in one direction for one request: half of the requests have bodies of 9 to
-18 KB, and each goes in and out again."""
+"""Bits per request on a host's link, in one direction: half of the requests have bodies of 9 to
+18 KB, and each body is received and sent once."""
 TARGET_UTILIZATION = 0.5
-"""Part of its capacity that a named host is expected to use. What is left takes bursts, and the
-requests of a host that fails, for the seconds until more hosts are named. With 0.3 all hosts were
-named at each peak of a large deployment."""
+"""Planned utilization of the hosts that lookups name. The rest of their capacity absorbs bursts,
+and the requests of a host that fails, for the seconds until more hosts are named. With 0.3, all
+hosts of a large deployment were named at each peak."""
 MIN_LOOKUP_AGE_S = 1.0
-"""Age from which a host knows enough others to lead callers: it is told of them by the first that
-hears it, and hears all of its region with their next heartbeats."""
+"""Age from which a host knows enough others to answer lookups: the first host that receives its
+heartbeat sends it a list of hosts, and the heartbeats of all of its region follow."""
 RECENTLY_STARTED_S = 3.0
-"""Age up to which it may still miss some."""
+"""Age up to which a host may not know all others yet."""
 RECENTLY_STARTED_TTL_S = 0.5
-"""How long its answers hold until then."""
+"""TTL of the lookup answers of such a host."""
 
 
 class Machine(NamedTuple):
-    """What a host's machine gives it."""
+    """Resources of the machine that a host runs on."""
 
     core_share: float = 1.0
-    """Part of the time that a core works for it."""
+    """Fraction of one core that is available to the host."""
     core_speed: float = 1.0
-    """Against a core of common speed."""
+    """Speed of a core relative to a reference core."""
     link_mbps: float = 1000.0
 
     def estimate_capacity(self) -> int:
-        """Give the requests per second that the machine bears at most."""
+        """Return the maximum number of requests per second that the machine sustains."""
         by_cores = self.core_share * self.core_speed / CORE_S_PER_REQUEST
         by_link = self.link_mbps * 1e6 / LINK_BITS_PER_REQUEST
         return max(1, int(min(by_cores, by_link)))
 
 
 def choose_lookup_ttl(ttl_s: float, age_s: float) -> float | None:
-    """Give how long callers may keep the answer of a host of some age; None when it has none.
+    """Return the TTL of a lookup answer of a host of some age; None if it must not answer yet.
 
-    After a restart of all hosts, each of them knows only itself for a moment. Named by itself, each
-    weak host got callers and sent their prompts as if it were alone: engines got three times what
-    they can read in a second, and answers paused for ten. Callers without a new answer keep their
-    old one, which names the strong hosts.
+    Just after a restart of all hosts, each of them knows only itself. When it named itself, each
+    small host got callers and sent their prompts as if it were the only one: engines received three
+    times the prompt tokens that they can prefill in a second, and streams stalled for 10 s. Callers
+    that get no new answer keep their old one, which names the largest hosts.
     """
     if age_s < MIN_LOOKUP_AGE_S:
         return None
@@ -62,11 +62,12 @@
     home_regions: Mapping[str, int],
     now: float,
 ) -> list[str]:
-    """Give the addresses that a caller in a failure domain should use, at least one.
+    """Return the addresses that a caller in a failure domain should use, at least one.
 
-    Its own domain first, then its region, also hosts there that have just begun to leave, then the
-    region that is a home of most routes of what it asks for. Bytes between domains cost, and bound
-    data must not go elsewhere. This host itself when it knows nobody better.
+    Prefer hosts of the caller's domain, then of its region (including hosts that have just begun to
+    leave), then of the region that is the home region of most routes of the requested host name.
+    Traffic between domains is billed, and data with a residency must stay in its home regions.
+    Return this host's own address if no other choice has a host.
     """
     own = members.own
     ready = [own] if own.ready else []
@@ -87,21 +88,22 @@
 
 
 def select_strongest_hosts(hosts: Sequence[Member], requests_per_s: float) -> Sequence[Member]:
-    """Give the strongest hosts, as many as bear the requests of a failure domain with ease.
+    """Return the largest hosts, as few as sustain the request rate at the target utilization.
 
-    Each host that sends to an endpoint knows of the others' requests a little late. The fewer send
-    at once, the fewer choose the same endpoint by mistake: with all 24 hosts of a region named, a
-    third of the streams on a calm day had a pause over 600 ms at engines that read a quarter of the
-    time. Callers choose among the named at random, so the weakest of them sets the bound.
+    Each host learns of the other hosts' requests at an endpoint with a delay. The fewer hosts send,
+    the fewer of them choose the same endpoint at the same time: with all 24 hosts of a region
+    named, a third of the streams under low load had a gap over 600 ms, at engines that spent a
+    quarter of their time on prefill. Callers choose among the named hosts at random, so the host
+    with the lowest capacity sets the limit.
     """
     ranked = sorted(hosts, key=rank_by_capacity)
     counts = range(min(MIN_NAMED_HOSTS, len(ranked)), len(ranked) + 1)
-    bears = [
+    sustained = [
         (count * ranked[count - 1].capacity * TARGET_UTILIZATION, count)
         for count in counts
         if count
     ]
-    enough = next((count for borne, count in bears if borne >= requests_per_s), None)
-    if enough is None:
-        enough = max(bears, default=(0.0, 0))[1]
-    return ranked[:enough]
+    count_needed = next((count for rate, count in sustained if rate >= requests_per_s), None)
+    if count_needed is None:
+        count_needed = max(sustained, default=(0.0, 0))[1]
+    return ranked[:count_needed]
--- a/cloverway/core/members.py
+++ b/cloverway/core/members.py
@@ -1,4 +1,4 @@
-"""The hosts of the fleet: who is alive, ready or leaving, by what they say themselves."""
+"""The hosts of the fleet: which are alive, ready or leaving, from their own heartbeats."""
 
 from __future__ import annotations
 
@@ -10,98 +10,100 @@
 from cloverway.core.load import EngineState
 
 ALIVE_TIMEOUT_S = 1.5
-"""A host that was not heard for this long is not named to callers nor given requests: several
-heartbeats in a row, so that a lost datagram changes nothing."""
+"""Time without a heartbeat after which a host is neither named to callers nor sent requests. It
+spans several heartbeats, so that one lost datagram has no effect."""
 SMALL_REGION_HOSTS = 8
-"""Hosts of a region up to which that time holds; in larger ones heartbeats are less frequent, and
-it grows with them."""
+"""Size of a region up to which that timeout applies. In larger regions heartbeats are less
+frequent, and the timeout grows with the number of hosts."""
 MAX_ALIVE_TIMEOUT_S = 3.6
-"""The longest such time."""
+"""Upper bound of that timeout."""
 REMOTE_ALIVE_TIMEOUT_S = 4.0
-"""The same for hosts of other regions, which send less often."""
+"""The same timeout for hosts of other regions, which send heartbeats less often."""
 REMOTE_HOSTS = 16
-"""Hosts of other regions up to which that time holds; of more each is heard less often, by others,
-and it grows with them."""
+"""Number of hosts in other regions up to which that timeout applies. With more of them, reports of
+each arrive less often, through other hosts, and the timeout grows with their number."""
 MAX_REMOTE_ALIVE_TIMEOUT_S = 8.0
-"""The longest such time. With 4 s, four of 48 hosts were taken for gone and back each second."""
+"""Upper bound of that timeout. With 4 s, four of 48 hosts were treated as dead and alive again each
+second."""
 LEAVING_NAMED_S = 2.0
-"""How long a leaving host is still named to callers where its region has no other: it takes
-requests for longer than this, and sends to another region cost more than a short stay."""
+"""How long a leaving host is still named to callers if its region has no other host. It accepts
+requests for longer than this, and sending them to another region costs more than a short stay."""
 RATE_HALF_LIFE_S = 2.0
-"""Age at which a request counts half in a host's rate: callers keep the answer to a lookup about as
-long, so a faster measure would lead them to and fro."""
+"""Half-life of a host's request rate. Callers cache a lookup answer for about as long, so a faster
+average would make the choice of hosts oscillate."""
 ACTIVE_REQUESTS_PER_S = 1.5
-"""Requests per second from which a host of a large region counts as one that serves callers. Hosts
-that callers are not led to get fewer: those that try which configuration is in force."""
+"""Request rate from which a host of a large region counts as serving callers. Hosts that lookups
+don't name get fewer requests: probes for the configuration in force."""
 MIN_NAMED_HOSTS = 2
-"""Hosts of a failure domain that callers are led to at least, where there are as many: a caller
-whose host fails has another address at once."""
+"""Minimum number of hosts of a failure domain that lookups name, if it has as many: a caller whose
+host fails has another address at once."""
 FORGET_AFTER_S = 30.0
-"""Hosts that were not heard for this long are forgotten. Shares of common budgets are taken from
-the hosts that are known, so one that is cut off must be counted for a good while."""
+"""Time without a heartbeat after which a host is forgotten. Shares of common budgets are computed
+from the number of known hosts, so a host that is cut off must be counted for much longer than it
+counts as alive."""
 
 
 MISSED_HEARTBEATS = 2.5
-"""Heartbeats of a host that speaks rarely, two of which may be lost before it counts as gone. A
-host that serves nobody and is taken for alive a little longer, or for gone too soon, costs no
-request; callers must not be led to it for eight seconds after its end."""
+"""Heartbeat periods without a heartbeat before a host with a long period counts as dead: two
+heartbeats may be lost. Such hosts serve no callers, so no request is lost if one counts as alive
+for a little longer, or as dead too early; but callers must not be directed to it for 8 s after a
+crash."""
 MAX_CACHED_RANKS = 4_096
-"""Ranks that are kept: asked for ten times a second for each host of the own failure domain."""
+"""Cached ranks; they are needed ten times a second for each host of the own failure domain."""
 
 
 class Member(NamedTuple):
-    """A host as it describes itself."""
+    """A host's own description."""
 
     name: str
-    """Its address for other hosts, which no two hosts have at one time."""
+    """Its address for other hosts, which is unique at any time."""
     incarnation: int
-    """Grows with each start of a host at the same address."""
+    """Increases with each start of a host at the same address."""
     domain: str
     region: str
     caller_address: str
     """Address for callers."""
     forwarding_address: str
-    """Address for requests that are passed on."""
+    """Address for requests that other hosts forward."""
     ready: bool = False
     leaving: bool = False
     capacity: int = 1
-    """Requests per second that its machine bears."""
+    """Requests per second that its machine sustains."""
 
 
 class AdvertisedCapacity(NamedTuple):
-    """What a region can take of one service, as its hosts see it."""
+    """The capacity of a region for one service, as advertised by one of its hosts."""
 
     service: str
     wait_s: float
-    """Time until the first event of a request that goes there now."""
+    """Time to the first event of a request that is sent there now."""
     free_slots: int
     """Requests that may be sent there at once."""
     max_prompt_tokens: int
-    """Prompt tokens of the largest of them."""
+    """Prompt tokens of the largest of these requests."""
     engine: EngineState = EngineState(0.0, 0.0, 0.0, 0)
-    """The best of its engines, where the service has some."""
+    """The engine with the shortest queue, if the service has engines."""
 
 
 class Peer:
-    """Another host, and what is known of it."""
+    """The state of another host."""
 
     def __init__(self, member: Member, heard_at: float) -> None:
         self.member = member
         self.heard_at = heard_at
         self.heard_directly_at = float("-inf")
-        """When it was heard itself, not through others."""
+        """When its own last heartbeat arrived; `heard_at` counts other hosts' reports of it too."""
         self.configuration_version = 0
-        """The version of its configuration."""
         self.revision = 0
-        """How far it has read the store, itself or through others."""
+        """Revision of the store up to which it knows the documents, from any source."""
         self.digest = 0
-        """Of the documents that it knows."""
+        """Digest of the documents that it knows."""
         self.store_read_age_s = float("inf")
-        """How long ago it read the store, when it was heard."""
+        """Age of its last read of the store at the time of its last own heartbeat."""
         self.request_rate = 0.0
-        """Requests of callers per second, when it was heard itself."""
+        """Callers' requests per second, as last reported."""
         self.heartbeat_period_s = 0.0
-        """Time between its heartbeats to its region, as it says."""
+        """Period of its heartbeats within its region, as it states."""
         self.advertised: dict[str, AdvertisedCapacity] = {}
         self.advertised_at = float("-inf")
         self.backoff_until = float("-inf")
@@ -109,7 +111,7 @@
 
 
 class Members:
-    """All hosts that this one has heard of, itself left out."""
+    """This host, and all others that it knows of."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
@@ -119,17 +121,17 @@
         self._region_size = 0
 
     def note_arrival(self, now: float) -> None:
-        """Count a request of a caller at this host."""
+        """Count a caller's request at this host."""
         self._arrivals.add(1.0, now)
 
     def get_own_request_rate(self, now: float) -> float:
-        """Give the requests of callers per second at this host."""
+        """Return the callers' requests per second at this host."""
         return self._arrivals.get_rate(now)
 
     def sum_request_rates(self, domain: str, now: float) -> float:
-        """Give the requests of callers per second at all hosts of a failure domain.
+        """Return the callers' requests per second at all hosts of a failure domain.
 
-        Hosts that have fallen silent count as well: their callers come to the others.
+        Hosts that have stopped sending heartbeats count too: their callers move to the others.
         """
         rate = sum(
             peer.request_rate for peer in self.peers.values() if peer.member.domain == domain
@@ -137,7 +139,7 @@
         return rate + (self.get_own_request_rate(now) if self.own.domain == domain else 0.0)
 
     def apply_state(self, member: Member, age_s: float, direct: bool, now: float) -> Peer | None:
-        """Take over what a host says of itself, or what others say of it; None if it is older."""
+        """Apply the state of a host, from itself (`direct`) or from another; None if outdated."""
         if member.name == self.own.name:
             return None
         heard_at = now - age_s
@@ -151,7 +153,8 @@
         elif member.incarnation > peer.member.incarnation:
             peer = self.peers[member.name] = Peer(member, heard_at)
         elif direct or heard_at > peer.heard_at:
-            # Leaving is for good within one incarnation: late words of others must not undo it.
+            # A host never returns from leaving within one incarnation: a late update from another
+            # host must not undo it.
             leaving = member.leaving or peer.member.leaving
             peer.member = member._replace(leaving=leaving, ready=member.ready and not leaving)
         peer.heard_at = max(peer.heard_at, heard_at)
@@ -162,7 +165,7 @@
         return peer
 
     def forget(self, now: float) -> list[str]:
-        """Drop the hosts that were not heard for long; give their names."""
+        """Drop the hosts without a recent heartbeat; return their names."""
         gone = [name for name, peer in self.peers.items() if now - peer.heard_at > FORGET_AFTER_S]
         for name in gone:
             del self.peers[name]
@@ -170,12 +173,12 @@
         return gone
 
     def is_alive(self, peer: Peer, now: float) -> bool:
-        """Tell whether a host was heard lately."""
+        """Return whether a host's last heartbeat is within the timeout."""
         age_s = now - peer.heard_at
         if peer.member.region != self.own.region:
-            far = len(self.peers) - self._region_size
+            remote = len(self.peers) - self._region_size
             return age_s <= min(
-                MAX_REMOTE_ALIVE_TIMEOUT_S, REMOTE_ALIVE_TIMEOUT_S * max(1.0, far / REMOTE_HOSTS)
+                MAX_REMOTE_ALIVE_TIMEOUT_S, REMOTE_ALIVE_TIMEOUT_S * max(1.0, remote / REMOTE_HOSTS)
             )
         bound_s = min(
             MAX_ALIVE_TIMEOUT_S, ALIVE_TIMEOUT_S * max(1.0, self._region_size / SMALL_REGION_HOSTS)
@@ -183,22 +186,22 @@
         return age_s <= max(bound_s, MISSED_HEARTBEATS * peer.heartbeat_period_s)
 
     def list_alive(self, now: float) -> list[Peer]:
-        """List the hosts that were heard lately."""
+        """Return the other hosts that are alive."""
         return [peer for peer in self.peers.values() if self.is_alive(peer, now)]
 
     def count_hosts(self) -> int:
-        """Give the number of hosts that are known, this one counted."""
+        """Return the number of known hosts, including this one."""
         return len(self.peers) + 1
 
     def list_region(self) -> list[str]:
-        """List the names of the hosts of this region that are known, this one left out."""
+        """Return the names of the other known hosts of this region."""
         return [n for n, peer in self.peers.items() if peer.member.region == self.own.region]
 
     def list_serving(self, region: str) -> list[Peer]:
-        """List the hosts of a region that serve callers; all of them where there are few.
+        """Return the hosts of a region that serve callers; in a small region, all hosts.
 
-        They are told what the others have at endpoints. In larger regions, of which only few hosts
-        serve callers, the others would get most of what is told and make no use of it.
+        These hosts get each other's updates on the load of endpoints. In a larger region only a few
+        hosts serve callers; the others would receive most of these updates and never use them.
         """
         peers = [peer for peer in self.peers.values() if peer.member.region == region]
         if len(peers) < SMALL_REGION_HOSTS:
@@ -209,7 +212,7 @@
         ]
 
     def is_serving(self, now: float) -> bool:
-        """Tell whether this host serves callers, or belongs to a region with few hosts."""
+        """Return whether this host serves callers, or its region is small."""
         if (
             len(self.list_region()) < SMALL_REGION_HOSTS
             or self.get_own_request_rate(now) >= ACTIVE_REQUESTS_PER_S
@@ -218,7 +221,7 @@
         return self.own.name in self._list_named(self.own.region)
 
     def _list_named(self, region: str) -> set[str]:
-        """Give the names of the hosts of a region that callers are led to also when few come."""
+        """Return the names of the hosts of a region that lookups name even under low load."""
         members = [self.own, *(peer.member for peer in self.peers.values())]
         domains: dict[str, list[Member]] = {}
         for member in members:
@@ -231,7 +234,7 @@
         }
 
     def list_leaving(self, now: float) -> list[Member]:
-        """List the hosts that have begun to leave and still take requests, this one among them."""
+        """Return the hosts, including this one, that are leaving and still accept requests."""
         left = {peer.member: peer.leaving_since for peer in self.list_alive(now)}
         left[self.own] = self.leaving_since
         return [
@@ -241,15 +244,14 @@
         ]
 
     def begin_leaving(self, now: float) -> None:
-        """Note that this host leaves."""
+        """Record that this host begins to leave."""
         self.own = self.own._replace(ready=False, leaving=True)
         self.leaving_since = now
 
     def list_forwarding_targets(self, region: str, now: float) -> list[Peer]:
-        """List the hosts of a region that may get requests passed on.
+        """Return the hosts of a region to which requests may be forwarded.
 
-        Those that serve callers where there are some: the others don't know what is at the
-        endpoints.
+        Prefer hosts that serve callers: the others don't know the load of the endpoints.
         """
         usable = [
             peer
@@ -265,10 +267,10 @@
 
 @lru_cache(maxsize=MAX_CACHED_RANKS)
 def rank_host(duty: str, host: str) -> bytes:
-    """Give the rank of a host for a duty; the lowest do it, and all hosts agree who that is."""
+    """Return a host's rank for a duty by rendezvous hashing; all hosts agree on the lowest."""
     return hashlib.blake2b(f"{duty} {host}".encode(), digest_size=8).digest()
 
 
 def rank_by_capacity(member: Member) -> tuple[int, str]:
-    """Give the rank of a host among those that callers may be led to, the strongest first."""
+    """Return a sort key that puts the hosts with the largest capacity first."""
     return -member.capacity, member.name
--- a/cloverway/core/quarantine.py
+++ b/cloverway/core/quarantine.py
@@ -1,10 +1,11 @@
-"""Requests that end the endpoints which run them, and for how long they are kept from the others.
-
-An endpoint that ends takes along all that it was answering, and a request that ended it does so
-at the next one: run again elsewhere, as any broken request is, one request emptied whole regions.
-A single end tells nothing, for every request that ran there is lost with it. A request that was
-running at the end of several endpoints, and was never served meanwhile, is taken for the cause,
-unless another one was running at all the same ends: then the next end has to tell which it was.
+"""Requests that crash the endpoints which run them, and how long they are blocked.
+
+An endpoint that crashes loses all requests in progress, and a request that caused the crash crashes
+the next endpoint too: retried elsewhere, as interrupted requests are, a single request took down
+all endpoints of whole regions. A single crash doesn't identify the request, because every request
+that ran there is lost. A request that was running during the crashes of several endpoints, and was
+never served in between, is treated as the cause, unless another request was running during all the
+same crashes: then only the next crash tells which of them it was.
 """
 
 from __future__ import annotations
@@ -18,52 +19,55 @@
 Key = TypeVar("Key")
 
 MAX_SUSPECTS = 4_096
-"""Requests that are remembered: those of 60 engines that end with all their places taken."""
+"""Suspected requests retained: those of 60 engines that crash with all slots in use."""
 MAX_SERVED = 4_096
-"""Requests whose last answer is remembered: two minutes of a host's busiest traffic."""
+"""Requests whose last answer is retained: two minutes of a host's peak traffic."""
 MAX_CRASHED = 4_096
-"""Endpoints that have ended, or were taken for ended and answered since, that are remembered."""
+"""Crashed endpoints retained; also the number retained that seemed to crash and answered later."""
 SERVED_IMMUNITY_S = 60.0
-"""How long a request that was served isn't suspected. Endpoints that lose power together take along
-several runs of a request that many callers send; without this it would be refused to all of them.
-One that turns deadly, as with a new version of the endpoints, is found out that much later."""
+"""How long a request isn't suspected after it was served. Endpoints that lose power together
+interrupt several runs of a request that many callers send; without this time the request would be
+blocked for all of these callers. A request that begins to crash endpoints, for instance with a new
+version of these, is detected that much later."""
 MAX_READ_DELAY_S = 0.25
-"""How long after the end of an endpoint the last it said may still be read: that lies in buffers,
-also of a host that has little of a core."""
+"""How long after the crash of an endpoint its last output may still be read: it waits in buffers,
+and the host that reads it may have little CPU time."""
 MIN_RESTART_S = 0.2
-"""How soon after its end no endpoint is back: a process alone takes longer to start. Who opens a
-connection there before that meets the one that was there."""
+"""Minimum time for a crashed endpoint to be back: starting a process alone takes longer. A
+connection that is opened sooner reaches the process that was there before."""
 MAX_HOLD_S = 86_400.0
-"""The longest time that a request is refused."""
+"""Maximum time for which a request is blocked."""
 AMBIGUOUS_CRASHES = 2
-"""Further ends after which a request is refused that can't be told from another one. Where requests
-aren't kept apart, none: they would never be told from each other."""
+"""Additional crashes after which a request is blocked although another request was running during
+the same crashes. Where suspects aren't isolated this is 0: nothing would ever tell them apart."""
 SUSPICION_S = 120.0
-"""How long after its last end a request is kept apart from others: it comes again sooner."""
+"""How long a request is isolated after its last crash; a request that crashes endpoints is sent
+again sooner."""
 MAX_CRASHES = 16
-"""Ends that are counted against a request at most: by then it is refused for the longest time."""
+"""Crashes counted against a request at most: by then it is blocked for the maximum time."""
 
 
 class Level(IntEnum):
-    """How far a request is suspected of ending endpoints."""
+    """How strongly a request is suspected of crashing endpoints."""
 
     NONE = 0
     SEEN = 1
-    """It was running when an endpoint ended."""
+    """It was running when an endpoint crashed."""
     ALONE = 2
-    """One more end, and it is refused; it must not share that end with another such request."""
+    """One more crash blocks it; no other suspect may be running at the same endpoint."""
 
 
 class QuarantineTerms(NamedTuple):
-    """When a request is refused because endpoints ended while they ran it."""
+    """When, and for how long, a request is blocked because endpoints crashed while running it."""
 
     ends: int = 3
-    """Endpoints that must have ended: fewer happen to requests that only ran beside such a one."""
+    """Number of crashes from which a request is blocked; fewer are often coincidence, because the
+    request only ran beside the one that caused them."""
     hold_s: float = 1800.0
-    """How long it is refused then. Each further end, after that time, doubles it."""
+    """How long it is then blocked. Each further crash, after that time, doubles the time."""
 
     def find_faults(self) -> Iterator[tuple[str, str]]:
-        """Give the names of the values that can't be used, and why."""
+        """Yield the name of each invalid value, and the reason."""
         if self.ends < 1:
             yield "ends", f"{self.ends} must be at least 1: 0 would refuse every request"
         if not 0 <= self.hold_s <= MAX_HOLD_S:
@@ -71,53 +75,57 @@
 
 
 class Crash(NamedTuple):
-    """The end of an endpoint, and the requests that were running there."""
+    """The crash of an endpoint, and the requests that were running there."""
 
     incarnation: str
-    """The life of the endpoint that ended."""
+    """The incarnation of the endpoint that crashed."""
     digests: tuple[int, ...]
-    """What repeats of each request have in common."""
+    """Digests of the requests; a retried or repeated request has the same digest."""
     at: float
 
 
 class Block(NamedTuple):
-    """Why a request is refused, and for how much longer."""
+    """Why a request is blocked, and for how long."""
 
     crashes: int
+    """Number of endpoints that crashed while running it."""
     remaining_s: float
 
 
 class CrashUpdate(NamedTuple):
-    """What one host tells another of ends."""
+    """An update on crashes, sent from one host to another."""
 
     crashes: tuple[Crash, ...]
     served: tuple[int, ...]
-    """Requests that were suspected, and were served since."""
+    """Digests of requests that were suspected and have been served since."""
 
 
 class Quarantine:
-    """What a host knows of requests that ended endpoints, by itself and from the other hosts.
+    """The requests that crashed endpoints, from this host's own observations and other hosts.
 
-    Hosts may hear of an end in any order, late or twice, and come to the same: it counts once for
-    each endpoint, and not at all for a request that was served after it.
+    Updates may arrive late, twice and in any order; the result is the same on all hosts. A crash
+    counts once for each incarnation, and not at all for a request that was served after it.
     """
 
     def __init__(self, terms: QuarantineTerms, ambiguous_crashes: int = AMBIGUOUS_CRASHES) -> None:
         self._terms = terms
         self._ambiguous_crashes = ambiguous_crashes
         self._suspects: OrderedDict[int, dict[str, float]] = OrderedDict()
-        """When each endpoint ended that was running a request; the last suspect last."""
+        """Crash time of each endpoint that crashed while running a request, by the digest of the
+        request; the latest suspect is last."""
         self._digests_by_incarnation: dict[str, set[int]] = {}
-        """The suspects that were running at each endpoint that ended."""
+        """The suspects that were running at each endpoint that crashed."""
         self._served: OrderedDict[int, float] = OrderedDict()
+        """When each request was last served."""
         self._cleared: OrderedDict[int, float] = OrderedDict()
-        """Suspects that were served, and when."""
+        """When each former suspect was served."""
         self._crashed: OrderedDict[str, float] = OrderedDict()
+        """When each incarnation seemed to crash."""
         self._retracted: OrderedDict[str, float] = OrderedDict()
-        """Endpoints that were taken for ended, and were there until some time after that."""
+        """Incarnations that seemed to crash, and until when they are known to have been alive."""
 
     def note_crash(self, crash: Crash) -> Crash | None:
-        """Note what ran at an endpoint that ended; give what of it wasn't known, or None."""
+        """Record a crash; return it with only the digests that are new, or None if none is."""
         if crash.at <= self._retracted.get(crash.incarnation, float("-inf")):
             return None
         new_digests = tuple(digest for digest in crash.digests if self._suspect(digest, crash))
@@ -129,10 +137,10 @@
         return crash._replace(digests=new_digests)
 
     def note_alive(self, incarnation: str, since: float, until: float) -> None:
-        """Note that a life of an endpoint was there from one time to another.
+        """Record that an incarnation of an endpoint was alive from `since` to `until`.
 
-        If it seemed to end between them, or just before, it hadn't: a connection that was reset
-        looks like an end to the requests that it carried.
+        A crash of it that was recorded within this time, or just before, is retracted: a connection
+        reset looks like a crash to the requests on that connection.
         """
         crashed_at = self._crashed.get(incarnation)
         if crashed_at is None or not _is_still_alive(crashed_at, since, until):
@@ -140,21 +148,21 @@
         self._retract_crash(incarnation, until)
 
     def note_confirmed_alive(self, incarnation: str, now: float) -> None:
-        """Note that a life of an endpoint has said that it is there: it never ended."""
+        """Record that an incarnation of an endpoint has confirmed that it never crashed."""
         if incarnation in self._crashed:
             self._retract_crash(incarnation, now)
 
     def _retract_crash(self, incarnation: str, until: float) -> None:
-        """Void the end that a life seemed to have before some time."""
+        """Retract the crash of an incarnation that was alive until some time."""
         del self._crashed[incarnation]
         _keep_last(self._retracted, incarnation, until, MAX_CRASHED)
         for digest in self._digests_by_incarnation.pop(incarnation, ()):
             self._suspects[digest].pop(incarnation, None)
 
     def note_served(self, digest: int, now: float) -> bool:
-        """Note that a request had a whole answer; tell whether it was suspected.
+        """Record a complete answer to a request; return whether the request was suspected.
 
-        A request that ends endpoints never has one: all that was counted against it is void.
+        A request that crashes endpoints never completes, so its recorded crashes are dropped.
         """
         _keep_last(self._served, digest, now, MAX_SERVED)
         if not self._forget(digest):
@@ -163,15 +171,15 @@
         return True
 
     def count_crashes(self, digest: int) -> int:
-        """Count the endpoints that ended while they ran a request."""
+        """Return the number of endpoints that crashed while running a request."""
         return len(self._suspects.get(digest, ()))
 
     def has_crashed(self, digest: int, incarnation: str) -> bool:
-        """Tell whether a life of an endpoint ended, by all signs, while it ran a request."""
+        """Return whether an incarnation of an endpoint seemed to crash while running a request."""
         return incarnation in self._suspects.get(digest, ())
 
     def get_block(self, digest: int, now: float) -> Block | None:
-        """Tell why a request must not be sent now, or None when it may."""
+        """Return the reason why a request must not be sent now, or None if it may be sent."""
         crash_times = self._suspects.get(digest)
         if crash_times is None or len(crash_times) < self._terms.ends:
             return None
@@ -181,11 +189,11 @@
         ):
             return None
         hold_s = self._terms.hold_s * 2.0 ** (len(crash_times) - self._terms.ends)
-        left_s = max(crash_times.values()) + min(hold_s, MAX_HOLD_S) - now
-        return Block(len(crash_times), left_s) if left_s > 0 else None
+        remaining_s = max(crash_times.values()) + min(hold_s, MAX_HOLD_S) - now
+        return Block(len(crash_times), remaining_s) if remaining_s > 0 else None
 
     def get_level(self, digest: int, now: float) -> Level:
-        """Tell how far a request is suspected; not at all where another one explains its ends."""
+        """Return how strongly a request is suspected; NONE if another explains its crashes."""
         crash_times = self._suspects.get(digest)
         if not crash_times or now - max(crash_times.values()) > SUSPICION_S:
             return Level.NONE
@@ -194,7 +202,7 @@
         return Level.ALONE if len(crash_times) >= self._terms.ends - 1 else Level.SEEN
 
     def _is_explained(self, digest: int, is_cause: Callable[[int], bool]) -> bool:
-        """Tell whether at each end of a request another one was running that may be the cause."""
+        """Return whether a possible other cause was running at each crash of a request."""
         return all(
             any(
                 other != digest and is_cause(other)
@@ -207,23 +215,23 @@
         return len(self._suspects[other]) >= len(crash_times)
 
     def count_blocked(self, now: float) -> int:
-        """Count the requests that are refused now."""
+        """Return the number of requests that are blocked now."""
         return sum(self.get_block(digest, now) is not None for digest in self._suspects)
 
     def list_updates(self, since: float, limit: int) -> CrashUpdate:
-        """List what was learnt since some time, the last first, up to a number of requests."""
+        """Return the update for other hosts since a time: the latest requests, at most `limit`."""
         digests = list(reversed(self._suspects))[:limit]
         crashes = self._list_crashes(digests, since)
         served = [digest for digest, at in self._cleared.items() if at >= since]
         return CrashUpdate(crashes, tuple(served[-limit:]))
 
     def list_blocked_crashes(self, now: float, limit: int) -> tuple[Crash, ...]:
-        """List the ends for which requests are refused now, up to a number of requests."""
-        held = (digest for digest in reversed(self._suspects) if self.get_block(digest, now))
-        return self._list_crashes(itertools.islice(held, limit), float("-inf"))
+        """Return the crashes for which requests are blocked now, at most `limit` requests."""
+        blocked = (digest for digest in reversed(self._suspects) if self.get_block(digest, now))
+        return self._list_crashes(itertools.islice(blocked, limit), float("-inf"))
 
     def _list_crashes(self, digests: Iterable[int], since: float) -> tuple[Crash, ...]:
-        """List the endpoints that ended under some requests since some time."""
+        """Return the crashes since a time of the endpoints that ran some requests."""
         found: dict[str, Crash] = {}
         for digest in digests:
             for incarnation, at in self._suspects[digest].items():
@@ -235,7 +243,7 @@
         return tuple(found.values())
 
     def _suspect(self, digest: int, crash: Crash) -> bool:
-        """Count an end against a request; tell whether that was news."""
+        """Count a crash against a request; return whether it is new."""
         if crash.at < self._served.get(digest, float("-inf")) + SERVED_IMMUNITY_S:
             return False
         crash_times = self._suspects.setdefault(digest, {})
@@ -247,7 +255,7 @@
         return True
 
     def _forget(self, digest: int) -> bool:
-        """Forget a suspect; tell whether it was one."""
+        """Forget a suspect; return whether it was one."""
         crash_times = self._suspects.pop(digest, None)
         for incarnation in crash_times or ():
             digests = self._digests_by_incarnation[incarnation]
@@ -258,7 +266,7 @@
 
 
 def _is_still_alive(crashed_at: float, since: float, until: float) -> bool:
-    """Tell whether what was there from one time to another can't be what seemed to end."""
+    """Return whether an incarnation seen alive from `since` to `until` did not crash."""
     if since <= crashed_at:
         return crashed_at < until - MAX_READ_DELAY_S
     return since < crashed_at + MIN_RESTART_S
--- a/cloverway/core/statements.py
+++ b/cloverway/core/statements.py
@@ -1,7 +1,8 @@
-"""What endpoints say of themselves in their answers, as far as the hosts of a region know it.
+"""Rate limits and leaving announcements of endpoints, as known to the hosts of a region.
 
-A host is told with its own answers, and by its siblings with theirs. What it knows of one life of
-an endpoint is joined from both, in any order, late or twice, with the same result.
+Endpoints state these in their answers. A host learns of them from the answers that it receives, and
+from other hosts of its region. Both are merged per incarnation of an endpoint; the merge gives the
+same result for late, repeated and reordered updates.
 """
 
 from __future__ import annotations
@@ -12,31 +13,31 @@
 from typing import NamedTuple
 
 MAX_INCARNATIONS = 4_096
-"""Lives of endpoints of which statements are remembered."""
+"""Incarnations of endpoints whose statements are retained."""
 
 
 class Statement(NamedTuple):
-    """What one life of an endpoint has said of itself last. Times are of this host's clock."""
+    """The last statement of one incarnation of an endpoint. Times are of this host's clock."""
 
     limit_per_s: float | None = None
-    """Requests a second that it takes from all hosts together; None for no limit."""
+    """Requests per second that it accepts from all hosts together; None for no limit."""
     limit_at: float = float("-inf")
-    """When it was heard to name the limit, or asked when it named none any more."""
+    """When the answer with the limit arrived, or the request was sent whose answer had none."""
     leaving: bool = False
-    """Whether it has said that it leaves, which is for good."""
+    """Whether it has announced that it is leaving, which is final."""
 
     def join(self, other: Statement) -> Statement:
-        """Join what is known from two sides; of two words of one time the lower limit holds."""
+        """Merge two statements; the later limit wins, and of two with equal time the lower."""
         last = max(self, other, key=_rank_limit)
         return last._replace(leaving=self.leaving or other.leaving)
 
 
 NO_STATEMENT = Statement()
-"""What is known of an endpoint that said nothing of itself."""
+"""The statement of an endpoint that has set no limit and announced nothing."""
 
 
 class News(StrEnum):
-    """What holds of an endpoint from now on."""
+    """A change in the statement of an endpoint."""
 
     LIMIT_NAMED = "limit_named"
     LIMIT_ENDED = "limit_ended"
@@ -44,20 +45,20 @@
 
 
 class Statements:
-    """The statements of all endpoints that this host knows."""
+    """The statements of all endpoints known to this host."""
 
     def __init__(self) -> None:
         self._by_incarnation: OrderedDict[str, Statement] = OrderedDict()
 
     def get(self, incarnation: str) -> Statement:
-        """Give what a life of an endpoint has said."""
+        """Return the statement of an incarnation of an endpoint."""
         return self._by_incarnation.get(incarnation, NO_STATEMENT)
 
     def note(self, incarnation: str, statement: Statement) -> tuple[News, ...]:
-        """Take over what a life of an endpoint has said; give what is new of that."""
+        """Merge a statement of an incarnation of an endpoint; return what changed."""
         known = self._by_incarnation.get(incarnation)
         if known is None:
-            # Most answers say nothing, of endpoints that never did: nothing is kept of them.
+            # Most answers state nothing, of endpoints that never did; nothing is stored for them.
             if statement.limit_per_s is None and not statement.leaving:
                 return ()
             known = NO_STATEMENT
@@ -69,7 +70,7 @@
         return tuple(_list_news(known, joined))
 
     def list_since(self, since: float) -> list[tuple[str, Statement]]:
-        """List what holds, and the limits that ended after some time, by life."""
+        """Return the statements in force and the limits that ended after a time."""
         return [
             (incarnation, statement)
             for incarnation, statement in self._by_incarnation.items()
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -1,8 +1,8 @@
-"""Requests under which endpoints have ended go apart, so that the next end names one of them.
+"""Isolation of requests that may have crashed an endpoint, so that the next crash identifies one.
 
-A request that was lost with an endpoint is run again, as are all others that ran there. Sent to the
-best endpoint, as any request is, they all meet again; and when that one ends too, none of them can
-be told from the one that ended both.
+A request that is lost in a crash is retried, as are all others that ran there. Sent to the best
+endpoint, as any request is, they would run together again; and when that endpoint crashes too,
+nothing tells which of them caused both crashes.
 """
 
 from __future__ import annotations
@@ -14,33 +14,32 @@
 from cloverway.core.quarantine import Level
 
 SUSPECT_PENALTY_S = 1.0
-"""Time that an endpoint counts more at which another suspect runs: longer than most waits, so that
-suspects meet only where there are more of them than endpoints."""
+"""Cost for a suspect of an endpoint where another suspect runs. It is longer than most waits, so
+that suspects run together only if there are more of them than endpoints."""
 EXPOSURE_PENALTY_S = 0.03
-"""Time that each request counts which runs at an endpoint that a suspect is sent to: it is lost
-with the endpoint."""
+"""Cost for a suspect of each request running at the endpoint: a crash would interrupt it."""
 SUSPECT_AVOIDANCE_S = 0.3
-"""Time that an endpoint counts more for other requests while a suspect runs there."""
+"""Cost for other requests of an endpoint where a suspect runs."""
 
 
 class SuspectRun(NamedTuple):
-    """A request that is suspected, and runs at an endpoint."""
+    """A suspected request that is running at an endpoint."""
 
     digest: int
     incarnation: str
     level: Level
     until: float
-    """When it has ended at the latest."""
+    """The latest time at which it ends."""
 
 
 class SuspectRuns:
-    """The suspects that run at the endpoints of a region, by the host that sent them."""
+    """The suspects running at the endpoints of a region, by the host that sent them."""
 
     def __init__(self) -> None:
         self._by_host: dict[str, tuple[SuspectRun, ...]] = {}
 
     def note(self, host: str, runs: Iterable[SuspectRun]) -> None:
-        """Note all suspects that a host has under way."""
+        """Record all running suspects of a host, in place of those recorded before."""
         kept = tuple(runs)
         if kept:
             self._by_host[host] = kept
@@ -48,17 +47,17 @@
             self._by_host.pop(host, None)
 
     def list_running(self, now: float) -> list[SuspectRun]:
-        """List the suspects that run now, as far as this host knows."""
+        """Return the suspects that this host believes to be running now."""
         return [run for runs in self._by_host.values() for run in runs if run.until > now]
 
 
 def isolate_suspects(
     digest: int, level: Level, candidates: Sequence[Candidate], runs: Sequence[SuspectRun]
 ) -> Sequence[Candidate]:
-    """Weigh the endpoints that may run a request by the suspects that run there.
+    """Exclude endpoints, or add to their cost, because of the suspects that run there.
 
-    One that is one end short of being refused runs once at a time in the region, and never beside
-    another such. All else is a matter of cost.
+    A request that one more crash would block has only one run at a time in the region, and never
+    runs beside another suspect. In all other cases only the cost changes.
     """
     if not runs and level is Level.NONE:
         return candidates
@@ -67,15 +66,15 @@
     levels: dict[str, Level] = {}
     for run in runs:
         levels[run.incarnation] = max(run.level, levels.get(run.incarnation, Level.NONE))
-    weighed = (
+    adjusted = (
         _add_penalty(level, candidate, levels.get(candidate.endpoint.entry.incarnation, Level.NONE))
         for candidate in candidates
     )
-    return [candidate for candidate in weighed if candidate is not None]
+    return [candidate for candidate in adjusted if candidate is not None]
 
 
 def _add_penalty(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
-    """Add what it costs that suspects meet at an endpoint; None where they must not."""
+    """Add the cost of suspects that run together; return None where they must not."""
     if level is Level.NONE:
         return candidate.add_cost(SUSPECT_AVOIDANCE_S * (there is not Level.NONE))
     if Level.ALONE in (level, there) and there is not Level.NONE:
