--- a/cloverway/core/lookup.py
+++ b/cloverway/core/lookup.py
@@ -76,7 +76,7 @@
     most = max((home_regions.get(member.region, 0) for member in ready), default=0)
     near = [member for member in ready if member.domain == domain]
     choices: Iterable[Sequence[Member]] = (
-        select_strongest_hosts(near, members.sum_request_rates(domain, now)),
+        select_largest_hosts(near, members.sum_request_rates(domain, now)),
         [member for member in ready if member.region == region],
         [member for member in leaving if member.region == region],
         [member for member in ready if home_regions.get(member.region, 0) == most],
@@ -87,7 +87,7 @@
     return sorted(member.caller_address for member in chosen)
 
 
-def select_strongest_hosts(hosts: Sequence[Member], requests_per_s: float) -> Sequence[Member]:
+def select_largest_hosts(hosts: Sequence[Member], requests_per_s: float) -> Sequence[Member]:
     """Return the largest hosts, as few as sustain the request rate at the target utilization.
 
     Each host learns of the other hosts' requests at an endpoint with a delay. The fewer hosts send,
--- a/cloverway/tests/test_core_documents.py
+++ b/cloverway/tests/test_core_documents.py
@@ -1,4 +1,4 @@
-"""Published documents passed from host to host; no network."""
+"""Synchronization of published documents between hosts; no network."""
 
 from __future__ import annotations
 
@@ -25,65 +25,65 @@
     return table
 
 
-def change(table, revision, *documents):
+def apply_changes(table, revision, *documents):
     return table.apply(Snapshot(revision, documents, False))
 
 
-def test_an_endpoints_heartbeat_that_says_nothing_new_is_no_news():
-    """70 endpoints write each second; told on as news, each write would go to every host."""
+def test_entry_with_unchanged_content_is_not_a_change():
+    """70 endpoints write each second; if each write were a change, all hosts would fetch it."""
     table = make_table(Document("servers/a", 5, make_entry()))
     digest = table.digest
-    assert change(table, 11, Document("servers/a", 11, make_entry(sequence=2))) == []
+    assert apply_changes(table, 11, Document("servers/a", 11, make_entry(sequence=2))) == []
     assert table.digest == digest
-    assert len(change(table, 12, Document("servers/a", 12, make_entry("draining", 3)))) == 1
+    assert len(apply_changes(table, 12, Document("servers/a", 12, make_entry("draining", 3)))) == 1
     assert table.digest != digest
 
 
-def test_a_host_that_knows_the_same_takes_over_how_far_another_has_read():
+def test_host_with_same_digest_adopts_later_revision():
     reader = make_table(Document("servers/a", 5, make_entry()))
     follower = make_table(Document("servers/a", 4, make_entry()), revision=9)
-    change(reader, 20, Document("servers/a", 20, make_entry(sequence=9)))
+    apply_changes(reader, 20, Document("servers/a", 20, make_entry(sequence=9)))
     assert follower.adopt_revision(reader.revision, reader.digest)
     assert follower.revision == 20
     assert not follower.adopt_revision(19, reader.digest)
 
 
-def test_a_host_that_misses_a_change_does_not_take_it_for_known():
-    """It would go on sending to an endpoint that drains, and believe itself up to date."""
+def test_host_that_missed_a_change_does_not_adopt_the_revision():
+    """Otherwise it would treat itself as up to date and keep sending to a draining endpoint."""
     reader = make_table(Document("servers/a", 5, make_entry()))
     follower = make_table(Document("servers/a", 5, make_entry()))
-    change(reader, 12, Document("servers/a", 12, make_entry("draining")))
+    apply_changes(reader, 12, Document("servers/a", 12, make_entry("draining")))
     assert not follower.adopt_revision(reader.revision, reader.digest)
     assert follower.revision == 10
 
 
-def test_what_has_changed_is_told_with_deletions():
+def test_export_includes_deletions():
     reader = make_table(Document("servers/a", 5, make_entry()), Document("servers/b", 6, b"{}"))
     follower = make_table(Document("servers/a", 5, make_entry()), Document("servers/b", 6, b"{}"))
-    change(reader, 12, Document("servers/a", 12, None))
-    told = reader.export_since(follower.revision)
-    assert not told.complete
-    assert [item.key for item in told.documents] == ["servers/a"]
-    follower.apply(told)
+    apply_changes(reader, 12, Document("servers/a", 12, None))
+    snapshot = reader.export_since(follower.revision)
+    assert not snapshot.complete
+    assert [item.key for item in snapshot.documents] == ["servers/a"]
+    follower.apply(snapshot)
     assert follower.digest == reader.digest
 
 
-def test_who_is_far_behind_is_given_everything(monkeypatch):
-    """A host that was frozen for long asks for changes, some of which nobody remembers."""
+def test_host_far_behind_receives_all_documents(monkeypatch):
+    """A host that was paused for long requests changes that are partly no longer retained."""
     monkeypatch.setattr(documents_module, "MAX_TOMBSTONES", 2)
     keys = [f"servers/{number}" for number in range(6)]
     reader = make_table(*(Document(key, 5, make_entry()) for key in keys))
     behind = make_table(*(Document(key, 5, make_entry()) for key in keys))
     for number, key in enumerate(keys[:4]):
-        change(reader, 20 + number, Document(key, 20 + number, None))
-    told = reader.export_since(behind.revision)
-    assert told.complete
-    behind.apply(told)
+        apply_changes(reader, 20 + number, Document(key, 20 + number, None))
+    snapshot = reader.export_since(behind.revision)
+    assert snapshot.complete
+    behind.apply(snapshot)
     assert behind.digest == reader.digest
     assert reader.export_since(-1).complete
 
 
-def test_an_older_snapshot_changes_nothing():
+def test_older_snapshot_is_ignored():
     table = make_table(Document("servers/a", 5, make_entry()))
     digest = table.digest
     assert table.apply(Snapshot(9, (), True)) == []
@@ -97,8 +97,8 @@
 
 @given(WRITES, st.lists(st.integers(0, 3), min_size=30, max_size=30))
 @settings(max_examples=300)
-def test_hosts_that_read_and_hosts_that_follow_come_to_know_the_same(writes, steps):
-    """Two hosts read now and then, a third only follows; in the end all know what the store has."""
+def test_readers_and_followers_converge(writes, steps):
+    """Two hosts read the store at times, a third only follows; all end with the same content."""
     readers = [make_table(revision=0), make_table(revision=0)]
     follower = make_table(revision=0)
     history = []
@@ -110,13 +110,13 @@
             case 0 | 1 as which:
                 table = readers[which]
                 new = [item for item in history if item.revision > table.revision]
-                change(table, revision, *new)
+                apply_changes(table, revision, *new)
             case which:
                 table = readers[which - 2]
                 if not follower.adopt_revision(table.revision, table.digest):
                     follower.apply(table.export_since(follower.revision))
     for table in readers:
-        change(table, 100, *(item for item in history if item.revision > table.revision))
+        apply_changes(table, 100, *(item for item in history if item.revision > table.revision))
     if not follower.adopt_revision(100, readers[0].digest):
         follower.apply(readers[0].export_since(follower.revision))
     assert readers[0].digest == readers[1].digest == follower.digest
--- a/cloverway/tests/test_core_failures.py
+++ b/cloverway/tests/test_core_failures.py
@@ -1,7 +1,7 @@
-"""Failures that are usual on a route, and those that tell of a faulty endpoint; no network.
+"""Failures that are usual on a route, and failures of a faulty endpoint; no network.
 
-The load is that of a ledger with an endpoint a region: one lookup in seven is answered with a
-failure of its own, at every endpoint, and one change in 250.
+The load is that of a ledger with one endpoint per region: at every endpoint, the application
+answers one lookup in seven, and one change in 250, with an error of its own.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 from cloverway.core.load import EndpointLoad
 
 
-def play(baseline, load, route, share):
-    """Let ten requests a second be answered for 30 s; give the mean of the failures that count."""
-    draw = random.Random(1)
-    seen = []
+def simulate(baseline, load, route, share):
+    """Simulate ten answers a second for 30 s; return the mean of the failures that count."""
+    rng = random.Random(1)
+    weights = []
     for step in range(300):
         now = step / 10
-        failed = draw.random() < share
+        failed = rng.random() < share
         if failed:
             load.note_failure(now, baseline.weigh(route))
         else:
             load.note_success(now)
         baseline.note(route, failed)
-        seen.append(load.failures(now))
-    return sum(seen[len(seen) // 2 :]) / (len(seen) // 2)
+        weights.append(load.failures(now))
+    return sum(weights[len(weights) // 2 :]) / (len(weights) // 2)
 
 
-def test_failures_that_are_usual_are_not_blamed_on_the_endpoint():
-    """Each of them counted as half a second, more than a trip to another region."""
-    assert play(FailureBaseline(), EndpointLoad(), "lookup", 0.14) < 0.12
+def test_usual_failures_do_not_count_against_the_endpoint():
+    """Each of them used to cost half a second, more than the latency to another region."""
+    assert simulate(FailureBaseline(), EndpointLoad(), "lookup", 0.14) < 0.12
 
 
-def test_an_endpoint_that_begins_to_fail_is_blamed_at_once():
-    """A replica fails two in five of its requests for some seconds; its health checks are good."""
+def test_endpoint_that_starts_to_fail_is_penalized_at_once():
+    """A replica fails two of five requests for some seconds while its health checks succeed."""
     baseline, load = FailureBaseline(), EndpointLoad()
-    play(baseline, load, "change", 0.004)
+    simulate(baseline, load, "change", 0.004)
     load.note_failure(40.0, baseline.weigh("change"))
     assert load.failures(40.0) > 0.9
 
 
-def test_a_fault_of_some_seconds_does_not_become_usual():
+def test_short_fault_does_not_become_the_baseline():
     baseline = FailureBaseline()
     for _ in range(200):
         baseline.note("change", False)
--- a/cloverway/tests/test_core_lookup.py
+++ b/cloverway/tests/test_core_lookup.py
@@ -1,6 +1,6 @@
-"""Which hosts callers are told to use, under load; no network.
+"""Which hosts lookups name, under load; no network.
 
-The hosts of a large failure domain are two machines with two cores and a dozen with half a one.
+A large failure domain has two machines with two cores, and a dozen with half a core.
 """
 
 from __future__ import annotations
@@ -17,74 +17,75 @@
     Machine,
     choose_hosts_for_caller,
     choose_lookup_ttl,
-    select_strongest_hosts,
+    select_largest_hosts,
 )
 from cloverway.core.members import Member, Members
 
-STRONG, WEAK = 300, 60
+LARGE, SMALL = 300, 60
 
 
 def make_host(name, capacity, **fields):
     return Member(name, 1, "d1", "north", f"{name}:80", f"{name}:81", True, False, capacity)
 
 
-def make_domain(strong=2, weak=12):
-    hosts = [make_host(f"weak-{n}", WEAK) for n in range(weak)]
-    return hosts + [make_host(f"strong-{n}", STRONG) for n in range(strong)]
+def make_domain(large=2, small=12):
+    hosts = [make_host(f"small-{n}", SMALL) for n in range(small)]
+    return hosts + [make_host(f"large-{n}", LARGE) for n in range(large)]
 
 
-def test_in_a_large_domain_few_hosts_send_to_the_endpoints():
-    """A third of the streams on a calm day pauses too long, though engines are three quarters idle.
+def test_large_domain_names_only_the_largest_hosts():
+    """Guards against stalled streams under low load because too many hosts send to the engines.
 
-    Each of 24 hosts hears of the others' prompts up to a second late, and several take the same
-    engine for idle. With the strongest two of each domain named, nearly all streams were in time.
+    Each of 24 hosts learned of the others' prompts up to a second late, and several chose the same
+    idle engine: a third of the streams stalled although engines were idle for three quarters of the
+    time. With the two largest hosts of each domain named, nearly all streams met the target.
     """
-    named = select_strongest_hosts(make_domain(), 50.0)
-    assert [host.name for host in named] == ["strong-0", "strong-1"]
+    named = select_largest_hosts(make_domain(), 50.0)
+    assert [host.name for host in named] == ["large-0", "large-1"]
 
 
-def test_more_hosts_are_named_when_the_strongest_no_longer_bear_the_requests():
-    """Callers choose among the named at random: the weakest must bear an equal part."""
-    beyond = MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION + 1
-    named = select_strongest_hosts(make_domain(), beyond)
+def test_more_hosts_are_named_when_the_largest_can_not_sustain_the_load():
+    """Callers choose among the named hosts at random: the smallest must sustain an equal part."""
+    rate = MIN_NAMED_HOSTS * LARGE * TARGET_UTILIZATION + 1
+    named = select_largest_hosts(make_domain(), rate)
     assert len(named) > MIN_NAMED_HOSTS
-    assert len(named) * WEAK * TARGET_UTILIZATION >= beyond
+    assert len(named) * SMALL * TARGET_UTILIZATION >= rate
 
 
-def test_under_more_requests_than_all_bear_those_are_named_that_bear_the_most():
-    assert len(select_strongest_hosts(make_domain(), 1e6)) == 14
-    assert len(select_strongest_hosts(make_domain(weak=2), 1e6)) == 2
+def test_overload_names_the_hosts_that_sustain_the_most():
+    assert len(select_largest_hosts(make_domain(), 1e6)) == 14
+    assert len(select_largest_hosts(make_domain(small=2), 1e6)) == 2
 
 
-def test_a_second_host_is_always_named_where_there_is_one():
-    """The only named host fails, and its callers have no other address until the next lookup."""
-    assert len(select_strongest_hosts(make_domain(strong=1, weak=1), 0.0)) == 2
-    assert len(select_strongest_hosts(make_domain(strong=1, weak=0), 0.0)) == 1
-    assert select_strongest_hosts([], 5.0) == []
+def test_a_second_host_is_always_named():
+    """With one named host, its crash leaves callers without an address until the next lookup."""
+    assert len(select_largest_hosts(make_domain(large=1, small=1), 0.0)) == 2
+    assert len(select_largest_hosts(make_domain(large=1, small=0), 0.0)) == 1
+    assert select_largest_hosts([], 5.0) == []
 
 
-def test_the_requests_of_a_host_that_fell_silent_still_count():
-    """A strong host dies; its callers come to the others at once, before any rate shows them."""
-    members = Members(make_host("own", WEAK))
+def test_request_rate_of_a_dead_host_still_counts():
+    """A large host crashes; its callers move to the others before their request rates show it."""
+    members = Members(make_host("own", SMALL))
     for host in make_domain():
         peer = members.apply_state(host, 0.0, True, 0.0)
         assert peer is not None
         peer.request_rate = (
-            MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION / 2 if host.capacity == STRONG else 0.0
+            MIN_NAMED_HOSTS * LARGE * TARGET_UTILIZATION / 2 if host.capacity == LARGE else 0.0
         )
     assert len(choose_hosts_for_caller(members, "d1", "north", {}, 0.0)) == MIN_NAMED_HOSTS
-    for name in [name for name in members.peers if name != "strong-0"]:
+    for name in [name for name in members.peers if name != "large-0"]:
         members.apply_state(members.peers[name].member, 0.0, True, 3.0)
     named = choose_hosts_for_caller(members, "d1", "north", {}, 3.0)
-    assert "strong-0:80" not in named
+    assert "large-0:80" not in named
     assert (
-        len(named) * WEAK * TARGET_UTILIZATION
-        >= MIN_NAMED_HOSTS * STRONG * TARGET_UTILIZATION - WEAK
+        len(named) * SMALL * TARGET_UTILIZATION
+        >= MIN_NAMED_HOSTS * LARGE * TARGET_UTILIZATION - SMALL
     )
 
 
-def test_own_requests_count_until_they_are_over():
-    members = Members(make_host("own", WEAK))
+def test_own_request_rate_decays():
+    members = Members(make_host("own", SMALL))
     for number in range(200):
         members.note_arrival(number / 20)
     assert members.sum_request_rates("d1", 10.0) == pytest.approx(20.0, rel=0.1)
@@ -96,11 +97,11 @@
     ("machine", "capacity"),
     [(Machine(0.537, 2.0, 1000.0), 153), (Machine(0.516, 1.0, 5.0), 62), (Machine(0, 0, 0), 1)],
 )
-def test_the_weaker_of_processor_and_link_sets_what_a_machine_bears(machine, capacity):
+def test_machine_capacity_is_the_lower_of_processor_and_link(machine, capacity):
     assert machine.estimate_capacity() == capacity
 
 
-def test_a_decaying_sum_halves_with_its_half_life():
+def test_decaying_sum_halves_with_each_half_life():
     total = DecayingSum(2.0)
     total.add(8.0, 0.0)
     assert total.get(2.0) == pytest.approx(4.0)
@@ -108,11 +109,11 @@
     assert total.get(4.0) == pytest.approx(1.0)
 
 
-def test_a_host_that_has_just_started_leads_nobody():
-    """All hosts start again, and the first that answers knows nobody yet.
+def test_recently_started_host_answers_no_lookups():
+    """All hosts restart, and the first that answers doesn't know the others yet.
 
-    It would name itself, and the callers of its domain stay with it for seconds, however weak it
-    is, while the strong hosts are back a moment later.
+    It would name itself, and the callers of its domain would stay with it for seconds, however
+    small it is, although the large hosts are back a moment later.
     """
     assert choose_lookup_ttl(2.0, MIN_LOOKUP_AGE_S - 0.1) is None
     assert choose_lookup_ttl(2.0, MIN_LOOKUP_AGE_S + 0.1) == RECENTLY_STARTED_TTL_S
--- a/cloverway/tests/test_core_quarantine.py
+++ b/cloverway/tests/test_core_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from endpoints, by the ends of those that ran them; in virtual time."""
+"""Which requests are blocked after crashes of the endpoints that ran them, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 TERMS = QuarantineTerms(ends=3, hold_s=1800.0)
-DEADLY, BESIDE, OTHER = 1, 2, 3
+FATAL, BYSTANDER, OTHER = 1, 2, 3
 
 
 def make_quarantine(*crashes):
@@ -33,105 +33,105 @@
     return quarantine
 
 
-def end_in_turn(count, *digests, start=0.0):
+def crash_in_turn(count, *digests, start=0.0):
     return [Crash(f"e{number}", digests, start + number) for number in range(count)]
 
 
-def test_a_request_is_refused_once_the_third_endpoint_has_ended_under_it():
-    """It runs at one engine after the other, and each ends; others ran beside it once or twice.
+def test_request_is_blocked_after_the_third_crash():
+    """One engine after the other crashes while running it; others ran beside it once or twice.
 
-    Refused after one end, every request that was lost with an engine would be.
+    If one crash were enough, every request that was lost with an engine would be blocked.
     """
     quarantine = make_quarantine(
-        Crash("e0", (DEADLY, BESIDE), 0.0),
-        Crash("e1", (BESIDE, DEADLY), 1.0),
+        Crash("e0", (FATAL, BYSTANDER), 0.0),
+        Crash("e1", (BYSTANDER, FATAL), 1.0),
     )
-    assert quarantine.get_block(DEADLY, 1.0) is None
-    quarantine.note_crash(Crash("e2", (DEADLY, OTHER), 2.0))
-    hold = quarantine.get_block(DEADLY, 3.0)
-    assert hold == (3, TERMS.hold_s - 1.0)
-    assert quarantine.get_block(BESIDE, 3.0) is None
+    assert quarantine.get_block(FATAL, 1.0) is None
+    quarantine.note_crash(Crash("e2", (FATAL, OTHER), 2.0))
+    block = quarantine.get_block(FATAL, 3.0)
+    assert block == (3, TERMS.hold_s - 1.0)
+    assert quarantine.get_block(BYSTANDER, 3.0) is None
     assert quarantine.get_block(OTHER, 3.0) is None
 
 
-def test_the_end_of_one_endpoint_counts_once_however_often_it_is_told():
-    end = Crash("e0", (DEADLY,), 5.0)
+def test_repeated_reports_of_one_crash_count_once():
+    crash = Crash("e0", (FATAL,), 5.0)
     quarantine = Quarantine(TERMS)
-    assert quarantine.note_crash(end) == end
-    assert quarantine.note_crash(end._replace(at=5.4)) is None
-    assert quarantine.note_crash(end._replace(digests=(DEADLY, OTHER))) == end._replace(
+    assert quarantine.note_crash(crash) == crash
+    assert quarantine.note_crash(crash._replace(at=5.4)) is None
+    assert quarantine.note_crash(crash._replace(digests=(FATAL, OTHER))) == crash._replace(
         digests=(OTHER,)
     )
-    assert quarantine.count_crashes(DEADLY) == 1
+    assert quarantine.count_crashes(FATAL) == 1
 
 
-def test_a_refusal_ends_and_lasts_twice_as_long_after_each_further_end():
-    """Somebody mended the endpoints, or the request was only unlucky: it is tried again.
+def test_block_expires_and_doubles_with_each_further_crash():
+    """The endpoints may have been fixed, or the request was a bystander: it is tried again.
 
-    If it ends an endpoint once more, it is refused for longer, so that over the years one request
-    ends few of them.
+    If it crashes an endpoint once more, it is blocked for longer, so that over the years one
+    request crashes few endpoints.
     """
-    quarantine = make_quarantine(*end_in_turn(3, DEADLY))
-    assert quarantine.get_block(DEADLY, 2.0 + TERMS.hold_s - 0.1) is not None
-    assert quarantine.get_block(DEADLY, 2.0 + TERMS.hold_s) is None
-    quarantine.note_crash(Crash("e3", (DEADLY,), 2000.0))
-    assert quarantine.get_block(DEADLY, 2000.0) == (4, 2 * TERMS.hold_s)
+    quarantine = make_quarantine(*crash_in_turn(3, FATAL))
+    assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s - 0.1) is not None
+    assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s) is None
+    quarantine.note_crash(Crash("e3", (FATAL,), 2000.0))
+    assert quarantine.get_block(FATAL, 2000.0) == (4, 2 * TERMS.hold_s)
     for number in range(4, 40):
-        quarantine.note_crash(Crash(f"e{number}", (DEADLY,), 2000.0 + number))
-    ends, left_s = quarantine.get_block(DEADLY, 2010.0)
-    assert ends == MAX_CRASHES
-    assert left_s <= MAX_HOLD_S + 10.0
+        quarantine.note_crash(Crash(f"e{number}", (FATAL,), 2000.0 + number))
+    crashes, remaining_s = quarantine.get_block(FATAL, 2010.0)
+    assert crashes == MAX_CRASHES
+    assert remaining_s <= MAX_HOLD_S + 10.0
 
 
-def test_a_request_that_is_served_after_an_end_did_not_cause_it():
-    """It was lost with an engine, ran elsewhere and was served; later others end beside it."""
-    quarantine = make_quarantine(*end_in_turn(2, BESIDE))
-    assert quarantine.note_served(BESIDE, 3.0)
-    assert quarantine.count_crashes(BESIDE) == 0
-    quarantine.note_crash(Crash("e7", (BESIDE,), 3.0 + SERVED_IMMUNITY_S))
-    assert quarantine.count_crashes(BESIDE) == 1
+def test_request_served_after_a_crash_is_cleared():
+    """It was lost in a crash, retried elsewhere and served; later another endpoint crashes."""
+    quarantine = make_quarantine(*crash_in_turn(2, BYSTANDER))
+    assert quarantine.note_served(BYSTANDER, 3.0)
+    assert quarantine.count_crashes(BYSTANDER) == 0
+    quarantine.note_crash(Crash("e7", (BYSTANDER,), 3.0 + SERVED_IMMUNITY_S))
+    assert quarantine.count_crashes(BYSTANDER) == 1
 
 
-def test_endpoints_that_lose_power_together_dont_shut_out_what_many_callers_ask():
-    """Each of three endpoints was running one and the same request of different callers.
+def test_power_loss_does_not_block_a_request_of_many_callers():
+    """Three endpoints were running the same request for different callers, and lose power at once.
 
-    All end at once, and the request was served at each of them just before. Counted against it, it
-    would be refused to all callers for half an hour.
+    The request was served at each of them just before. If these crashes counted against it, it
+    would be blocked for all callers for half an hour.
     """
     quarantine = Quarantine(TERMS)
     assert not quarantine.note_served(OTHER, 10.0)
-    for crash in end_in_turn(3, OTHER, start=11.0):
+    for crash in crash_in_turn(3, OTHER, start=11.0):
         assert quarantine.note_crash(crash) is None
     assert quarantine.get_block(OTHER, 15.0) is None
 
 
-def test_an_endpoint_that_is_there_before_and_after_had_not_ended():
-    """Connections were reset three times, each time to another endpoint; all of them are there.
+def test_crash_of_an_endpoint_seen_alive_later_is_retracted():
+    """Connections to three endpoints were reset, which looked like crashes; all are still alive.
 
-    To the request it looked as if they ended. The news of one of the resets comes late.
+    The report of one of the resets arrives late.
     """
-    quarantine = make_quarantine(*end_in_turn(3, BESIDE))
-    assert quarantine.get_block(BESIDE, 3.0) is not None
+    quarantine = make_quarantine(*crash_in_turn(3, BYSTANDER))
+    assert quarantine.get_block(BYSTANDER, 3.0) is not None
     quarantine.note_alive("e0", since=-5.0, until=0.0)
-    assert quarantine.get_block(BESIDE, 3.0) is not None, "said before it seemed to end"
+    assert quarantine.get_block(BYSTANDER, 3.0) is not None, "seen alive before the crash"
     quarantine.note_alive("e0", since=-5.0, until=0.9 * MAX_READ_DELAY_S)
-    assert quarantine.get_block(BESIDE, 3.0) is not None, "read late"
+    assert quarantine.get_block(BYSTANDER, 3.0) is not None, "last output read late"
     quarantine.note_alive("e0", since=1.1 * MIN_RESTART_S, until=9.0)
-    assert quarantine.get_block(BESIDE, 3.0) is not None, "another life that took its name"
+    assert quarantine.get_block(BYSTANDER, 3.0) is not None, "a later incarnation"
     quarantine.note_alive("e0", since=0.0, until=0.5)
-    assert quarantine.get_block(BESIDE, 3.0) is None
-    assert quarantine.note_crash(Crash("e0", (BESIDE, OTHER), 0.0)) is None
-    assert quarantine.note_crash(Crash("e0", (BESIDE,), 9.0)) is not None, "it may end later"
+    assert quarantine.get_block(BYSTANDER, 3.0) is None
+    assert quarantine.note_crash(Crash("e0", (BYSTANDER, OTHER), 0.0)) is None
+    assert quarantine.note_crash(Crash("e0", (BYSTANDER,), 9.0)) is not None, "it may crash later"
 
 
-def test_an_endpoint_to_which_connections_open_at_once_had_not_ended():
-    """All connections to it were reset; what is opened within 0.2 s meets the same process."""
-    quarantine = make_quarantine(*end_in_turn(3, BESIDE))
+def test_crash_is_retracted_when_a_connection_opens_at_once():
+    """All its connections were reset; one opened within 0.2 s reaches the same process."""
+    quarantine = make_quarantine(*crash_in_turn(3, BYSTANDER))
     quarantine.note_alive("e0", since=0.9 * MIN_RESTART_S, until=MIN_RESTART_S)
-    assert quarantine.get_block(BESIDE, 3.0) is None
+    assert quarantine.get_block(BYSTANDER, 3.0) is None
 
 
-FACTS = st.one_of(
+EVENTS = st.one_of(
     st.tuples(
         st.just("crash"),
         st.builds(
@@ -145,48 +145,48 @@
 )
 
 
-@given(st.lists(FACTS, max_size=6), st.randoms())
-def test_hosts_that_hear_the_same_in_another_order_refuse_the_same(facts, random):
-    shuffled = [*facts, *random.sample(facts, len(facts) // 2)]
+@given(st.lists(EVENTS, max_size=6), st.randoms())
+def test_updates_in_any_order_give_the_same_crash_counts(events, random):
+    shuffled = [*events, *random.sample(events, len(events) // 2)]
     random.shuffle(shuffled)
     first, second = Quarantine(TERMS), Quarantine(TERMS)
-    for quarantine, told in ((first, facts), (second, shuffled)):
-        for kind, fact in told:
+    for quarantine, order in ((first, events), (second, shuffled)):
+        for kind, event in order:
             if kind == "crash":
-                quarantine.note_crash(fact)
+                quarantine.note_crash(event)
             else:
-                quarantine.note_served(*fact)
+                quarantine.note_served(*event)
     counts = [[q.count_crashes(digest) for digest in (1, 2, 3)] for q in (first, second)]
     assert counts[0] == counts[1]
 
 
-def test_what_is_listed_for_others_makes_them_refuse_the_same():
-    quarantine = make_quarantine(*end_in_turn(3, DEADLY, BESIDE), Crash("e9", (OTHER,), 50.0))
-    quarantine.note_served(BESIDE, 51.0)
+def test_listed_updates_reproduce_the_blocks_on_another_host():
+    quarantine = make_quarantine(*crash_in_turn(3, FATAL, BYSTANDER), Crash("e9", (OTHER,), 50.0))
+    quarantine.note_served(BYSTANDER, 51.0)
     quarantine.note_crash(Crash("e9", (4,), 52.0))
-    newcomer = Quarantine(TERMS)
-    newcomer.note_crash(Crash("e0", (BESIDE,), 0.0))
-    news = quarantine.list_updates(float("-inf"), 100)
-    for digest in news.served:
-        newcomer.note_served(digest, 52.0)
-    for crash in news.crashes:
-        newcomer.note_crash(crash)
-    assert newcomer.get_block(DEADLY, 60.0) == quarantine.get_block(DEADLY, 60.0)
-    assert [newcomer.count_crashes(digest) for digest in (BESIDE, OTHER, 4)] == [0, 1, 1]
-    lately = quarantine.list_updates(40.0, 100)
-    assert {crash.incarnation for crash in lately.crashes} == {"e9"}
-    assert lately.served == (BESIDE,)
-    few = quarantine.list_updates(float("-inf"), 1)
-    assert few.crashes == (Crash("e9", (4,), 52.0),)
-
-
-def test_what_is_remembered_is_bounded():
+    joining_host = Quarantine(TERMS)
+    joining_host.note_crash(Crash("e0", (BYSTANDER,), 0.0))
+    update = quarantine.list_updates(float("-inf"), 100)
+    for digest in update.served:
+        joining_host.note_served(digest, 52.0)
+    for crash in update.crashes:
+        joining_host.note_crash(crash)
+    assert joining_host.get_block(FATAL, 60.0) == quarantine.get_block(FATAL, 60.0)
+    assert [joining_host.count_crashes(digest) for digest in (BYSTANDER, OTHER, 4)] == [0, 1, 1]
+    recent = quarantine.list_updates(40.0, 100)
+    assert {crash.incarnation for crash in recent.crashes} == {"e9"}
+    assert recent.served == (BYSTANDER,)
+    limited = quarantine.list_updates(float("-inf"), 1)
+    assert limited.crashes == (Crash("e9", (4,), 52.0),)
+
+
+def test_retained_state_is_bounded():
     quarantine = Quarantine(TERMS)
     numbers = itertools.count(10)
-    for end in range(MAX_CRASHED + 50):
+    for crash_number in range(MAX_CRASHED + 50):
         digests = tuple(itertools.islice(numbers, 3))
-        quarantine.note_crash(Crash(f"e{end}", digests, float(end)))
-        quarantine.note_served(digests[0], float(end))
+        quarantine.note_crash(Crash(f"e{crash_number}", digests, float(crash_number)))
+        quarantine.note_served(digests[0], float(crash_number))
     assert len(quarantine._suspects) <= MAX_SUSPECTS
     assert len(quarantine._served) <= MAX_SERVED
     assert len(quarantine._cleared) <= MAX_SERVED
@@ -194,9 +194,9 @@
 
 
 @pytest.mark.parametrize("ends", [1, 2, 5])
-def test_the_number_of_ends_is_the_operators(ends):
+def test_number_of_crashes_is_a_setting(ends):
     quarantine = Quarantine(TERMS._replace(ends=ends))
-    for crash in end_in_turn(ends, DEADLY):
-        assert quarantine.get_block(DEADLY, 0.0) is None
+    for crash in crash_in_turn(ends, FATAL):
+        assert quarantine.get_block(FATAL, 0.0) is None
         quarantine.note_crash(crash)
-    assert quarantine.get_block(DEADLY, float(ends)) is not None
+    assert quarantine.get_block(FATAL, float(ends)) is not None
--- a/cloverway/tests/test_core_statements.py
+++ b/cloverway/tests/test_core_statements.py
@@ -1,4 +1,4 @@
-"""What is known of endpoints by their own word, joined from several sides; no network."""
+"""Merging the statements of endpoints from several sources; no network."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 @given(st.lists(STATEMENTS, max_size=4), st.data())
-def test_statements_join_to_the_same_in_any_order_and_however_often(statements, data):
-    """Guards against hosts that go on with different limits after the same news."""
+def test_join_is_commutative_and_idempotent(statements, data):
+    """Guards against hosts that end up with different limits after the same updates."""
     repeated = [*statements, *data.draw(st.lists(st.sampled_from(statements or [NO_STATEMENT])))]
     shuffled = data.draw(st.permutations(repeated))
-    joined = [list(itertools.accumulate(some, Statement.join)) for some in (statements, shuffled)]
-    last = max(statements, key=lambda s: (s.limit_at, -_read(s)), default=NO_STATEMENT)
+    joined = [list(itertools.accumulate(order, Statement.join)) for order in (statements, shuffled)]
+    last = max(statements, key=lambda s: (s.limit_at, -_limit_key(s)), default=NO_STATEMENT)
     expected = last._replace(leaving=any(statement.leaving for statement in statements))
-    assert [chain[-1] if chain else NO_STATEMENT for chain in joined] == [expected] * 2
+    assert [partial[-1] if partial else NO_STATEMENT for partial in joined] == [expected] * 2
 
 
-def _read(statement):
+def _limit_key(statement):
     return float("inf") if statement.limit_per_s is None else statement.limit_per_s
 
 
-def test_the_last_word_of_an_endpoint_holds():
+def test_latest_statement_is_in_force():
     known = Statements()
     assert known.note("e@1", Statement(2.0, 10.0)) == (News.LIMIT_NAMED,)
     assert not known.note("e@1", Statement(2.0, 11.0))
@@ -42,7 +42,7 @@
     assert known.get("e@2") == NO_STATEMENT
 
 
-def test_only_endpoints_that_named_a_limit_are_remembered_and_not_too_many():
+def test_only_statements_with_content_are_stored_up_to_a_maximum():
     known = Statements()
     assert not known.note("e", Statement(None, 5.0))
     assert known.list_since(float("-inf")) == []
@@ -52,17 +52,17 @@
     assert known.get(f"e{MAX_INCARNATIONS + 9}").limit_per_s == 1.0
 
 
-def test_limits_that_hold_are_told_on_and_ended_ones_for_a_while():
+def test_list_since_has_limits_in_force_and_recently_ended_ones():
     known = Statements()
     known.note("holds", Statement(1.0, 1.0))
-    for life, at in (("ended", 50.0), ("long-ended", 5.0)):
-        known.note(life, Statement(1.0, 1.0))
-        known.note(life, Statement(None, at))
-    assert {life for life, _ in known.list_since(40.0)} == {"holds", "ended"}
+    for incarnation, at in (("ended", 50.0), ("long-ended", 5.0)):
+        known.note(incarnation, Statement(1.0, 1.0))
+        known.note(incarnation, Statement(None, at))
+    assert {incarnation for incarnation, _ in known.list_since(40.0)} == {"holds", "ended"}
 
 
-def test_leaving_is_for_good_in_one_life():
-    """Guards against an older or a careless answer that brings a leaving endpoint back."""
+def test_leaving_is_final_within_one_incarnation():
+    """Guards against an older answer, or one without the flag, that revives a leaving endpoint."""
     known = Statements()
     assert known.note("e@1", Statement(leaving=True)) == (News.LEAVING,)
     assert known.note("e@1", Statement(None, 20.0)) == ()
