--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -20,14 +20,14 @@
 from cloverway.config.settings import Settings
 from cloverway.dispatch import residency
 from cloverway.dispatch.dispatcher import Dispatcher
-from cloverway.dispatch.ends import Ends
+from cloverway.dispatch.ends import CrashTracker
 from cloverway.entry.callers import CallerServer
 from cloverway.errors import RequestError, UserError
 from cloverway.gateway import Ports, RequestGateway
 from cloverway.logs import configure_logs
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.once.claims import Claims, KeyTask
+from cloverway.once.claims import Claims, LedgerTask
 from cloverway.operations.admin import AdminServer, Operations
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
@@ -148,9 +148,9 @@
         reporter = Reporter(self.metrics, holder)
         self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
         # What the dispatcher sees of endpoints that end, the control loop tells to other hosts.
-        ends = Ends(settings.quarantine)
-        self.dispatcher = Dispatcher.from_config(settings, holder, ends=ends)
-        self.keys = KeyTask.from_settings(settings, self.incarnation, self._may_hold)
+        ends = CrashTracker(settings.quarantine)
+        self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=ends)
+        self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_hold)
         self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_hold)
         self.endpoints = EndpointClient.from_settings(settings.limits, reporter.note_stream)
         self.gateway = RequestGateway(
--- a/cloverway/dispatch/catalogue.py
+++ b/cloverway/dispatch/catalogue.py
@@ -8,7 +8,7 @@
 from cloverway.config.published import Published
 
 
-class Offer(NamedTuple):
+class DomainCapacity(NamedTuple):
     """What one failure domain has been given for one model or service."""
 
     domain: str
@@ -22,34 +22,34 @@
 
     def __init__(self, published: Published) -> None:
         self.published = published
-        self._offers = _list_offers(published)
+        self._capacities = _list_capacities(published)
         self._hosts: dict[str, list[str]] = defaultdict(list)
         for name, host in sorted(published.hosts.items()):
             self._hosts[host.domain].append(name)
 
-    def offers(self, target: str) -> list[Offer]:
+    def list_capacities(self, target: str) -> list[DomainCapacity]:
         """List the failure domains that have endpoints for a model or service."""
-        return self._offers.get(target, [])
+        return self._capacities.get(target, [])
 
     def hosts(self, domain: str) -> list[str]:
         """List the names of a failure domain's hosts, sorted."""
         return self._hosts.get(domain, [])
 
-    def trip_s(self, here: str, there: str) -> float:
+    def get_latency_s(self, here: str, there: str) -> float:
         """Give the seconds of a trip one way between two regions, or within one."""
         if here == there:
             return 0.001
-        ends = (self.published.regions.get(here), self.published.regions.get(there))
-        return max((end.trip_ms for end in ends if end), default=0.0) / 1000
+        region_pair = (self.published.regions.get(here), self.published.regions.get(there))
+        return max((region.trip_ms for region in region_pair if region), default=0.0) / 1000
 
 
-def _list_offers(published: Published) -> dict[str, list[Offer]]:
+def _list_capacities(published: Published) -> dict[str, list[DomainCapacity]]:
     counts: dict[tuple[str, str], list[int]] = defaultdict(list)
     for endpoint in published.endpoints.values():
         for target in (*endpoint.models, *endpoint.services):
             counts[target, endpoint.domain].append(endpoint.slots)
-    offers: dict[str, list[Offer]] = defaultdict(list)
+    capacities: dict[str, list[DomainCapacity]] = defaultdict(list)
     for (target, domain), slots in sorted(counts.items()):
         region = published.region_of(domain)
-        offers[target].append(Offer(domain, region, len(slots), sum(slots)))
-    return dict(offers)
+        capacities[target].append(DomainCapacity(domain, region, len(slots), sum(slots)))
+    return dict(capacities)
--- a/cloverway/dispatch/dispatcher.py
+++ b/cloverway/dispatch/dispatcher.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from cloverway.config.settings import Settings
-from cloverway.dispatch.decisions import Core, Decided, Figures
-from cloverway.dispatch.ends import Ends
+from cloverway.dispatch.decisions import Decision, DispatchCore, DispatchStats
+from cloverway.dispatch.ends import CrashTracker
 from cloverway.dispatch.explanation import Explanation
 from cloverway.errors import Kind
 from cloverway.membership.view import ViewHolder
@@ -35,9 +35,9 @@
 
 TICK_S = 0.01
 """Period in which waiting requests are looked at; well below the 20 ms that a refusal may take."""
-LONGEST_WAIT_S = 3_605.0
+MAX_RETRY_WAIT_S = 3_605.0
 """Bound on the wait for a new route: the longest deadline of a profile, and the grace."""
-GRACE_S = 5.0
+VERDICT_GRACE_S = 5.0
 """How long after its deadline a worker still waits for its verdict."""
 
 
@@ -53,15 +53,15 @@
     """Hand out routes; safe to call from every thread."""
 
     def __init__(
-        self, core: Core, holder: ViewHolder, clock: Callable[[], float], random: Random
+        self, core: DispatchCore, holder: ViewHolder, clock: Callable[[], float], random: Random
     ) -> None:
         self._core = core
         self._holder = holder
         self._clock = clock
         self._random = random
-        self._places = itertools.count(1)
+        self._entry_ids = itertools.count(1)
         self._waiting: dict[int, Future[Verdict | None]] = {}
-        self._figures = Figures()
+        self._stats = DispatchStats()
         self._task = Task("dispatcher", self._handle, self._tick, TICK_S)
 
     @classmethod
@@ -71,10 +71,12 @@
         holder: ViewHolder,
         clock: Callable[[], float] = time.monotonic,
         random: Random | None = None,
-        ends: Ends | None = None,
+        crash_tracker: CrashTracker | None = None,
     ) -> Dispatcher:
         """Make a dispatcher from a daemon's settings; `start` runs it."""
-        return cls(Core.from_config(settings, ends), holder, clock, random or Random())
+        return cls(
+            DispatchCore.from_config(settings, crash_tracker), holder, clock, random or Random()
+        )
 
     def start(self) -> None:
         """Start the thread."""
@@ -105,7 +107,7 @@
     ) -> Verdict | None:
         """Note the end of an attempt; with `retry` wait for a new route or a refusal."""
         answer = self._task.send(Finished(ticket, outcome, at, retry, pause_s))
-        verdict: Verdict | None = answer.result(LONGEST_WAIT_S) if retry else None
+        verdict: Verdict | None = answer.result(MAX_RETRY_WAIT_S) if retry else None
         return verdict
 
     def cancel(self, request_id: str) -> None:
@@ -114,29 +116,29 @@
 
     def explain(self, team: str, profile: str, now: float) -> Explanation:
         """Say where a request would go, and why."""
-        explanation: Explanation = self._task.ask(Explain(team, profile, now), GRACE_S)
+        explanation: Explanation = self._task.ask(Explain(team, profile, now), VERDICT_GRACE_S)
         return explanation
 
     def load(self) -> float:
         """Give requests in progress over the limit, 0 to 1."""
-        return self._figures.load
+        return self._stats.load
 
     def in_flight(self) -> int:
         """Count attempts in progress."""
-        return self._figures.in_flight
+        return self._stats.in_flight
 
     def queued(self) -> int:
         """Count requests that wait for a route."""
-        return self._figures.queued
+        return self._stats.queued
 
     def count_targets(self) -> dict[str, int]:
         """Count requests in progress by model or service."""
-        return self._figures.targets
+        return self._stats.targets
 
     def _ask_verdict(self, message: Arrival, request: Request) -> Verdict:
         answer = self._task.send(message)
         try:
-            verdict: Verdict = answer.result(request.deadline - self._clock() + GRACE_S)
+            verdict: Verdict = answer.result(request.deadline - self._clock() + VERDICT_GRACE_S)
         except TimeoutError:
             log.error("the dispatcher gave no verdict", extra={"request_id": request.id})
             self.cancel(request.id)
@@ -148,34 +150,34 @@
         view = self._holder.current
         match message:
             case Arrival(request):
-                place = self._hold(answer)
-                self._answer(self._core.arrive(place, request, view, now, self._random))
+                entry_id = self._register(answer)
+                self._deliver(self._core.arrive(entry_id, request, view, now, self._random))
             case Started(ticket, at):
                 self._core.start(ticket, view, at)
                 answer.set_result(None)
             case Finished(ticket, outcome, at, retry, pause_s):
-                held = self._hold(answer) if retry else None
+                retry_id = self._register(answer) if retry else None
                 decided = self._core.finish(
-                    ticket, outcome, view, now, self._random, retry=held, pause_s=pause_s
+                    ticket, outcome, view, now, self._random, retry=retry_id, pause_s=pause_s
                 )
-                self._answer(decided)
-                if held is None:
+                self._deliver(decided)
+                if retry_id is None:
                     answer.set_result(None)
             case Cancelled(request_id):
-                self._answer(self._core.cancel(request_id))
+                self._deliver(self._core.cancel(request_id))
                 answer.set_result(None)
             case Explain(team, profile, at):
                 answer.set_result(self._core.explain(team, profile, view, at))
 
     def _tick(self) -> None:
-        self._answer(self._core.advance(self._holder.current, self._clock(), self._random))
+        self._deliver(self._core.advance(self._holder.current, self._clock(), self._random))
 
-    def _hold(self, answer: Future[Verdict | None]) -> int:
-        place = next(self._places)
-        self._waiting[place] = answer
-        return place
+    def _register(self, answer: Future[Verdict | None]) -> int:
+        entry_id = next(self._entry_ids)
+        self._waiting[entry_id] = answer
+        return entry_id
 
-    def _answer(self, decided: Iterable[Decided]) -> None:
-        self._figures = self._core.figures()
-        for place, verdict in decided:
-            self._waiting.pop(place).set_result(verdict)
+    def _deliver(self, decided: Iterable[Decision]) -> None:
+        self._stats = self._core.get_stats()
+        for entry_id, verdict in decided:
+            self._waiting.pop(entry_id).set_result(verdict)
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -14,15 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-RETOLD_S = 6.0
+REBROADCAST_S = 6.0
 """How long an end is told again after it happened: a dozen heartbeats, of which all get lost only
 where the link is cut."""
-MOST_TOLD = 64
+MAX_BROADCAST_REQUESTS = 64
 """Requests that are told of at a time: those of one endpoint that ended with all of its slots
 taken."""
 
 
-class Ends:
+class CrashTracker:
     """Counts the endpoints that ended under requests, and refuses those that go on ending them.
 
     The dispatcher asks and notes, and the control loop hears from other hosts and tells them, each
@@ -32,7 +32,7 @@
     def __init__(self, terms: QuarantineTerms) -> None:
         self._quarantine = Quarantine(terms, unsure_ends=0)
         self._lock = threading.Lock()
-        self._is_fresh = False
+        self._has_urgent = False
 
     def find_refusal(self, request: Request, now: float) -> Refused | None:
         """Give the refusal of a request that has ended too many endpoints, or None."""
@@ -47,56 +47,56 @@
         with self._lock:
             return self._quarantine.get_hold(digest, now)
 
-    def note(self, ended: Ticket, outcome: Outcome, view: View, now: float) -> None:
+    def record_outcome(self, ticket: Ticket, outcome: Outcome, view: View, now: float) -> None:
         """Learn from the end of an attempt at an endpoint of this failure domain."""
-        if not isinstance(ended.candidate.route, Local):
+        if not isinstance(ticket.candidate.route, Local):
             return
-        life = f"{ended.candidate.name}@{ended.incarnation}"
-        digest = ended.entry.request.compute_digest()
+        endpoint_incarnation = f"{ticket.candidate.name}@{ticket.incarnation}"
+        digest = ticket.entry.request.compute_digest()
         if outcome is Outcome.LOST:
-            self.note_end(Crash(life, (digest,), now))
+            self.record_crash(Crash(endpoint_incarnation, (digest,), now))
         elif outcome is Outcome.DONE:
-            self.note_served(digest, now)
-            self._note_report(life, view.endpoints.get(ended.candidate.name))
+            self.record_served(digest, now)
+            self._record_report(endpoint_incarnation, view.endpoints.get(ticket.candidate.name))
 
-    def _note_report(self, life: str, state: EndpointState | None) -> None:
+    def _record_report(self, endpoint_incarnation: str, state: EndpointState | None) -> None:
         """Note until when a life of an endpoint was there, by its last report.
 
         An answer alone doesn't tell which life gave it: one that is back within 0.1 s is taken for
         the one before until it is reported, and would take back the end that it came from.
         """
-        if state is not None and life == f"{state.name}@{state.incarnation}":
+        if state is not None and endpoint_incarnation == f"{state.name}@{state.incarnation}":
             with self._lock:
-                self._quarantine.note_alive(life, float("-inf"), state.reported_at)
+                self._quarantine.note_alive(endpoint_incarnation, float("-inf"), state.reported_at)
 
-    def note_end(self, crash: Crash) -> None:
+    def record_crash(self, crash: Crash) -> None:
         """Note that an endpoint ended while it ran some requests."""
         with self._lock:
-            fresh = self._quarantine.note_crash(crash)
-            self._is_fresh = self._is_fresh or fresh is not None
-        self._tell([fresh], is_heard=False, now=crash.at)
+            new_crash = self._quarantine.note_crash(crash)
+            self._has_urgent = self._has_urgent or new_crash is not None
+        self._log_crashes([new_crash], is_remote=False, now=crash.at)
 
-    def note_served(self, digest: int, now: float) -> None:
+    def record_served(self, digest: int, now: float) -> None:
         """Note that a request had a whole answer."""
         with self._lock:
             if self._quarantine.note_served(digest, now):
-                self._is_fresh = True
+                self._has_urgent = True
 
-    def hear(self, news: CrashNews, now: float) -> None:
+    def apply_update(self, update: CrashNews, now: float) -> None:
         """Take over what another host tells. It goes on with the next heartbeats."""
         with self._lock:
-            for digest in news.served:
+            for digest in update.served:
                 self._quarantine.note_served(digest, now)
-            fresh = [self._quarantine.note_crash(crash) for crash in news.crashes]
-        self._tell(fresh, is_heard=True, now=now)
+            new_crashes = [self._quarantine.note_crash(crash) for crash in update.crashes]
+        self._log_crashes(new_crashes, is_remote=True, now=now)
 
-    def take_fresh(self) -> bool:
+    def take_urgent(self) -> bool:
         """Tell, once, whether this host has seen something that others are to know at once."""
         with self._lock:
-            is_fresh, self._is_fresh = self._is_fresh, False
-        return is_fresh
+            has_urgent, self._has_urgent = self._has_urgent, False
+        return has_urgent
 
-    def list_news(self, now: float, full: bool = False) -> CrashNews:
+    def list_updates(self, now: float, full: bool = False) -> CrashNews:
         """List what was learnt lately, for other hosts; in full with what requests are held for.
 
         An end for which nothing is refused, and who was served, is told only while it is news. Told
@@ -104,24 +104,26 @@
         request that turns deadly later from being found out.
         """
         with self._lock:
-            recent = self._quarantine.list_news(now - RETOLD_S, MOST_TOLD)
-            held = self._quarantine.list_held(now, MOST_TOLD) if full else ()
+            recent = self._quarantine.list_news(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
+            held = self._quarantine.list_held(now, MAX_BROADCAST_REQUESTS) if full else ()
         return recent._replace(crashes=recent.crashes + held)
 
-    def _tell(self, fresh: Iterable[Crash | None], is_heard: bool, now: float) -> None:
+    def _log_crashes(
+        self, new_crashes: Iterable[Crash | None], is_remote: bool, now: float
+    ) -> None:
         """Log the endpoints that ended, and the requests that are refused from now on."""
-        for crash in filter(None, fresh):
+        for crash in filter(None, new_crashes):
             log.info(
                 "an endpoint has ended",
-                extra={"life": crash.life, "requests": len(crash.digests), "heard": is_heard},
+                extra={"life": crash.life, "requests": len(crash.digests), "heard": is_remote},
             )
             for digest in crash.digests:
                 hold = self.find_hold(digest, now)
                 if hold is not None:
-                    shown = {
+                    fields = {
                         "request_digest": f"{digest:016x}",
                         "life": crash.life,
                         "ends": hold.ends,
                         "hold_s": round(hold.left_s, 1),
                     }
-                    log.warning("a request is refused from now on", extra=shown)
+                    log.warning("a request is refused from now on", extra=fields)
--- a/cloverway/dispatch/estimates.py
+++ b/cloverway/dispatch/estimates.py
@@ -8,14 +8,14 @@
 
 SAMPLE_WEIGHT = 0.03
 PRIOR_SERVICE_S = 1.0
-PRIOR_FIRST_S = 0.1
-PRIOR_COLD_BYTE_S = 25e-6
+PRIOR_FIRST_TOKEN_S = 0.1
+PRIOR_PREFILL_S_PER_BYTE = 25e-6
 """Seconds to read a byte of a prompt that isn't cached: 10,000 tokens a second, 4 bytes each."""
-LEAST_S = 1e-3
+MIN_S = 1e-3
 QUANTILE_STEP = 0.05
-WARM_PART = 0.2
-COLD_PART = 0.5
-DEADLINE_PART = 0.1
+WARM_QUANTILE = 0.2
+COLD_QUANTILE = 0.5
+PRIOR_DEADLINE_FRACTION = 0.1
 """A profile that never ran is taken to need a tenth of its deadline, if that is little."""
 
 
@@ -38,12 +38,12 @@
 class Quantile:
     """A running quantile; unlike a mean, it isn't moved far by samples of another kind."""
 
-    __slots__ = ("_part", "samples", "value")
+    __slots__ = ("_fraction", "samples", "value")
 
-    def __init__(self, part: float) -> None:
-        self._part = part
+    def __init__(self, fraction: float) -> None:
+        self._fraction = fraction
         self.samples = 0
-        self.value = LEAST_S
+        self.value = MIN_S
 
     def add(self, sample: float) -> None:
         """Take in a sample above zero."""
@@ -51,7 +51,7 @@
         if self.samples == 1:
             self.value = sample
         step = max(QUANTILE_STEP, 1.0 / self.samples)
-        self.value *= exp(step * (self._part - (sample < self.value)))
+        self.value *= exp(step * (self._fraction - (sample < self.value)))
 
 
 class Estimates:
@@ -59,52 +59,61 @@
 
     def __init__(self) -> None:
         self._service: dict[str, Mean] = {}
-        self._hold: dict[str, Mean] = {}
-        self._first: dict[str, Quantile] = {}
-        self._cold_byte: dict[str, Quantile] = {}
+        self._slot: dict[str, Mean] = {}
+        self._first_token: dict[str, Quantile] = {}
+        self._prefill_per_byte: dict[str, Quantile] = {}
 
     def service_s(self, name: str, profile: Profile) -> float:
         """Give the seconds for which a request of a profile holds a slot."""
         mean = self._service.get(name)
         if mean is None:
-            return min(PRIOR_SERVICE_S, DEADLINE_PART * profile.deadline_ms / 1000)
-        return max(LEAST_S, mean.value)
+            return min(PRIOR_SERVICE_S, PRIOR_DEADLINE_FRACTION * profile.deadline_ms / 1000)
+        return max(MIN_S, mean.value)
 
-    def first_s(self, target: str, cold_bytes: float) -> float:
+    def first_token_s(self, target: str, uncached_bytes: float) -> float:
         """Give the seconds from a free slot to the first token, with some of the prompt cold."""
-        warm = self._first[target].value if self._is_known(self._first, target) else PRIOR_FIRST_S
-        return warm + self.cold_s(target, cold_bytes)
-
-    def cold_s(self, target: str, cold_bytes: float) -> float:
+        cached = (
+            self._first_token[target].value
+            if self._is_known(self._first_token, target)
+            else PRIOR_FIRST_TOKEN_S
+        )
+        return cached + self.prefill_s(target, uncached_bytes)
+
+    def prefill_s(self, target: str, uncached_bytes: float) -> float:
         """Give the seconds to read some bytes of a prompt that aren't cached."""
-        known = self._is_known(self._cold_byte, target)
-        return cold_bytes * (self._cold_byte[target].value if known else PRIOR_COLD_BYTE_S)
+        known = self._is_known(self._prefill_per_byte, target)
+        return uncached_bytes * (
+            self._prefill_per_byte[target].value if known else PRIOR_PREFILL_S_PER_BYTE
+        )
 
-    def note_first(self, target: str, seconds: float, cold_bytes: float) -> None:
+    def record_first_token(self, target: str, seconds: float, uncached_bytes: float) -> None:
         """Take in the time to a first token that was predicted to meet no queue.
 
         What was sent to a place once may have been evicted there, and what this host never sent
         there a sibling may have. So the fixed part is a low quantile of the prompts that may be
         cached, and the part that grows with cold bytes a middle one of the others.
         """
-        warm = self._first.setdefault(target, Quantile(WARM_PART))
-        cold = self._cold_byte.setdefault(target, Quantile(COLD_PART))
-        if cold_bytes * (cold.value if cold.samples else PRIOR_COLD_BYTE_S) < seconds / 4:
-            warm.add(max(LEAST_S, seconds))
-        elif warm.samples and seconds > warm.value:
-            cold.add((seconds - warm.value) / cold_bytes)
-
-    def note_service(self, name: str, seconds: float) -> None:
+        cached = self._first_token.setdefault(target, Quantile(WARM_QUANTILE))
+        uncached = self._prefill_per_byte.setdefault(target, Quantile(COLD_QUANTILE))
+        if (
+            uncached_bytes * (uncached.value if uncached.samples else PRIOR_PREFILL_S_PER_BYTE)
+            < seconds / 4
+        ):
+            cached.add(max(MIN_S, seconds))
+        elif cached.samples and seconds > cached.value:
+            uncached.add((seconds - cached.value) / uncached_bytes)
+
+    def record_service(self, name: str, seconds: float) -> None:
         """Take in the time for which a whole answer held its slot."""
-        self._service.setdefault(name, Mean(max(seconds, LEAST_S))).add(max(seconds, LEAST_S))
+        self._service.setdefault(name, Mean(max(seconds, MIN_S))).add(max(seconds, MIN_S))
 
-    def hold_s(self, target: str) -> float:
+    def mean_slot_s(self, target: str) -> float:
         """Give the mean seconds for which a slot is held, over all profiles of a target."""
-        return self._hold[target].value if target in self._hold else PRIOR_SERVICE_S
+        return self._slot[target].value if target in self._slot else PRIOR_SERVICE_S
 
-    def note_hold(self, target: str, seconds: float) -> None:
+    def record_slot_time(self, target: str, seconds: float) -> None:
         """Take in the time for which a whole answer held its slot, by target."""
-        self._hold.setdefault(target, Mean(max(seconds, LEAST_S))).add(seconds)
+        self._slot.setdefault(target, Mean(max(seconds, MIN_S))).add(seconds)
 
-    def _is_known(self, learnt: dict[str, Quantile], target: str) -> bool:
-        return target in learnt and learnt[target].samples > 0
+    def _is_known(self, quantiles: dict[str, Quantile], target: str) -> bool:
+        return target in quantiles and quantiles[target].samples > 0
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Mapping
 from typing import TypedDict
 
-from cloverway.dispatch.admission import Line, Waiting
-from cloverway.dispatch.catalogue import Offer
-from cloverway.dispatch.outlook import NOWHERE, Outlook
-from cloverway.dispatch.policies import Choice, Policy, Reach
-from cloverway.dispatch.routing import Candidate, Router, name_domain
+from cloverway.dispatch.admission import QueueEntry, RequestQueue
+from cloverway.dispatch.catalogue import DomainCapacity
+from cloverway.dispatch.outlook import HOME_CANNOT_SERVE, PlacementContext
+from cloverway.dispatch.policies import PlacementOptions, Policy, Reach
+from cloverway.dispatch.routing import Candidate, Router, make_domain_key
 from cloverway.errors import Kind
 from cloverway.messages import Away, Request
 
-PROBE_S = 60.0
+PROBE_DEADLINE_S = 60.0
 """Time that an explained request is taken to have."""
 
 
@@ -47,7 +47,7 @@
     candidates: list[CandidateRow]
 
 
-def explain_unready(team: str, profile: str, policy: str, kind: Kind) -> Explanation:
+def explain_not_ready(team: str, profile: str, policy: str, kind: Kind) -> Explanation:
     """Say that a host takes no work at all."""
     return Explanation(
         team=team,
@@ -61,67 +61,77 @@
 
 
 def explain(
-    outlook: Outlook,
-    lines: Mapping[str, Line],
+    context: PlacementContext,
+    queues: Mapping[str, RequestQueue],
     policy: Policy,
     policy_name: str,
-    asked: tuple[str, str],
+    team_and_profile: tuple[str, str],
 ) -> Explanation:
     """Say where a request of a (team, profile) would go, and why; decides nothing."""
-    request = _make_probe(*asked, outlook.now)
-    refusal = outlook.find_refusal(request)
+    request = _make_probe(*team_and_profile, context.now)
+    refusal = context.find_refusal(request)
     if refusal is not None:
-        return explain_unready(*asked, policy_name, refusal)
-    entry = outlook.make_entry(0, request)
-    line = lines.get(entry.target) or Line()
-    states = outlook.router.list_local_states(entry.target)
-    choice = outlook.weigh(line, entry, states, Reach.ALL, sending=False)
-    chosen = policy.choose(choice, outlook.random)
-    home = outlook.predict_home(line, entry)
-    fault = outlook.find_fault(line, entry)
-    allowed = outlook.allow(request)
+        return explain_not_ready(*team_and_profile, policy_name, refusal)
+    entry = context.make_entry(0, request)
+    queue = queues.get(entry.target) or RequestQueue()
+    states = context.router.list_local_states(entry.target)
+    options = context.gather_options(queue, entry, states, Reach.ALL, recently_sent_away=False)
+    chosen = policy.choose(options, context.random)
+    home = context.predict_home(queue, entry)
+    refusal_kind = context.find_queue_refusal(queue, entry)
+    allowed = context.list_allowed_regions(request)
     return Explanation(
         team=request.team,
         profile=request.profile,
         policy=policy_name,
         allowed_regions=sorted(allowed),
-        verdict=chosen.name.rpartition("/")[2] if chosen else str(fault or "queued"),
-        home_wait_s=None if home == NOWHERE else round(0.0 if chosen else home.wait_s, 4),
+        verdict=chosen.name.rpartition("/")[2] if chosen else str(refusal_kind or "queued"),
+        home_wait_s=None if home == HOME_CANNOT_SERVE else round(0.0 if chosen else home.wait_s, 4),
         candidates=[
-            *_explain_choice(choice, chosen, lambda place: policy.weigh_away(place, choice)),
-            *_explain_rest(outlook.router, entry, allowed, choice),
+            *_explain_candidates(
+                options, chosen, lambda place: policy.adjust_away_cost(place, options)
+            ),
+            *_explain_excluded(context.router, entry, allowed, options),
         ],
     )
 
 
-def _explain_choice(
-    choice: Choice, chosen: Candidate | None, weigh: Callable[[Candidate], float]
+def _explain_candidates(
+    options: PlacementOptions, chosen: Candidate | None, adjust: Callable[[Candidate], float]
 ) -> list[CandidateRow]:
     """Describe each candidate and why it was taken or left out."""
     return [
         _make_row(
             candidate,
             chosen=candidate is chosen,
-            why="chosen by the policy" if candidate is chosen else _say_why_not(candidate, weigh),
+            why=(
+                "chosen by the policy"
+                if candidate is chosen
+                else _explain_rejection(candidate, adjust)
+            ),
         )
-        for candidate in (*choice.local, *choice.away)
+        for candidate in (*options.local, *options.away)
     ]
 
 
-def _explain_rest(
-    router: Router, entry: Waiting, allowed: frozenset[str], choice: Choice
+def _explain_excluded(
+    router: Router, entry: QueueEntry, allowed: frozenset[str], options: PlacementOptions
 ) -> list[CandidateRow]:
     """Describe the places that were no candidates, and why."""
-    listed = {candidate.name for candidate in (*choice.local, *choice.away)}
+    listed = {candidate.name for candidate in (*options.local, *options.away)}
     endpoints = [
-        (name, router.view.region, _rule_out_endpoint(router, entry, name, allowed))
+        (name, router.view.region, _explain_endpoint_exclusion(router, entry, name, allowed))
         for name in router.catalogue.published.endpoints_of(router.view.domain)
         if name not in listed
     ]
     domains = [
-        (offer.domain, offer.region, _rule_out_domain(router, offer, entry.target, allowed))
-        for offer in router.catalogue.offers(entry.target)
-        if offer.domain != router.view.domain and name_domain(offer.domain) not in listed
+        (
+            capacity.domain,
+            capacity.region,
+            _explain_domain_exclusion(router, capacity, entry.target, allowed),
+        )
+        for capacity in router.catalogue.list_capacities(entry.target)
+        if capacity.domain != router.view.domain and make_domain_key(capacity.domain) not in listed
     ]
     rows = [(*row, False) for row in endpoints] + [(*row, True) for row in domains]
     return [
@@ -149,7 +159,7 @@
         body=b"",
         content_type="",
         arrived_at=now,
-        deadline=now + PROBE_S,
+        deadline=now + PROBE_DEADLINE_S,
     )
 
 
@@ -166,15 +176,17 @@
     )
 
 
-def _say_why_not(candidate: Candidate, weigh: Callable[[Candidate], float]) -> str:
+def _explain_rejection(candidate: Candidate, adjust: Callable[[Candidate], float]) -> str:
     if not candidate.free:
         return "no slot is free"
     if isinstance(candidate.route, Away):
-        return f"costs {weigh(candidate):.3f} s with the weight of being sent away"
+        return f"costs {adjust(candidate):.3f} s with the weight of being sent away"
     return "a higher predicted cost"
 
 
-def _rule_out_endpoint(router: Router, entry: Waiting, name: str, allowed: frozenset[str]) -> str:
+def _explain_endpoint_exclusion(
+    router: Router, entry: QueueEntry, name: str, allowed: frozenset[str]
+) -> str:
     state = router.view.endpoints.get(name)
     if router.view.region not in allowed:
         return "residency does not allow this region"
@@ -187,12 +199,14 @@
     return "left alone after failures"
 
 
-def _rule_out_domain(router: Router, offer: Offer, target: str, allowed: frozenset[str]) -> str:
-    if offer.region not in allowed:
+def _explain_domain_exclusion(
+    router: Router, capacity: DomainCapacity, target: str, allowed: frozenset[str]
+) -> str:
+    if capacity.region not in allowed:
         return "residency does not allow this region"
-    if router.knowledge.outliers.is_paused(name_domain(offer.domain), router.now):
+    if router.learned.outliers.is_paused(make_domain_key(capacity.domain), router.now):
         return "left alone after it refused"
-    summary = router.view.summaries.get((offer.domain, target))
+    summary = router.view.summaries.get((capacity.domain, target))
     if summary is not None and not router.is_usable(summary):
         return "no endpoint is ready, or its summary is too old"
     return "no live host is known there"
--- a/cloverway/dispatch/limits.py
+++ b/cloverway/dispatch/limits.py
@@ -16,34 +16,34 @@
 """An older report says nothing about the other hosts; only the own share is used then."""
 HEADROOM = 1.25
 """Part of the slots that may be in flight, so that a warm cache can be waited for in the engine."""
-CUT = 0.8
-CUT_PAUSE_S = 0.5
+DECREASE_FACTOR = 0.8
+DECREASE_INTERVAL_S = 0.5
 """One cut for all answers that met the same queue."""
 
 
-class Flight:
+class AttemptCounter:
     """Own attempts in progress at one place, with the past needed to read late reports."""
 
-    __slots__ = ("_ages", "_changes", "_paces", "in_flight", "reading_s")
+    __slots__ = ("_changes", "_rate_sum", "_start_sum", "in_flight", "pending_prefill_s")
 
     def __init__(self) -> None:
         self.in_flight = 0
         self._changes: deque[tuple[float, int]] = deque()
-        self.reading_s = 0.0
+        self.pending_prefill_s = 0.0
         """Seconds of reading prompts that were sent there and gave no first token yet."""
-        self._ages = 0.0
-        self._paces = 0.0
+        self._start_sum = 0.0
+        self._rate_sum = 0.0
 
     def begin(self, now: float, expected_s: float) -> None:
         """Count an attempt that begins."""
-        self._ages += now / expected_s
-        self._paces += 1 / expected_s
+        self._start_sum += now / expected_s
+        self._rate_sum += 1 / expected_s
         self._change(1, now)
 
-    def end(self, now: float, began_at: float, expected_s: float) -> None:
+    def end(self, now: float, started_at: float, expected_s: float) -> None:
         """Count an attempt that ended."""
-        self._ages -= began_at / expected_s
-        self._paces -= 1 / expected_s
+        self._start_sum -= started_at / expected_s
+        self._rate_sum -= 1 / expected_s
         self._change(-1, now)
 
     def count_at(self, at: float) -> int:
@@ -57,34 +57,34 @@
         """Give the mean age of attempts in progress, each over its expected time."""
         if not self.in_flight:
             return 0.0
-        return max(0.0, now * self._paces - self._ages) / self.in_flight
+        return max(0.0, now * self._rate_sum - self._start_sum) / self.in_flight
 
-    def _change(self, by: int, now: float) -> None:
-        self.in_flight += by
+    def _change(self, delta: int, now: float) -> None:
+        self.in_flight += delta
         assert self.in_flight >= 0, "in flight is never negative"
         self._changes.append((now, self.in_flight))
         while len(self._changes) > 1 and self._changes[1][0] < now - HISTORY_S:
             self._changes.popleft()
         if not self.in_flight:
-            self._ages = self._paces = self.reading_s = 0.0
+            self._start_sum = self._rate_sum = self.pending_prefill_s = 0.0
 
 
-class Limit:
+class ConcurrencyLimit:
     """Adaptive concurrency: additive increase, multiplicative decrease on queue time."""
 
-    __slots__ = ("_cut_at", "value")
+    __slots__ = ("_decreased_at", "value")
 
     def __init__(self, slots: int) -> None:
         self.value = slots * HEADROOM
-        self._cut_at = float("-inf")
+        self._decreased_at = float("-inf")
 
-    def note(self, queue_s: float, bearable_s: float, slots: int, now: float) -> None:
+    def record_queue_time(self, queue_s: float, tolerated_s: float, slots: int, now: float) -> None:
         """Take in the queue time of an answer that was predicted to meet no queue."""
-        if queue_s <= bearable_s:
+        if queue_s <= tolerated_s:
             self.value = min(slots * HEADROOM, self.value + 1 / self.value)
-        elif now >= self._cut_at + CUT_PAUSE_S:
-            self.value = max(1.0, self.value * CUT)
-            self._cut_at = now
+        elif now >= self._decreased_at + DECREASE_INTERVAL_S:
+            self.value = max(1.0, self.value * DECREASE_FACTOR)
+            self._decreased_at = now
 
 
 def share_slots(slots: int, hosts: int) -> int:
@@ -92,7 +92,9 @@
     return max(1, slots // max(1, hosts))
 
 
-def estimate_others(state: EndpointState, flight: Flight, hosts: int, now: float) -> float:
+def estimate_others_in_flight(
+    state: EndpointState, attempts: AttemptCounter, hosts: int, now: float
+) -> float:
     """Estimate what the other hosts have in flight at an endpoint.
 
     The report holds our own part as it was then; what we have added since, each sibling has
@@ -102,6 +104,6 @@
         return 0.0
     if now - state.reported_at > STALE_REPORT_S:
         return float(state.slots - share_slots(state.slots, hosts))
-    own_then = flight.count_at(state.reported_at)
+    own_then = attempts.count_at(state.reported_at)
     reported = max(0, state.running + state.waiting - own_then)
-    return max(0, reported + (flight.in_flight - own_then) * (hosts - 1))
+    return max(0, reported + (attempts.in_flight - own_then) * (hosts - 1))
--- a/cloverway/dispatch/prompts.py
+++ b/cloverway/dispatch/prompts.py
@@ -6,7 +6,7 @@
 
 BLOCK_BYTES = 1024
 """Engines cache by blocks of tokens; about 256 tokens is fine enough to tell prompts apart."""
-MOST_BLOCKS = 32
+MAX_BLOCKS = 32
 """Bound on the work for one request; two prompts that agree so far share their cache anyhow."""
 PROMPT_FIELDS = (b'"messages"', b'"prompt"')
 
@@ -24,11 +24,11 @@
     @classmethod
     def from_body(cls, body: bytes) -> Prefix:
         """Hash the blocks of a JSON body from its prompt on; a short prompt has none."""
-        begin = _find_prompt(body)
+        begin = _find_prompt_start(body)
         length = len(body) - begin
         running = blake2b(digest_size=8)
         hashes = []
-        for block in range(min(length // BLOCK_BYTES, MOST_BLOCKS)):
+        for block in range(min(length // BLOCK_BYTES, MAX_BLOCKS)):
             at = begin + block * BLOCK_BYTES
             running.update(body[at : at + BLOCK_BYTES])
             hashes.append(running.digest())
@@ -39,12 +39,12 @@
         """Give what hosts agree by on an endpoint for this prefix; empty for a short prompt."""
         return self.hashes[min(1, len(self.hashes) - 1)] if self.hashes else b""
 
-    def cold_bytes(self, matched: int) -> int:
+    def uncached_bytes(self, matched: int) -> int:
         """Count the bytes that an engine must read when it holds the first `matched` blocks."""
         return self.length - matched * BLOCK_BYTES
 
 
-def _find_prompt(body: bytes) -> int:
+def _find_prompt_start(body: bytes) -> int:
     """Give where the prompt begins: fields before it, such as a seed, differ for each call."""
     found = [at for at in (body.find(field) for field in PROMPT_FIELDS) if at >= 0]
     return min(found, default=0)
--- a/cloverway/dispatch/residency.py
+++ b/cloverway/dispatch/residency.py
@@ -6,7 +6,7 @@
 from cloverway.errors import Kind, RequestError
 from cloverway.messages import Request
 
-NOWHERE: frozenset[str] = frozenset()
+NO_REGIONS: frozenset[str] = frozenset()
 
 
 def allowed_regions(published: Published, team: str, profile: str) -> frozenset[str]:
@@ -17,14 +17,14 @@
     known_team = published.teams.get(team)
     known_profile = published.profiles.get(profile)
     if known_team is None or known_profile is None:
-        return NOWHERE
+        return NO_REGIONS
     if not published.regions.keys() >= {known_team.home, *known_profile.regions}:
-        return NOWHERE
+        return NO_REGIONS
     regions = frozenset(known_profile.regions or published.regions)
     return regions & {known_team.home} if known_team.bound else regions
 
 
-def check_here(published: Published | None, request: Request, region: str) -> None:
+def check_region_allowed(published: Published | None, request: Request, region: str) -> None:
     """Raise RequestError unless this host's own configuration lets a request run in a region.
 
     The host that runs a request checks it again. The first host chose a region that its own
--- a/cloverway/dispatch/retries.py
+++ b/cloverway/dispatch/retries.py
@@ -7,13 +7,13 @@
 from cloverway.errors import Ran
 from cloverway.messages import Outcome
 
-WINDOW_S = 10.0
-SHARE = 0.1
+BUDGET_WINDOW_S = 10.0
+RETRIES_PER_SUCCESS = 0.1
 """Retries per recent success."""
-FLOOR = 1
+MIN_RETRIES = 1
 """Retries in a window without any success, so that a quiet host can still retry one."""
 
-AFTER: dict[Outcome, Ran] = {
+RAN_AFTER_OUTCOME: dict[Outcome, Ran] = {
     Outcome.DONE: Ran.YES,
     Outcome.NOT_SENT: Ran.NO,
     Outcome.REFUSED: Ran.NO,
@@ -24,7 +24,7 @@
 """What is known of an attempt after each outcome."""
 
 
-def may_repeat(outcome: Outcome, idempotent: bool) -> bool:
+def may_retry(outcome: Outcome, idempotent: bool) -> bool:
     """Tell whether another attempt is safe.
 
     An attempt that certainly did not run can be made elsewhere. After the first byte may have left,
@@ -35,27 +35,27 @@
     return outcome in (Outcome.FAILED, Outcome.LOST) and idempotent
 
 
-class Budget:
+class RetryBudget:
     """Allow retries up to a share of the successes of the last seconds."""
 
     def __init__(self) -> None:
         self._successes: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Count an attempt that gave a whole answer."""
         self._successes.append(now)
-        self._forget(now)
+        self._prune(now)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Take a retry out of the budget, if there is one left."""
-        self._forget(now)
-        if len(self._retries) >= FLOOR + SHARE * len(self._successes):
+        self._prune(now)
+        if len(self._retries) >= MIN_RETRIES + RETRIES_PER_SUCCESS * len(self._successes):
             return False
         self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         for times in (self._successes, self._retries):
-            while times and times[0] <= now - WINDOW_S:
+            while times and times[0] <= now - BUDGET_WINDOW_S:
                 times.popleft()
--- a/cloverway/dispatch/tenants.py
+++ b/cloverway/dispatch/tenants.py
@@ -10,17 +10,17 @@
 import zlib
 from typing import NamedTuple
 
-NAMED = 48
+MAX_NAMED_TEAMS = 48
 """Teams with a label of their own."""
-SHARED = 16
+SHARED_LABELS = 16
 """Labels that all other teams share."""
-TRACKED = 512
+MAX_COUNTED_TEAMS = 512
 """Teams whose traffic is counted."""
 MIN_REQUESTS = 8
 """Requests that a team has certainly sent before it gets a free label."""
-REVIEW_S = 300.0
+REVIEW_PERIOD_S = 300.0
 """How often labels may move from one team to another, and counts are halved."""
-CLEAR_LEAD = 2
+TAKEOVER_FACTOR = 2
 """A team takes over a label only with this many times the traffic of its holder."""
 
 
@@ -37,7 +37,9 @@
 class TenantLabels:
     """Choose the label of each team."""
 
-    def __init__(self, now: float, named: int = NAMED, tracked: int = TRACKED) -> None:
+    def __init__(
+        self, now: float, named: int = MAX_NAMED_TEAMS, tracked: int = MAX_COUNTED_TEAMS
+    ) -> None:
         self._named_limit = named
         self._tracked_limit = tracked
         self._counts: dict[str, _Count] = {}
@@ -58,48 +60,48 @@
         if team in self._named:
             return team
         # A published name never starts with an underscore, so no team can take a shared label.
-        return f"_other_{zlib.crc32(team.encode()) % SHARED:02d}"
+        return f"_other_{zlib.crc32(team.encode()) % SHARED_LABELS:02d}"
 
     def review(self, now: float) -> list[str]:
         """Move labels to teams with clearly more traffic; give the labels that are out of use.
 
         Halves all counts, so that yesterday's peak does not hold a label today.
         """
-        if now - self._reviewed_at < REVIEW_S:
+        if now - self._reviewed_at < REVIEW_PERIOD_S:
             return []
         self._reviewed_at = now
-        dropped = [holder for holder in self._take_over() if holder not in self._named]
+        released = [holder for holder in self._reassign_labels() if holder not in self._named]
         self._counts = {
             team: _Count(count.requests // 2, count.error // 2)
             for team, count in self._counts.items()
             if count.requests > 1
         }
-        return dropped
+        return released
 
     def _count(self, team: str) -> None:
         known = self._counts.get(team)
         if known is None and len(self._counts) >= self._tracked_limit:
             smallest = min(self._counts, key=lambda name: self._counts[name].requests)
-            floor = self._counts.pop(smallest).requests
-            known = _Count(floor, floor)
+            min_count = self._counts.pop(smallest).requests
+            known = _Count(min_count, min_count)
         known = known or _Count()
         self._counts[team] = known._replace(requests=known.requests + 1)
 
-    def _take_over(self) -> list[str]:
+    def _reassign_labels(self) -> list[str]:
         """Give the holders that lost their label."""
-        rising = sorted(
+        candidates = sorted(
             (team for team in self._counts if team not in self._named),
             key=lambda team: (-self._counts[team].certain, team),
         )
         holders = sorted(self._named, key=lambda team: (self._requests(team), team))
-        lost = []
-        for team, holder in zip(rising, holders, strict=False):
-            if self._counts[team].certain < CLEAR_LEAD * max(1, self._requests(holder)):
+        displaced = []
+        for team, holder in zip(candidates, holders, strict=False):
+            if self._counts[team].certain < TAKEOVER_FACTOR * max(1, self._requests(holder)):
                 break
             self._named.remove(holder)
             self._named.add(team)
-            lost.append(holder)
-        return lost
+            displaced.append(holder)
+        return displaced
 
     def _requests(self, team: str) -> int:
         return self._counts.get(team, _Count()).requests
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -173,7 +173,7 @@
     def run(self) -> Reply:
         published = self._get_published()
         if self.request.passed_on:
-            residency.check_here(published, self.request, self._get_region())
+            residency.check_region_allowed(published, self.request, self._get_region())
         profile = published.profiles.get(self.request.profile)
         if profile is None:
             raise RequestError(Kind.FORBIDDEN, "the profile is not published")
@@ -271,7 +271,7 @@
         if self.grant is not None:
             self.grant.check(now)
         published = self._get_published()
-        residency.check_here(published, self.request, published.region_of(domain))
+        residency.check_region_allowed(published, self.request, published.region_of(domain))
 
     def _finish_failed(
         self, admitted: Admitted, profile: Profile, error: RequestError
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -21,7 +21,7 @@
 from cloverway.config.published import Published
 from cloverway.config.settings import Settings
 from cloverway.config.updates import FetchChanges, Offer, Updates
-from cloverway.dispatch.ends import Ends
+from cloverway.dispatch.ends import CrashTracker
 from cloverway.errors import CloverwayError, PeerError
 from cloverway.membership.datagrams import Datagrams
 from cloverway.membership.gossip import Gossip, Own, Received
@@ -63,7 +63,7 @@
         seal: Seal,
         fetch_changes: FetchChanges,
         load: Callable[[], float],
-        ends: Ends,
+        ends: CrashTracker,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._settings = settings
@@ -112,7 +112,7 @@
         load: Callable[[], float] = lambda: 0.0,
         secret: bytes | None = None,
         platform: Platform | None = None,
-        ends: Ends | None = None,
+        ends: CrashTracker | None = None,
     ) -> ControlLoop:
         """Make a loop with the platform that the settings name; raise OSError without a secret."""
         adapter = FilePlatform if settings.platform.kind == "file" else HttpPlatform
@@ -126,7 +126,7 @@
             seal=Seal.from_secret(secret),
             fetch_changes=fetch_changes,
             load=load,
-            ends=ends or Ends(settings.quarantine),
+            ends=ends or CrashTracker(settings.quarantine),
         )
 
     def start(self) -> None:
@@ -224,7 +224,7 @@
         self._read_endpoints(now)
         if self._updates.decide_start(now):
             self._note_urgent()
-        if self.gossip.ends.take_fresh():
+        if self.gossip.ends.take_urgent():
             self._urgent = True
         if self._urgent and now - self._told_at >= URGENT_S:
             self._urgent = False
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -14,7 +14,7 @@
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import Crash, CrashNews
-from cloverway.dispatch.ends import Ends
+from cloverway.dispatch.ends import CrashTracker
 from cloverway.membership.cutting import BLANK, halve
 from cloverway.membership.heartbeats import (
     DomainSummary,
@@ -99,7 +99,7 @@
         timing: Timing,
         seal: Seal,
         random: Random,
-        ends: Ends,
+        ends: CrashTracker,
     ) -> None:
         self.host = host
         self.domain = domain
@@ -238,7 +238,7 @@
         news = self.readings.take_details(beat.details, at) or news
         self.readings.take_loads(beat.loads, at)
         self._note_asked(beat)
-        self.ends.hear(_read_ends(beat, at), now)
+        self.ends.apply_update(_read_ends(beat, at), now)
         for summary in beat.summaries:
             self.summaries.take(summary, at, direct=False)
         return Received(
@@ -260,7 +260,7 @@
         self._far[sender] = beat.sequence
         if len(self._far) > FAR_HOSTS:
             del self._far[next(iter(self._far))]
-        self.ends.hear(_read_ends(beat, at), now)
+        self.ends.apply_update(_read_ends(beat, at), now)
         for summary in beat.summaries:
             self.summaries.take(summary, at, direct=True)
         return Received(host=beat.host, revision=beat.revision, proven=True)
@@ -344,7 +344,7 @@
 
     def _list_ends(self, turn: int, now: float) -> Heartbeat:
         """Give a message with the endpoints that ended lately; by turns with more of them."""
-        news = self.ends.list_news(now, full=turn % FULL_EVERY == 0)
+        news = self.ends.list_updates(now, full=turn % FULL_EVERY == 0)
         rows = tuple(EndRow(end.life, end.digests, now - end.at) for end in news.crashes)
         return BLANK._replace(ends=rows, served=news.served)
 
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -15,7 +15,7 @@
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.exchange import Reply
 from cloverway.messages import Outcome, Refused, Request
-from cloverway.once.keynames import KeyName
+from cloverway.once.keynames import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
     Bounds,
@@ -28,37 +28,37 @@
     Settlement,
     compute_digest,
 )
-from cloverway.once.settlements import Issuers, Settler
+from cloverway.once.settlements import IssuerClient, SettlementSender
 from cloverway.task import Task
 
 log = logging.getLogger(__name__)
 
 SECRET_BYTES = 32
-MOST_KEYS_AT_ONCE = 1_000
-ANSWER_TIMEOUT_S = 5.0
+MAX_KEYS_PER_CALL = 1_000
+LEDGER_TIMEOUT_S = 5.0
 """How long a sender waits for the task that owns the ledger."""
 RETRY_AFTER_S = 2.0
-SETTLERS = 4
+SENDER_THREADS = 4
 
-MayHold = Callable[[str, str, str], bool]
+MayStore = Callable[[str, str, str], bool]
 """Whether data of a team and a profile may be held at a host: (team, profile, host)."""
 
 
-class Issue(NamedTuple):
+class IssueKeys(NamedTuple):
     """Message: make keys."""
 
-    wanted: int
+    key_count: int
 
 
-class Leave(NamedTuple):
+class StopIssuing(NamedTuple):
     """Message: issue no more keys; claims are still answered."""
 
 
-class Count(NamedTuple):
+class CountKeys(NamedTuple):
     """Message: tell how much the ledger holds."""
 
 
-class Needed(NamedTuple):
+class CheckNeeded(NamedTuple):
     """Message: tell whether claims must still be answered."""
 
     hold_s: float
@@ -72,26 +72,26 @@
     recorded_bytes: int
 
 
-class KeyTask:
+class LedgerTask:
     """The task that owns this incarnation's ledger."""
 
     def __init__(
         self,
         ledger: Ledger,
-        may_hold: MayHold,
+        may_store: MayStore,
         clock: Callable[[], float] = time.monotonic,
         random_bytes: Callable[[int], bytes] = secrets.token_bytes,
     ) -> None:
         self.host = ledger.host
         self.incarnation = ledger.incarnation
         self._ledger = ledger
-        self._may_hold = may_hold
+        self._may_store = may_store
         self._clock = clock
         self._random_bytes = random_bytes
         self._task = Task("keys", self._handle, self._expire, period_s=1.0)
 
     @classmethod
-    def from_settings(cls, settings: Settings, incarnation: str, may_hold: MayHold) -> KeyTask:
+    def from_settings(cls, settings: Settings, incarnation: str, may_store: MayStore) -> LedgerTask:
         """Make the task with a new secret, which no other process ever learns."""
         limits = settings.limits
         bounds = Bounds(
@@ -102,7 +102,7 @@
         )
         secret = secrets.token_bytes(SECRET_BYTES)
         ledger = Ledger(settings.host, incarnation, secret, bounds, time.monotonic())
-        return cls(ledger, may_hold)
+        return cls(ledger, may_store)
 
     def start(self) -> None:
         """Start the thread."""
@@ -114,9 +114,9 @@
 
     def issue(self, count: int) -> list[str]:
         """Give new keys; raise RequestError when the host is leaving or the count is wrong."""
-        if not 1 <= count <= MOST_KEYS_AT_ONCE:
-            raise RequestError(Kind.MALFORMED, f"count must be from 1 to {MOST_KEYS_AT_ONCE}")
-        issued = self._ask(Issue(count), Ran.NO)
+        if not 1 <= count <= MAX_KEYS_PER_CALL:
+            raise RequestError(Kind.MALFORMED, f"count must be from 1 to {MAX_KEYS_PER_CALL}")
+        issued = self._call_ledger(IssueKeys(count), Ran.NO)
         if isinstance(issued, Refused):
             raise issued.as_error()
         keys: list[str] = issued
@@ -124,23 +124,23 @@
 
     def claim(self, call: ClaimCall) -> ClaimResult:
         """Decide a claim; raise RequestError when the task does not answer."""
-        result: ClaimResult = self._ask(call, Ran.UNKNOWN)
+        result: ClaimResult = self._call_ledger(call, Ran.UNKNOWN)
         return result
 
     def settle(self, call: SettleCall) -> None:
         """Note how a run ended; returns at once, and later claims see it."""
-        if call.recorded is not None and not self._may_hold(call.team, call.profile, self.host):
+        if call.recorded is not None and not self._may_store(call.team, call.profile, self.host):
             # A peer may decide by an older configuration: the stricter of the two holds.
             call = call._replace(recorded=None)
         self._task.send(call)
 
     def leave(self) -> None:
         """Issue no more keys."""
-        self._task.send(Leave())
+        self._task.send(StopIssuing())
 
     def count(self) -> LedgerCount:
         """Tell what the ledger holds; a leaving host waits until nothing is outstanding."""
-        count: LedgerCount = self._ask(Count(), Ran.NO)
+        count: LedgerCount = self._call_ledger(CountKeys(), Ran.NO)
         return count
 
     def is_needed(self, hold_s: float) -> bool:
@@ -148,12 +148,12 @@
 
         So it is while granted runs go on, and until `hold_s` after the last key was issued.
         """
-        needed: bool = self._ask(Needed(hold_s), Ran.NO)
+        needed: bool = self._call_ledger(CheckNeeded(hold_s), Ran.NO)
         return needed
 
-    def _ask(self, message: Any, ran: Ran) -> Any:
+    def _call_ledger(self, message: Any, ran: Ran) -> Any:
         try:
-            return self._task.ask(message, ANSWER_TIMEOUT_S)
+            return self._task.ask(message, LEDGER_TIMEOUT_S)
         except TimeoutError as error:
             raise RequestError(Kind.INTERNAL, "the ledger did not answer", ran=ran) from error
 
@@ -168,15 +168,15 @@
             return self._ledger.claim(message, now)
         if isinstance(message, SettleCall):
             return self._ledger.settle(message, now)
-        if isinstance(message, Issue):
-            nonces = [self._random_bytes(NONCE_BYTES) for _ in range(message.wanted)]
+        if isinstance(message, IssueKeys):
+            nonces = [self._random_bytes(NONCE_BYTES) for _ in range(message.key_count)]
             return self._ledger.issue(nonces, now)
-        if isinstance(message, Leave):
+        if isinstance(message, StopIssuing):
             self._ledger.leaving = True
             return None
-        if isinstance(message, Needed):
+        if isinstance(message, CheckNeeded):
             return self._ledger.is_needed(now, message.hold_s)
-        assert isinstance(message, Count)
+        assert isinstance(message, CountKeys)
         ledger = self._ledger
         return LedgerCount(len(ledger), ledger.outstanding, ledger.recorded_bytes)
 
@@ -207,7 +207,7 @@
     reply: Reply
 
 
-SETTLEMENTS = {
+SETTLEMENT_OF_OUTCOME = {
     Outcome.DONE: Settlement.DONE,
     Outcome.NOT_SENT: Settlement.NOT_RUN,
     Outcome.REFUSED: Settlement.NOT_RUN,
@@ -224,34 +224,36 @@
 
     def __init__(
         self,
-        keys: KeyTask,
-        issuers: Issuers,
+        keys: LedgerTask,
+        issuers: IssuerClient,
         address_of: Callable[[str], str | None],
-        may_hold: MayHold,
+        may_store: MayStore,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._keys = keys
         self._issuers = issuers
         self._address_of = address_of
-        self._may_hold = may_hold
+        self._may_store = may_store
         self._clock = clock
         self._attempts = itertools.count(1)
-        self._settlers = [Settler(issuers, address_of, clock) for _ in range(SETTLERS)]
+        self._senders = [
+            SettlementSender(issuers, address_of, clock) for _ in range(SENDER_THREADS)
+        ]
 
     def start(self) -> None:
         """Start the threads that tell other hosts how runs ended."""
-        for settler in self._settlers:
-            settler.start()
+        for sender in self._senders:
+            sender.start()
 
     def stop(self) -> None:
         """End the threads after one attempt at all that is in their inboxes."""
-        for settler in self._settlers:
-            settler.stop()
+        for sender in self._senders:
+            sender.stop()
 
     def claim(self, request: Request) -> Granted | Replayed:
         """Get the right to run, or the recorded answer; raise RequestError for all else."""
-        name = KeyName.parse(request.key)
-        if name is None:
+        parsed_key = ParsedKey.parse(request.key)
+        if parsed_key is None:
             raise RequestError(Kind.KEY_INVALID, "keys come from POST /v1/idempotency-keys")
         asked_at = self._clock()
         call = ClaimCall(
@@ -259,15 +261,15 @@
             team=request.team,
             profile=request.profile,
             digest=compute_digest(request.method, request.path, request.body),
-            claimant=self._name_claimant(),
+            claimant=self._make_claimant_id(),
             left_s=request.deadline - asked_at,
         )
-        result = self._claim_from(name, call)
+        result = self._claim_from(parsed_key, call)
         if isinstance(result, Grant):
             # Counted from before the claim left, so that it ends here before it ends there.
             start_by = min(request.deadline, asked_at + result.lifetime_s)
             return Granted(
-                request.key, request.team, request.profile, call.claimant, name.host, start_by
+                request.key, request.team, request.profile, call.claimant, parsed_key.host, start_by
             )
         if isinstance(result, Recorded):
             headers = (*result.headers, REPLAYED_HEADER)
@@ -285,40 +287,40 @@
                 team=granted.team,
                 profile=granted.profile,
                 claimant=granted.claimant,
-                settlement=SETTLEMENTS[outcome],
-                recorded=self._choose_recorded(granted, outcome, reply),
+                settlement=SETTLEMENT_OF_OUTCOME[outcome],
+                recorded=self._make_recorded(granted, outcome, reply),
             ),
             granted.issuer,
         )
 
-    def _choose_recorded(
+    def _make_recorded(
         self, granted: Granted, outcome: Outcome, reply: Reply | None
     ) -> Recorded | None:
         if outcome is not Outcome.DONE or reply is None or reply.stream is not None:
             return None
-        if not self._may_hold(granted.team, granted.profile, granted.issuer):
+        if not self._may_store(granted.team, granted.profile, granted.issuer):
             return None
         return Recorded(reply.status, reply.content_type, reply.body, reply.headers)
 
-    def _name_claimant(self) -> str:
+    def _make_claimant_id(self) -> str:
         """Name one attempt. A request's id would not do: a caller may send the same id twice."""
         keys = self._keys
         return f"{keys.host}/{keys.incarnation}/{next(self._attempts)}"
 
-    def _claim_from(self, name: KeyName, call: ClaimCall) -> ClaimResult:
+    def _claim_from(self, parsed_key: ParsedKey, call: ClaimCall) -> ClaimResult:
         try:
-            if name.host == self._keys.host:
+            if parsed_key.host == self._keys.host:
                 return self._keys.claim(call)
-            return self._claim_from_peer(name.host, call)
+            return self._claim_from_peer(parsed_key.host, call)
         except (PeerError, RequestError) as error:
             # The grant may have been given and its answer lost; nothing will be run with it.
             settle = SettleCall(
                 call.key, call.team, call.profile, call.claimant, Settlement.NOT_RUN
             )
-            self._send(settle, name.host)
+            self._send(settle, parsed_key.host)
             if isinstance(error, RequestError):
                 raise
-            log.info("an issuer could not be asked", extra={"issuer": name.host})
+            log.info("an issuer could not be asked", extra={"issuer": parsed_key.host})
             raise RequestError(
                 Kind.KEY_OWNER_LOST,
                 "this request was not run; an earlier one with the key may have been",
@@ -340,5 +342,5 @@
             self._keys.settle(call)
             return
         # One issuer that does not answer must not hold up the settlements for all others.
-        shard = zlib.crc32(issuer.encode()) % SETTLERS
-        self._settlers[shard].settle(issuer, call)
+        shard = zlib.crc32(issuer.encode()) % SENDER_THREADS
+        self._senders[shard].settle(issuer, call)
--- a/cloverway/once/keynames.py
+++ b/cloverway/once/keynames.py
@@ -7,10 +7,10 @@
 VERSION = "k1"
 SEPARATOR = "_"
 MAC_BYTES = 16
-LONGEST_KEY = 256
+MAX_KEY_LENGTH = 256
 
 
-class KeyName(NamedTuple):
+class ParsedKey(NamedTuple):
     """What the text of a key says, before its MAC was checked."""
 
     host: str
@@ -21,9 +21,9 @@
     mac: bytes
 
     @classmethod
-    def parse(cls, text: str) -> KeyName | None:
+    def parse(cls, text: str) -> ParsedKey | None:
         """Read a key; None when it does not have the form that hosts issue."""
-        parts = text.split(SEPARATOR) if len(text) <= LONGEST_KEY and text.isascii() else []
+        parts = text.split(SEPARATOR) if len(text) <= MAX_KEY_LENGTH and text.isascii() else []
         if len(parts) != 6 or parts[0] != VERSION or not parts[3].isdigit():
             return None
         try:
--- a/cloverway/once/keys.py
+++ b/cloverway/once/keys.py
@@ -17,17 +17,17 @@
 
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Refused
-from cloverway.once.keynames import MAC_BYTES, KeyName
+from cloverway.once.keynames import MAC_BYTES, ParsedKey
 
 log = logging.getLogger(__name__)
 
 NONCE_BYTES = 12
 BINDING_BYTES = 16
-TEAM_SHARE = 0.5
+MAX_TEAM_SHARE = 0.5
 """The part of the table that one team may fill; the rest stays open to all others."""
-MARGIN_MS = 1_000
+DEADLINE_MARGIN_MS = 1_000
 """After a request's deadline, until a repeat is told that the outcome is unknown."""
-LONGEST_RETRY_AFTER_S = 60.0
+MAX_RETRY_AFTER_S = 60.0
 IN_USE_RETRY_AFTER_S = 1.0
 
 
@@ -42,7 +42,7 @@
     @property
     def size(self) -> int:
         """Bytes that count against the limits."""
-        headers = sum(len(name) + len(value) for name, value in self.headers)
+        headers = sum(len(parsed) + len(value) for parsed, value in self.headers)
         return len(self.body) + len(self.content_type) + headers
 
 
@@ -89,7 +89,7 @@
 ClaimResult = Grant | Recorded | Refused
 
 
-class State(StrEnum):
+class KeyState(StrEnum):
     """What the issuer knows about a key that was claimed."""
 
     GRANTED = "granted"
@@ -99,10 +99,10 @@
     UNKNOWN = "unknown"
 
 
-SETTLED_STATES = {
-    Settlement.DONE: State.DONE,
-    Settlement.UNKNOWN: State.UNKNOWN,
-    Settlement.NOT_RUN: State.FREE,
+STATE_AFTER_SETTLEMENT = {
+    Settlement.DONE: KeyState.DONE,
+    Settlement.UNKNOWN: KeyState.UNKNOWN,
+    Settlement.NOT_RUN: KeyState.FREE,
 }
 
 
@@ -115,7 +115,7 @@
         self.team = team
         self.binding = binding
         self.expires_ms = expires_ms
-        self.state = State.FREE
+        self.state = KeyState.FREE
         self.claimant = ""
         self.ends_ms = 0
         self.recorded: Recorded | None = None
@@ -158,7 +158,7 @@
         self._outstanding = 0
         self._entries: dict[bytes, _Entry] = {}
         self._teams: Counter[str] = Counter()
-        self._sizes: dict[bytes, int] = {}
+        self._answer_sizes: dict[bytes, int] = {}
         self._recorded_bytes = 0
 
     def __len__(self) -> int:
@@ -195,22 +195,22 @@
     def claim(self, call: ClaimCall, now: float) -> ClaimResult:
         """Grant the key, give the recorded answer, or say why neither can be had."""
         now_ms = self._advance(now)
-        name = KeyName.parse(call.key)
-        refusal = self._check_name(name)
+        parsed = ParsedKey.parse(call.key)
+        refusal = self._check_key(parsed)
         if refusal is not None:
             return refusal
-        assert name is not None
-        entry = self._entries.get(name.nonce)
-        expired = now_ms - name.issued_ms >= self._lifetime_ms
+        assert parsed is not None
+        entry = self._entries.get(parsed.nonce)
+        expired = now_ms - parsed.issued_ms >= self._lifetime_ms
         parts = (call.team.encode(), call.profile.encode(), call.digest)
         binding = _hash_parts(*parts)[:BINDING_BYTES]
         if entry is None:
-            return self._claim_unused(name, binding, call, expired)
+            return self._claim_unused(parsed, binding, call, expired)
         if not hmac.compare_digest(entry.binding, binding):
             return Refused(Kind.KEY_MISMATCH)
-        if entry.state is State.FREE:
+        if entry.state is KeyState.FREE:
             return self._claim_free(entry, call, expired)
-        return self._repeat(entry, call)
+        return self._answer_repeat(entry, call)
 
     def settle(self, call: SettleCall, now: float) -> bool:
         """Note how a run ended; False when the claimant does not hold the grant.
@@ -218,19 +218,19 @@
         The first settlement stands: a late or doubled one can't change it.
         """
         self._advance(now)
-        name = KeyName.parse(call.key)
-        if name is None or self._check_name(name) is not None:
+        parsed = ParsedKey.parse(call.key)
+        if parsed is None or self._check_key(parsed) is not None:
             return False
-        entry = self._entries.get(name.nonce)
+        entry = self._entries.get(parsed.nonce)
         if entry is None or entry.claimant != call.claimant:
             return False
-        if entry.state is not State.GRANTED:
-            return entry.state is SETTLED_STATES[call.settlement]
-        entry.state = SETTLED_STATES[call.settlement]
+        if entry.state is not KeyState.GRANTED:
+            return entry.state is STATE_AFTER_SETTLEMENT[call.settlement]
+        entry.state = STATE_AFTER_SETTLEMENT[call.settlement]
         entry.ends_ms = 0
         self._outstanding -= 1
         if call.settlement is Settlement.DONE and call.recorded is not None:
-            self._record(name.nonce, entry, call.recorded)
+            self._record_answer(parsed.nonce, entry, call.recorded)
         return True
 
     def expire(self, now: float) -> None:
@@ -247,37 +247,37 @@
             nonce, entry = next(iter(self._entries.items()))
             if entry.expires_ms > self._now_ms:
                 break
-            self._forget_answer(nonce)
+            self._drop_answer(nonce)
             del self._entries[nonce]
-            self._outstanding -= entry.state is State.GRANTED
-            self._uncount(entry.team)
+            self._outstanding -= entry.state is KeyState.GRANTED
+            self._decrement_team(entry.team)
         return self._now_ms
 
-    def _uncount(self, team: str) -> None:
+    def _decrement_team(self, team: str) -> None:
         self._teams[team] -= 1
         if not self._teams[team]:
             del self._teams[team]
 
     def _sign(self, issued_ms: int, nonce: bytes) -> str:
-        name = KeyName(self.host, self.incarnation, issued_ms, nonce, b"")
-        return name._replace(mac=self._compute_mac(name)).text
+        parsed = ParsedKey(self.host, self.incarnation, issued_ms, nonce, b"")
+        return parsed._replace(mac=self._compute_mac(parsed)).text
 
-    def _compute_mac(self, name: KeyName) -> bytes:
-        return hmac.digest(self._secret, name.signed.encode(), "sha256")[:MAC_BYTES]
+    def _compute_mac(self, parsed: ParsedKey) -> bytes:
+        return hmac.digest(self._secret, parsed.signed.encode(), "sha256")[:MAC_BYTES]
 
-    def _check_name(self, name: KeyName | None) -> Refused | None:
-        if name is None:
+    def _check_key(self, parsed: ParsedKey | None) -> Refused | None:
+        if parsed is None:
             return Refused(Kind.KEY_INVALID, "keys come from POST /v1/idempotency-keys")
-        if (name.host, name.incarnation) != (self.host, self.incarnation):
+        if (parsed.host, parsed.incarnation) != (self.host, self.incarnation):
             return Refused(
                 Kind.KEY_OWNER_LOST, "the host that issued it was replaced", ran=Ran.UNKNOWN
             )
-        if not hmac.compare_digest(self._compute_mac(name), name.mac):
+        if not hmac.compare_digest(self._compute_mac(parsed), parsed.mac):
             return Refused(Kind.KEY_INVALID, "keys come from POST /v1/idempotency-keys")
         return None
 
     def _claim_unused(
-        self, name: KeyName, binding: bytes, call: ClaimCall, expired: bool
+        self, parsed: ParsedKey, binding: bytes, call: ClaimCall, expired: bool
     ) -> ClaimResult:
         if expired:
             # The entry may have been dropped, so nothing is known about the past.
@@ -285,15 +285,17 @@
         if call.left_s <= 0:
             return Refused(Kind.DEADLINE)
         if len(self._entries) >= self._bounds.keys:
-            return Refused(Kind.OVERLOADED, "too many keys are in use", self._compute_wait())
-        if self._teams[call.team] >= max(1, int(self._bounds.keys * TEAM_SHARE)):
-            return Refused(Kind.TEAM_LIMIT, "the team uses too many keys", self._compute_wait())
+            return Refused(Kind.OVERLOADED, "too many keys are in use", self._compute_retry_after())
+        if self._teams[call.team] >= max(1, int(self._bounds.keys * MAX_TEAM_SHARE)):
+            return Refused(
+                Kind.TEAM_LIMIT, "the team uses too many keys", self._compute_retry_after()
+            )
         # First claim plus lifetime is never before issue plus lifetime: once the entry goes,
         # its key has expired, and it can't be granted a second time.
         team = sys.intern(call.team)
         entry = _Entry(team, binding, self._now_ms + self._lifetime_ms)
         self._teams[team] += 1
-        self._entries[name.nonce] = entry
+        self._entries[parsed.nonce] = entry
         return self._grant(entry, call)
 
     def _claim_free(self, entry: _Entry, call: ClaimCall, expired: bool) -> ClaimResult:
@@ -307,11 +309,11 @@
         return self._grant(entry, call)
 
     def _grant(self, entry: _Entry, call: ClaimCall) -> Grant:
-        assert entry.state is State.FREE, "a key is granted only while no run can have happened"
-        entry.state = State.GRANTED
+        assert entry.state is KeyState.FREE, "a key is granted only while no run can have happened"
+        entry.state = KeyState.GRANTED
         entry.claimant = call.claimant
         lifetime_s = self._compute_lifetime(call)
-        entry.ends_ms = self._now_ms + int(lifetime_s * 1000) + MARGIN_MS
+        entry.ends_ms = self._now_ms + int(lifetime_s * 1000) + DEADLINE_MARGIN_MS
         self._last_end_ms = max(self._last_end_ms, entry.ends_ms)
         self._outstanding += 1
         return Grant(lifetime_s)
@@ -319,16 +321,16 @@
     def _compute_lifetime(self, call: ClaimCall) -> float:
         return min(call.left_s, self._bounds.lifetime_s)
 
-    def _repeat(self, entry: _Entry, call: ClaimCall) -> ClaimResult:
-        if entry.state is State.GRANTED:
-            return self._repeat_granted(entry, call)
-        if entry.state is State.UNKNOWN:
+    def _answer_repeat(self, entry: _Entry, call: ClaimCall) -> ClaimResult:
+        if entry.state is KeyState.GRANTED:
+            return self._answer_repeat_in_progress(entry, call)
+        if entry.state is KeyState.UNKNOWN:
             return Refused(Kind.KEY_SPENT, ran=Ran.UNKNOWN)
         if entry.recorded is None:
             return Refused(Kind.ANSWER_GONE, ran=Ran.YES)
         return entry.recorded
 
-    def _repeat_granted(self, entry: _Entry, call: ClaimCall) -> ClaimResult:
+    def _answer_repeat_in_progress(self, entry: _Entry, call: ClaimCall) -> ClaimResult:
         if entry.claimant == call.claimant:
             # The answer to the first claim was lost; the claimant still has run nothing.
             return Grant(self._compute_lifetime(call))
@@ -339,23 +341,23 @@
         # The claimant is gone or slow. It is never granted again on the word of a clock.
         return Refused(Kind.KEY_SPENT, "the first run was not heard of", ran=Ran.UNKNOWN)
 
-    def _compute_wait(self) -> float:
+    def _compute_retry_after(self) -> float:
         first = next(iter(self._entries.values()))
-        return min((first.expires_ms - self._now_ms) / 1000, LONGEST_RETRY_AFTER_S)
+        return min((first.expires_ms - self._now_ms) / 1000, MAX_RETRY_AFTER_S)
 
-    def _record(self, nonce: bytes, entry: _Entry, recorded: Recorded) -> None:
+    def _record_answer(self, nonce: bytes, entry: _Entry, recorded: Recorded) -> None:
         """Hold an answer; the oldest ones make room, which loses answers but never a use."""
         size = recorded.size
         if size > min(self._bounds.recorded_answer_bytes, self._bounds.recorded_bytes):
             return
         while self._recorded_bytes + size > self._bounds.recorded_bytes:
-            self._forget_answer(next(iter(self._sizes)))
+            self._drop_answer(next(iter(self._answer_sizes)))
         entry.recorded = recorded
-        self._sizes[nonce] = size
+        self._answer_sizes[nonce] = size
         self._recorded_bytes += size
 
-    def _forget_answer(self, nonce: bytes) -> None:
-        self._recorded_bytes -= self._sizes.pop(nonce, 0)
+    def _drop_answer(self, nonce: bytes) -> None:
+        self._recorded_bytes -= self._answer_sizes.pop(nonce, 0)
         self._entries[nonce].recorded = None
 
 
--- a/cloverway/once/settlements.py
+++ b/cloverway/once/settlements.py
@@ -14,13 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-ATTEMPTS = 5
-PAUSE_S = 0.5
-MOST_WAITING = 128
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.5
+MAX_PENDING = 128
 """Settlements that wait for issuers; more are dropped, and their keys end as unknown."""
 
 
-class Issuers(Protocol):
+class IssuerClient(Protocol):
     """Reaches the ledgers of other hosts; raises PeerError within a bounded time."""
 
     def claim(self, host: str, address: str, call: ClaimCall) -> ClaimResult:
@@ -32,7 +32,7 @@
         ...
 
 
-class _Unsettled(NamedTuple):
+class _PendingSettlement(NamedTuple):
     """A settlement that its issuer has not acknowledged."""
 
     call: SettleCall
@@ -40,22 +40,24 @@
     attempts: int = 0
 
 
-class Settler:
+class SettlementSender:
     """A thread that delivers settlements, and tries again a few times when an issuer is silent."""
 
     def __init__(
         self,
-        issuers: Issuers,
+        issuers: IssuerClient,
         address_of: Callable[[str], str | None],
         clock: Callable[[], float],
     ) -> None:
         self._issuers = issuers
         self._address_of = address_of
         self._clock = clock
-        self._room = threading.BoundedSemaphore(MOST_WAITING)
-        self._unsettled: list[_Unsettled] = []
-        self._again_at = 0.0
-        self._task = Task("settlements", self._handle, self._settle_again, period_s=PAUSE_S)
+        self._pending_slots = threading.BoundedSemaphore(MAX_PENDING)
+        self._pending: list[_PendingSettlement] = []
+        self._next_retry_at = 0.0
+        self._task = Task(
+            "settlements", self._handle, self._retry_pending, period_s=RETRY_INTERVAL_S
+        )
 
     def start(self) -> None:
         """Start the thread."""
@@ -67,39 +69,39 @@
 
     def settle(self, issuer: str, call: SettleCall) -> None:
         """Deliver a settlement later; returns at once, and drops it when too many wait."""
-        if not self._room.acquire(blocking=False):
+        if not self._pending_slots.acquire(blocking=False):
             log.warning("too many settlements wait", extra={"issuer": issuer})
             return
-        self._task.send(_Unsettled(call, issuer))
+        self._task.send(_PendingSettlement(call, issuer))
 
-    def _handle(self, unsettled: _Unsettled, answer: Future[None]) -> None:
-        self._try_to_settle(unsettled)
+    def _handle(self, pending: _PendingSettlement, answer: Future[None]) -> None:
+        self._try_settle(pending)
         answer.set_result(None)
 
-    def _try_to_settle(self, unsettled: _Unsettled) -> None:
-        address = self._address_of(unsettled.issuer)
+    def _try_settle(self, pending: _PendingSettlement) -> None:
+        address = self._address_of(pending.issuer)
         if address is None:
-            self._room.release()
+            self._pending_slots.release()
             return
         try:
-            self._issuers.settle(unsettled.issuer, address, unsettled.call)
+            self._issuers.settle(pending.issuer, address, pending.call)
         except PeerError:
-            self._keep(unsettled._replace(attempts=unsettled.attempts + 1))
+            self._schedule_retry(pending._replace(attempts=pending.attempts + 1))
         else:
-            self._room.release()
+            self._pending_slots.release()
 
-    def _keep(self, unsettled: _Unsettled) -> None:
-        if unsettled.attempts < ATTEMPTS:
-            self._unsettled.append(unsettled)
+    def _schedule_retry(self, pending: _PendingSettlement) -> None:
+        if pending.attempts < MAX_ATTEMPTS:
+            self._pending.append(pending)
             return
-        self._room.release()
-        log.warning("a settlement was given up", extra={"issuer": unsettled.issuer})
+        self._pending_slots.release()
+        log.warning("a settlement was given up", extra={"issuer": pending.issuer})
 
-    def _settle_again(self) -> None:
+    def _retry_pending(self) -> None:
         now = self._clock()
-        if not self._unsettled or now < self._again_at:
+        if not self._pending or now < self._next_retry_at:
             return
-        self._again_at = now + PAUSE_S
-        waiting, self._unsettled = self._unsettled, []
-        for unsettled in waiting:
-            self._try_to_settle(unsettled)
+        self._next_retry_at = now + RETRY_INTERVAL_S
+        waiting, self._pending = self._pending, []
+        for pending in waiting:
+            self._try_settle(pending)
--- a/cloverway/peers/handlers.py
+++ b/cloverway/peers/handlers.py
@@ -8,7 +8,7 @@
 from cloverway.errors import PeerError
 from cloverway.exchange import Gateway, Reply
 from cloverway.messages import Request
-from cloverway.once.claims import KeyTask
+from cloverway.once.claims import LedgerTask
 from cloverway.once.keys import ClaimCall, ClaimResult, SettleCall
 from cloverway.peers import peering, wire
 from cloverway.sources.port import Changes, Document
@@ -20,7 +20,7 @@
 class PeerRequests:
     """Hands each call of a peer to the part of the daemon that answers it."""
 
-    def __init__(self, keys: KeyTask, gateway: Gateway, changes_after: ChangesAfter) -> None:
+    def __init__(self, keys: LedgerTask, gateway: Gateway, changes_after: ChangesAfter) -> None:
         self._keys = keys
         self._gateway = gateway
         self._changes_after = changes_after
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -20,8 +20,8 @@
 
 from cloverway.errors import Kind
 from cloverway.messages import Refused
-from cloverway.once.claims import Claims, KeyTask
-from cloverway.once.keynames import KeyName
+from cloverway.once.claims import Claims, LedgerTask
+from cloverway.once.keynames import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
     Bounds,
@@ -47,9 +47,9 @@
     return True
 
 
-def make_keys(host: str) -> KeyTask:
+def make_keys(host: str) -> LedgerTask:
     ledger = Ledger(host, "i1", secrets.token_bytes(32), BOUNDS, time.monotonic())
-    return KeyTask(ledger, hold_anywhere)
+    return LedgerTask(ledger, hold_anywhere)
 
 
 def serve_issuer(pipe) -> None:
@@ -121,7 +121,7 @@
     ledger = Ledger("h1", "i1", SECRET, BOUNDS, 0.0)
     keys = ledger.issue((secrets.token_bytes(NONCE_BYTES) for _ in range(KEYS)), 0.0)
     began = time.process_time()
-    names = [KeyName.parse(key) for key in keys]
+    names = [ParsedKey.parse(key) for key in keys]
     parse_s = time.process_time() - began
     del names
     tracemalloc.start()
--- a/cloverway/tests/bench_membership.py
+++ b/cloverway/tests/bench_membership.py
@@ -17,7 +17,7 @@
 from cloverway.membership.heartbeats import Heartbeat, LoadRow, decode, encode, identify
 from cloverway.membership.membership import Membership
 from cloverway.tests.test_control import Cluster
-from cloverway.tests.virtual import SEAL, Shape, World
+from cloverway.tests.virtual import SEAL, GossipSimulation, Shape
 
 OWN_THREADS = ("control", "reports", "platform", "list", "fetch")
 LOOP_S = 15.0
@@ -43,7 +43,7 @@
 
 
 def measure(shape: Shape, warm_s=WARM_S, measured_s=MEASURED_S, loss=0.0) -> Cost:
-    world = World(shape, seed=7, loss=loss)
+    world = GossipSimulation(shape, seed=7, loss=loss)
     world.churn = True
     world.run(warm_s)
     hosts = world.hosts.values()
@@ -146,7 +146,7 @@
         for loss in (0.0, 0.2):
             took, false, minutes = [], 0, 0.0
             for seed in range(20):
-                world = World(Shape(hosts=hosts, endpoints=4), seed=seed, loss=loss)
+                world = GossipSimulation(Shape(hosts=hosts, endpoints=4), seed=seed, loss=loss)
                 world.run_until(world.sees_all)
                 for _ in range(300):
                     world.run(0.1)
@@ -164,7 +164,7 @@
     print(f"\nafter pauses of 1 to 60 s: {_count_after_pauses()} false positives in 60 wake-ups")
 
 
-def _time_detection(world: World, dead: str, rest: list[str]) -> float:
+def _time_detection(world: GossipSimulation, dead: str, rest: list[str]) -> float:
     return world.run_until(
         lambda: all(dead not in world.hosts[name].view(world.now) for name in rest)
     )
@@ -173,7 +173,7 @@
 def _count_after_pauses() -> int:
     false = 0
     for seed in range(20):
-        world = World(Shape(hosts=6, endpoints=4), seed=seed, loss=0.05)
+        world = GossipSimulation(Shape(hosts=6, endpoints=4), seed=seed, loss=0.05)
         world.run(5.0)
         for seconds in (1.0, 5.0, 60.0):
             name = world.random.choice(list(world.hosts))
--- a/cloverway/tests/bench_model.py
+++ b/cloverway/tests/bench_model.py
@@ -15,7 +15,7 @@
 
 from cloverway.config.published import Published
 from cloverway.config.settings import Limits, Listen, PlatformSettings, Security, Settings
-from cloverway.dispatch.decisions import Core
+from cloverway.dispatch.decisions import DispatchCore
 from cloverway.membership.view import EndpointState, HostState, Summary, View
 from cloverway.messages import Admitted, Away, Outcome, Request
 
@@ -189,7 +189,7 @@
 
     def __init__(self, world, name, region, settings):
         self.world, self.name, self.region = world, name, region
-        self.core = Core.from_config(settings)
+        self.core = DispatchCore.from_config(settings)
         self.random = Random(f"{world.seed}{name}")
         self.places, self.attempts = itertools.count(1), {}
         self.view = View(name, "i", region, region, world.published)
@@ -304,7 +304,7 @@
 
     def spread(self, states, now):
         loads = {
-            name: HostState(name, host.region, "i", load=host.core.figures().load, heard_at=now)
+            name: HostState(name, host.region, "i", load=host.core.get_stats().load, heard_at=now)
             for name, host in self.hosts.items()
         }
         for host in self.hosts.values():
@@ -319,7 +319,9 @@
             free = sum(self.plan.slots - len(engine.jobs) for engine in up)
             waiting = sum(len(engine.queue) for engine in up)
             queued = sum(
-                host.core.figures().queued for host in self.hosts.values() if host.region == region
+                host.core.get_stats().queued
+                for host in self.hosts.values()
+                if host.region == region
             )
             summaries[region, "clover"] = Summary(
                 region, "clover", len(up), free, waiting + queued, now
--- a/cloverway/tests/ledgers.py
+++ b/cloverway/tests/ledgers.py
@@ -24,9 +24,9 @@
     return key
 
 
-def claim_of(key, claimant="a", *, digest=b"d", left_s=10.0, team="t", profile="p"):
+def make_claim(key, claimant="a", *, digest=b"d", left_s=10.0, team="t", profile="p"):
     return ClaimCall(key, team, profile, digest, claimant, left_s)
 
 
-def settle_of(key, settlement, claimant="a", recorded=None):
+def make_settle_call(key, settlement, claimant="a", recorded=None):
     return SettleCall(key, "t", "p", claimant, settlement, recorded)
--- a/cloverway/tests/test_admission.py
+++ b/cloverway/tests/test_admission.py
@@ -6,9 +6,15 @@
 import pytest
 
 from cloverway.config.schema import Urgency
-from cloverway.dispatch.admission import Line, Throughput, Waiting
+from cloverway.dispatch.admission import QueueEntry, RequestQueue, Throughput
 from cloverway.dispatch.prompts import Prefix
-from cloverway.dispatch.retries import FLOOR, SHARE, WINDOW_S, Budget, may_repeat
+from cloverway.dispatch.retries import (
+    BUDGET_WINDOW_S,
+    MIN_RETRIES,
+    RETRIES_PER_SUCCESS,
+    RetryBudget,
+    may_retry,
+)
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Admitted, Outcome, Refused
 from cloverway.tests.builders import make_published, make_request
@@ -17,78 +23,78 @@
 
 def make_entry(place, *, team="desk", urgency=Urgency.NORMAL, cost_s=1.0, weight=1.0, lasts=60.0):
     request = make_request(place, 0.0, lasts, team=team)
-    return Waiting(
+    return QueueEntry(
         place, request, "clover", urgency, weight, cost_s, Prefix.from_body(b""), entered_at=0.0
     )
 
 
-def serve(line, count):
+def serve(queue, count):
     """Take requests in order, and count them by team and class."""
     served = []
     for _ in range(count):
-        entry = line.order()[0]
-        line.take(entry)
+        entry = queue.list_in_service_order()[0]
+        queue.admit(entry)
         served.append(entry)
     return served
 
 
 def test_the_lowest_class_is_not_starved_by_endless_urgent_work():
     """Reports asked for at night never come, because urgent calls never stop coming."""
-    line = Line()
-    line.add(make_entry(1, urgency=Urgency.BATCH))
+    queue = RequestQueue()
+    queue.add(make_entry(1, urgency=Urgency.BATCH))
     served = []
     for place in range(2, 100):
-        line.add(make_entry(place, urgency=Urgency.URGENT))
-        served += serve(line, 1)
+        queue.add(make_entry(place, urgency=Urgency.URGENT))
+        served += serve(queue, 1)
     assert Urgency.BATCH in {entry.urgency for entry in served}
     assert [entry.urgency for entry in served[:20]] == [Urgency.URGENT] * 20
 
 
 def test_a_full_queue_spares_the_last_request_of_the_lowest_class():
-    line = Line()
-    line.add(make_entry(1, urgency=Urgency.BATCH))
+    queue = RequestQueue()
+    queue.add(make_entry(1, urgency=Urgency.BATCH))
     for place in range(2, 12):
-        line.add(make_entry(place))
-    assert line.find_victim().urgency is Urgency.NORMAL
+        queue.add(make_entry(place))
+    assert queue.select_eviction().urgency is Urgency.NORMAL
 
 
 def test_an_urgent_small_call_passes_long_dossiers():
-    line = Line()
+    queue = RequestQueue()
     for place in range(1, 9):
-        line.add(make_entry(place, urgency=Urgency.BATCH, cost_s=20.0))
-    line.add(make_entry(9, urgency=Urgency.URGENT, cost_s=0.2))
-    assert line.order()[0].place == 9
+        queue.add(make_entry(place, urgency=Urgency.BATCH, cost_s=20.0))
+    queue.add(make_entry(9, urgency=Urgency.URGENT, cost_s=0.2))
+    assert queue.list_in_service_order()[0].entry_id == 9
 
 
 def test_teams_share_by_weight_and_not_by_the_count_of_their_requests():
     """One team's flood of requests holds up another team's few."""
-    line = Line()
+    queue = RequestQueue()
     for place in range(100):
-        line.add(make_entry(place, team="flood"))
+        queue.add(make_entry(place, team="flood"))
     for place in range(100, 140):
-        line.add(make_entry(place, team="few", weight=2.0))
-    counts = Counter(entry.request.team for entry in serve(line, 45))
+        queue.add(make_entry(place, team="few", weight=2.0))
+    counts = Counter(entry.request.team for entry in serve(queue, 45))
     assert counts["few"] == pytest.approx(30, abs=1)
 
 
 def test_a_team_that_was_idle_has_no_claim_on_the_past():
-    line = Line()
+    queue = RequestQueue()
     for place in range(50):
-        line.add(make_entry(place, team="busy"))
-    serve(line, 40)
+        queue.add(make_entry(place, team="busy"))
+    serve(queue, 40)
     for place in range(50, 70):
-        line.add(make_entry(place, team="new"))
-    counts = Counter(entry.request.team for entry in serve(line, 10))
+        queue.add(make_entry(place, team="new"))
+    counts = Counter(entry.request.team for entry in serve(queue, 10))
     assert counts["new"] <= 6
 
 
 def test_long_work_is_charged_for_its_length():
-    line = Line()
+    queue = RequestQueue()
     for place in range(20):
-        line.add(make_entry(place, team="long", cost_s=4.0))
+        queue.add(make_entry(place, team="long", cost_s=4.0))
     for place in range(20, 60):
-        line.add(make_entry(place, team="short", cost_s=1.0))
-    counts = Counter(entry.request.team for entry in serve(line, 20))
+        queue.add(make_entry(place, team="short", cost_s=1.0))
+    counts = Counter(entry.request.team for entry in serve(queue, 20))
     assert counts["short"] >= 15
 
 
@@ -96,8 +102,8 @@
     """All refused callers come back in the same second, and are refused again."""
     throughput, random = Throughput(), Random(1)
     for number in range(50):
-        throughput.note_done(1.0, number * 0.1)
-    times = [throughput.book_return(5.0, 1.0, 8.0, 5.0, random) for _ in range(50)]
+        throughput.record_completed(1.0, number * 0.1)
+    times = [throughput.schedule_retry(5.0, 1.0, 8.0, 5.0, random) for _ in range(50)]
     assert max(times) - min(times) > 3.0, "fifty seconds of work return over several seconds"
     assert all(0.1 <= time <= 30.0 for time in times)
 
@@ -148,8 +154,8 @@
     again = host.finish(verdict, Outcome.FAILED, retry=True)
     assert isinstance(again, Refused)
     assert again.ran is Ran.UNKNOWN
-    assert not may_repeat(Outcome.FAILED, idempotent=False)
-    assert not may_repeat(Outcome.DONE, idempotent=True)
+    assert not may_retry(Outcome.FAILED, idempotent=False)
+    assert not may_retry(Outcome.DONE, idempotent=True)
 
 
 def test_an_allocation_that_left_no_byte_is_tried_elsewhere():
@@ -185,11 +191,11 @@
 
 
 def test_a_budget_is_a_share_of_recent_successes():
-    budget = Budget()
+    budget = RetryBudget()
     for _ in range(100):
-        budget.note_success(0.0)
-    assert sum(budget.take(1.0) for _ in range(100)) == FLOOR + SHARE * 100
-    assert sum(budget.take(2 * WINDOW_S) for _ in range(100)) == FLOOR
+        budget.record_success(0.0)
+    assert sum(budget.try_take(1.0) for _ in range(100)) == MIN_RETRIES + RETRIES_PER_SUCCESS * 100
+    assert sum(budget.try_take(2 * BUDGET_WINDOW_S) for _ in range(100)) == MIN_RETRIES
 
 
 def test_a_slow_endpoint_is_left_to_those_that_have_no_better():
--- a/cloverway/tests/test_at_most_once.py
+++ b/cloverway/tests/test_at_most_once.py
@@ -14,7 +14,7 @@
     Recorded,
     Settlement,
 )
-from cloverway.tests.ledgers import ANSWER, BOUNDS, claim_of, issue, make_ledger, settle_of
+from cloverway.tests.ledgers import ANSWER, BOUNDS, issue, make_claim, make_ledger, make_settle_call
 
 
 class AtMostOnce(RuleBasedStateMachine):
@@ -58,7 +58,7 @@
     )
     def claim(self, data, left_s, fate):
         key = data.draw(st.sampled_from(self.keys))
-        call = claim_of(key, f"c{next(self.names)}", left_s=left_s)
+        call = make_claim(key, f"c{next(self.names)}", left_s=left_s)
         if fate != "arrives":
             self.late_claims.append((call, self.now))
         if fate != "late":
@@ -95,7 +95,7 @@
             self.runs[key] += 1
         if not killed:
             recorded = ANSWER if settlement is Settlement.DONE else None
-            self.settled.append(settle_of(key, settlement, claimant, recorded))
+            self.settled.append(make_settle_call(key, settlement, claimant, recorded))
             self.ledger.settle(self.settled[-1], self.now)
 
     @precondition(lambda self: self.settled)
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -7,15 +7,15 @@
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.exchange import Reply
 from cloverway.messages import Outcome, Request
-from cloverway.once.claims import Claims, KeyTask, Replayed
+from cloverway.once.claims import Claims, LedgerTask, Replayed
 from cloverway.once.keys import Bounds, Ledger
 
 BOUNDS = Bounds(keys=100, lifetime_s=100.0, recorded_bytes=10_000, recorded_answer_bytes=1_000)
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 REPLY = Reply(200, "application/json", b"{}")
 
 
-def hold_anywhere(team, profile, host):
+def store_anywhere(team, profile, host):
     return True
 
 
@@ -27,7 +27,7 @@
         return self.now
 
 
-class Issuers:
+class IssuerClient:
     """The peers' ledgers, one call away; messages can be lost on either way."""
 
     def __init__(self, tasks):
@@ -56,11 +56,11 @@
 class Fleet:
     """Two hosts; h1 issues, and both claim."""
 
-    def __init__(self, may_hold=hold_anywhere):
+    def __init__(self, may_store=store_anywhere):
         self.clock = Clock()
-        self.may_hold = may_hold
+        self.may_store = may_store
         self.tasks = {}
-        self.issuers = Issuers(self.tasks)
+        self.issuers = IssuerClient(self.tasks)
         self.addresses = {"h1": "127.0.0.1:1", "h2": "127.0.0.1:2"}
         self.replace("h1", "i1")
         self.replace("h2", "i1")
@@ -70,12 +70,12 @@
         if host in self.tasks:
             self.tasks[host].stop()
         ledger = Ledger(host, incarnation, b"s" + incarnation.encode(), BOUNDS, self.clock.now)
-        self.tasks[host] = KeyTask(ledger, self.may_hold, self.clock)
+        self.tasks[host] = LedgerTask(ledger, self.may_store, self.clock)
         self.tasks[host].start()
 
     def make_claims(self, host):
         claims = Claims(
-            self.tasks[host], self.issuers, self.addresses.get, self.may_hold, self.clock
+            self.tasks[host], self.issuers, self.addresses.get, self.may_store, self.clock
         )
         claims.start()
         return claims
@@ -118,7 +118,7 @@
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h2"].claim(fleet.request(key))
     fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
-    assert fleet.issuers.settled.wait(PATIENCE_S)
+    assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert isinstance(fleet.claims["h1"].claim(fleet.request(key)), Replayed)
 
 
@@ -154,7 +154,7 @@
     fleet.issuers.lose_answers = True
     with pytest.raises(RequestError):
         fleet.claims["h2"].claim(fleet.request(key))
-    assert fleet.issuers.settled.wait(PATIENCE_S)
+    assert fleet.issuers.settled.wait(TIMEOUT_S)
     fleet.claims["h1"].claim(fleet.request(key)).check(fleet.clock.now)
 
 
@@ -221,11 +221,11 @@
 
     The run is recorded at h1, its answer is not: a repeat learns that it ran, and no more.
     """
-    fleet = Fleet(may_hold=lambda team, profile, host: host == "h2")
+    fleet = Fleet(may_store=lambda team, profile, host: host == "h2")
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h2"].claim(fleet.request(key))
     fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
-    assert fleet.issuers.settled.wait(PATIENCE_S)
+    assert fleet.issuers.settled.wait(TIMEOUT_S)
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
     assert kind_of(error) == (Kind.ANSWER_GONE, Ran.YES)
@@ -239,10 +239,10 @@
     The issuer decides by its own as well, so the stricter of the two holds.
     """
     (key,) = fleet.tasks["h1"].issue(1)
-    fleet.tasks["h1"]._may_hold = lambda team, profile, host: False
+    fleet.tasks["h1"]._may_store = lambda team, profile, host: False
     granted = fleet.claims["h2"].claim(fleet.request(key))
     fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
-    assert fleet.issuers.settled.wait(PATIENCE_S)
+    assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert fleet.tasks["h1"].count().recorded_bytes == 0
 
 
@@ -255,7 +255,7 @@
     assert not fleet.issuers.settled.wait(0.05)
     fleet.issuers.lose_calls = False
     fleet.clock.now += 1.0
-    assert fleet.issuers.settled.wait(PATIENCE_S)
+    assert fleet.issuers.settled.wait(TIMEOUT_S)
 
 
 def test_leaving_host_issues_no_keys(fleet):
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from cloverway.dispatch.decisions import Core
+from cloverway.dispatch.decisions import DispatchCore
 from cloverway.dispatch.residency import allowed_regions
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import HostState, Summary
@@ -31,7 +31,7 @@
     @initialize(seed=st.integers(0, 1_000), admitted=st.integers(2, 12), queued=st.integers(1, 6))
     def prepare(self, seed, admitted, queued):
         self.random = Random(seed)
-        self.core = Core.from_config(make_settings(admitted=admitted, queued=queued))
+        self.core = DispatchCore.from_config(make_settings(admitted=admitted, queued=queued))
         self.limit = admitted
         self.view = make_view(PUBLISHED, free=3, siblings=("cu-1-h1",))
         self.now = 0.0
@@ -181,7 +181,7 @@
     def count_open_requests(self):
         if not hasattr(self, "core"):
             return
-        figures = self.core.figures()
+        figures = self.core.get_stats()
         assert figures.in_flight == len(self.running) <= self.limit
         assert figures.queued == len(self.waiting)
         assert sum(figures.targets.values()) == len(self.running)
--- a/cloverway/tests/test_decisions_ends.py
+++ b/cloverway/tests/test_decisions_ends.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from cloverway.dispatch.decisions import Core
+from cloverway.dispatch.decisions import DispatchCore
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Admitted, Local, Outcome, Refused
 from cloverway.tests.builders import (
@@ -16,63 +16,65 @@
 )
 
 VIEW = make_view(make_published(slots=8), free=8)
-ALLOWED_ENDS = 3
-DEADLY = b"crash"
+MAX_CRASHES = 3
+CRASHING = b"crash"
 
 
-class Player:
+class CrashScenario:
     """Requests at one core, in virtual time; endpoints that end come back born again."""
 
     def __init__(self) -> None:
-        self.core = Core.from_config(make_settings())
+        self.core = DispatchCore.from_config(make_settings())
         self.view = VIEW
         self.random = Random(1)
         self.now = 0.0
-        self.places = 0
-        self.ended = []
+        self.request_count = 0
+        self.crashed = []
 
     def arrive(self, body, profile="stock"):
         """Send a request as another try; give the verdict."""
         self.now += 1.0
-        self.places += 1
-        request = make_request(self.places, self.now, 20.0, profile=profile, body=body)
-        return self._take(self.core.arrive(self.places, request, self.view, self.now, self.random))
+        self.request_count += 1
+        request = make_request(self.request_count, self.now, 20.0, profile=profile, body=body)
+        return self._take(
+            self.core.arrive(self.request_count, request, self.view, self.now, self.random)
+        )
 
     def finish(self, verdict, outcome, retry=False):
         """End an attempt; give the verdict on the next one, where it is asked for."""
-        self.places += 1
+        self.request_count += 1
         decided = self.core.finish(
             *(verdict.ticket, outcome, self.view, self.now + 0.1, self.random),
-            retry=self.places if retry else None,
+            retry=self.request_count if retry else None,
         )
         return self._take(decided) if retry else None
 
     def crash(self, verdict):
         """End the endpoint that runs an attempt; give the verdict on the next one."""
         assert isinstance(verdict.route, Local)
-        self.ended.append(verdict.route.endpoint)
+        self.crashed.append(verdict.route.endpoint)
         verdict = self.finish(verdict, Outcome.LOST, retry=True)
-        name = self.ended[-1]
-        born = f"life-{len(self.ended)}"
+        name = self.crashed[-1]
+        born = f"life-{len(self.crashed)}"
         self.view = change_endpoint(self.view, name, incarnation=born)
         return verdict
 
     def report(self, name, incarnation):
         """Let a load report come of an endpoint."""
-        told = {"incarnation": incarnation, "reported_at": self.now + 0.2}
-        self.view = change_endpoint(self.view, name, **told)
+        changes = {"incarnation": incarnation, "reported_at": self.now + 0.2}
+        self.view = change_endpoint(self.view, name, **changes)
 
     def _take(self, decided):
-        return next(verdict for place, verdict in decided if place == self.places)
+        return next(verdict for place, verdict in decided if place == self.request_count)
 
 
-def repeat(player, tries, body=DEADLY, profile="stock"):
+def send_repeatedly(scenario, attempts, body=CRASHING, profile="stock"):
     """Send a request again and again, and let each endpoint that runs it end."""
     verdict = None
-    for _ in range(tries):
-        verdict = player.arrive(body, profile)
+    for _ in range(attempts):
+        verdict = scenario.arrive(body, profile)
         while isinstance(verdict, Admitted):
-            verdict = player.crash(verdict)
+            verdict = scenario.crash(verdict)
     return verdict
 
 
@@ -82,47 +84,47 @@
     The failure was the endpoint's, so the next run went to a sound one, and the next try had
     another id: nothing told that it was the same request.
     """
-    player = Player()
-    verdict = repeat(player, 12)
-    assert len(player.ended) == ALLOWED_ENDS
+    scenario = CrashScenario()
+    verdict = send_repeatedly(scenario, 12)
+    assert len(scenario.crashed) == MAX_CRASHES
     assert isinstance(verdict, Refused)
     assert (verdict.kind, verdict.ran) == (Kind.QUARANTINED, Ran.NO)
     assert verdict.retry_after > 1_000
-    assert isinstance(player.arrive(b"fine"), Admitted)
+    assert isinstance(scenario.arrive(b"fine"), Admitted)
 
 
 def test_what_is_told_never_denies_the_run_that_has_just_ended_an_endpoint():
-    player = Player()
-    repeat(player, 1)
-    while len(player.ended) < ALLOWED_ENDS:
-        verdict = player.crash(player.arrive(DEADLY))
+    scenario = CrashScenario()
+    send_repeatedly(scenario, 1)
+    while len(scenario.crashed) < MAX_CRASHES:
+        verdict = scenario.crash(scenario.arrive(CRASHING))
     assert verdict.ran is Ran.UNKNOWN
 
 
 def test_failures_of_endpoints_that_live_on_shut_nothing_out():
     """An application answers each try of one request with a failure of its own."""
-    player = Player()
+    scenario = CrashScenario()
     for _ in range(8):
-        verdict = player.arrive(DEADLY)
+        verdict = scenario.arrive(CRASHING)
         assert isinstance(verdict, Admitted)
-        player.finish(verdict, Outcome.FAILED)
+        scenario.finish(verdict, Outcome.FAILED)
 
 
 def test_a_request_that_is_served_ends_nothing():
-    player = Player()
+    scenario = CrashScenario()
     for _ in range(3):
-        player.finish(player.arrive(DEADLY), Outcome.LOST)
-        player.now += 30.0
-        player.finish(player.arrive(DEADLY), Outcome.DONE)
-        player.now += 30.0
-    assert isinstance(player.arrive(DEADLY), Admitted)
+        scenario.finish(scenario.arrive(CRASHING), Outcome.LOST)
+        scenario.now += 30.0
+        scenario.finish(scenario.arrive(CRASHING), Outcome.DONE)
+        scenario.now += 30.0
+    assert isinstance(scenario.arrive(CRASHING), Admitted)
 
 
 def test_other_requests_of_the_team_and_other_teams_are_not_meant():
-    player = Player()
-    repeat(player, 4)
-    assert isinstance(player.arrive(DEADLY + b" not"), Admitted)
-    assert isinstance(player.arrive(DEADLY, profile="urgent"), Admitted)
+    scenario = CrashScenario()
+    send_repeatedly(scenario, 4)
+    assert isinstance(scenario.arrive(CRASHING + b" not"), Admitted)
+    assert isinstance(scenario.arrive(CRASHING, profile="urgent"), Admitted)
 
 
 def test_an_endpoint_that_is_back_before_its_report_has_still_ended():
@@ -131,17 +133,17 @@
     Until then the host takes the new life for the old one. It answers other requests, and so the
     old one seemed never to have ended; its request ended one endpoint after the other.
     """
-    player = Player()
+    scenario = CrashScenario()
     for _ in range(8):
-        verdict = player.arrive(DEADLY)
+        verdict = scenario.arrive(CRASHING)
         if not isinstance(verdict, Admitted):
             break
-        life = f"life-{len(player.ended)}"
-        player.finish(verdict, Outcome.LOST)
-        player.ended.append(verdict.route.endpoint)
-        player.finish(player.arrive(b"fine"), Outcome.DONE)
-        player.report(player.ended[-1], f"{life}-next")
-    assert len(player.ended) == ALLOWED_ENDS
+        life = f"life-{len(scenario.crashed)}"
+        scenario.finish(verdict, Outcome.LOST)
+        scenario.crashed.append(verdict.route.endpoint)
+        scenario.finish(scenario.arrive(b"fine"), Outcome.DONE)
+        scenario.report(scenario.crashed[-1], f"{life}-next")
+    assert len(scenario.crashed) == MAX_CRASHES
 
 
 def test_an_endpoint_that_is_reported_after_its_connection_broke_has_not_ended():
@@ -149,33 +151,33 @@
 
     It is replaced now and then as planned. After three of its lives the request would be refused.
     """
-    player = Player()
+    scenario = CrashScenario()
     for life in range(5):
-        verdict = player.arrive(DEADLY)
+        verdict = scenario.arrive(CRASHING)
         assert isinstance(verdict, Admitted)
         name = verdict.route.endpoint
-        player.finish(verdict, Outcome.LOST)
-        player.now += 1.0
-        player.report(name, player.view.endpoints[name].incarnation)
+        scenario.finish(verdict, Outcome.LOST)
+        scenario.now += 1.0
+        scenario.report(name, scenario.view.endpoints[name].incarnation)
         answered = {""}
         while name not in answered:
-            beside = player.arrive(b"fine")
+            beside = scenario.arrive(b"fine")
             answered.add(beside.route.endpoint)
-            player.finish(beside, Outcome.DONE)
-        player.report(name, f"life-{life}")
+            scenario.finish(beside, Outcome.DONE)
+        scenario.report(name, f"life-{life}")
 
 
 def test_the_report_of_the_next_life_says_nothing_of_the_one_before():
     """An answer of the old life is finished when the new one is known already."""
-    player = Player()
+    scenario = CrashScenario()
     for number in range(8):
-        verdict = player.arrive(DEADLY)
+        verdict = scenario.arrive(CRASHING)
         if not isinstance(verdict, Admitted):
             break
-        beside = player.arrive(b"fine")
-        player.finish(verdict, Outcome.LOST)
-        player.ended.append(verdict.route.endpoint)
-        player.now += 1.0
-        player.report(player.ended[-1], f"life-{number}")
-        player.finish(beside, Outcome.DONE)
-    assert len(player.ended) == ALLOWED_ENDS
+        beside = scenario.arrive(b"fine")
+        scenario.finish(verdict, Outcome.LOST)
+        scenario.crashed.append(verdict.route.endpoint)
+        scenario.now += 1.0
+        scenario.report(scenario.crashed[-1], f"life-{number}")
+        scenario.finish(beside, Outcome.DONE)
+    assert len(scenario.crashed) == MAX_CRASHES
--- a/cloverway/tests/test_dispatcher.py
+++ b/cloverway/tests/test_dispatcher.py
@@ -16,7 +16,7 @@
 STAY = {"home": "curepipe", "bound": True, "profiles": ["stock"]}
 PUBLISHED = make_published(endpoints=1, slots=2, stay=STAY)
 E0 = "cu-1-e0"
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class Clock:
@@ -30,7 +30,7 @@
 def wait_for(condition):
     """Wait until something holds, up to a bound."""
     pause = threading.Event()
-    until = time.monotonic() + BOUND_S
+    until = time.monotonic() + TIMEOUT_S
     while not condition():
         assert time.monotonic() < until, "it never came to hold"
         pause.wait(0.002)
@@ -87,13 +87,13 @@
     admitted, waiting = fill_and_queue(dispatcher, pool)
     assert not waiting.done()
     dispatcher.finished(admitted[0].ticket, Outcome.DONE, clock.now)
-    assert isinstance(waiting.result(BOUND_S), Admitted)
+    assert isinstance(waiting.result(TIMEOUT_S), Admitted)
 
 
 def test_a_caller_that_leaves_the_queue_is_answered_not_run(dispatcher, pool):
     _, waiting = fill_and_queue(dispatcher, pool)
     dispatcher.cancel("r3")
-    verdict = waiting.result(BOUND_S)
+    verdict = waiting.result(TIMEOUT_S)
     assert verdict == Refused(Kind.CALLER_LEFT)
     assert verdict.ran is Ran.NO
 
@@ -105,7 +105,7 @@
     """
     _, waiting = fill_and_queue(dispatcher, pool, lasts=4.0)
     clock.now += 4.0
-    verdict = waiting.result(BOUND_S)
+    verdict = waiting.result(TIMEOUT_S)
     assert verdict.kind is Kind.DEADLINE
     assert verdict.ran is Ran.NO
     assert verdict.retry_after > 0
@@ -115,13 +115,13 @@
     _, waiting = fill_and_queue(dispatcher, pool)
     wider = make_published(endpoints=2, slots=2, stay=STAY)
     holder.current = make_view(wider, now=100.0)
-    assert isinstance(waiting.result(BOUND_S), Admitted)
+    assert isinstance(waiting.result(TIMEOUT_S), Admitted)
 
 
 def test_a_stopped_dispatcher_leaves_no_caller_without_an_answer(dispatcher, pool):
     _, waiting = fill_and_queue(dispatcher, pool)
     dispatcher.stop()
-    assert waiting.result(BOUND_S).kind is Kind.LEAVING
+    assert waiting.result(TIMEOUT_S).kind is Kind.LEAVING
 
 
 def test_a_failed_attempt_gets_another_route_or_an_answer(dispatcher, clock):
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -7,32 +7,32 @@
 import pytest
 
 from cloverway.core.quarantine import SERVED_S, Crash, CrashNews
-from cloverway.dispatch.ends import RETOLD_S, Ends
+from cloverway.dispatch.ends import REBROADCAST_S, CrashTracker
 from cloverway.errors import Kind
 from cloverway.membership.gossip import FULL_EVERY
 from cloverway.membership.seal import MAX_DATAGRAM_BYTES
 from cloverway.tests.builders import make_request, make_settings
-from cloverway.tests.virtual import Shape, World
+from cloverway.tests.virtual import GossipSimulation, Shape
 
-ALLOWED_ENDS = 3
-DEADLY = 77
+MAX_CRASHES = 3
+CRASHING = 77
 
 
 class Caller:
     """Sends one request to one host after the other; each endpoint that runs it ends."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: GossipSimulation) -> None:
         self.world = world
-        self.lives = itertools.count(1)
-        self.ended = 0
+        self.incarnations = itertools.count(1)
+        self.crashed = 0
 
-    def ask(self, name: str, digest: int = DEADLY) -> bool:
+    def ask(self, name: str, digest: int = CRASHING) -> bool:
         """Send the request to a host; tell whether an endpoint ran it."""
         ends = self.world.hosts[name].gossip.ends
         if ends.find_hold(digest, self.world.now) is not None:
             return False
-        ends.note_end(Crash(f"life-{next(self.lives)}", (digest,), self.world.now))
-        self.ended += 1
+        ends.record_crash(Crash(f"life-{next(self.incarnations)}", (digest,), self.world.now))
+        self.crashed += 1
         return True
 
     def ask_all(self, names, pause_s: float) -> None:
@@ -42,8 +42,8 @@
             self.world.run(pause_s)
 
 
-def make_world(**more) -> World:
-    world = World(Shape(**more))
+def make_world(**more) -> GossipSimulation:
+    world = GossipSimulation(Shape(**more))
     world.run_until(world.sees_all)
     world.run(5.0)
     return world
@@ -58,7 +58,7 @@
     world = make_world(hosts=8)
     caller = Caller(world)
     caller.ask_all([*world.hosts] * 3, pause_s=0.3)
-    assert caller.ended == ALLOWED_ENDS
+    assert caller.crashed == MAX_CRASHES
 
 
 def test_hosts_of_other_failure_domains_hear_of_it_within_some_seconds():
@@ -70,23 +70,23 @@
     caller = Caller(world)
     first = min(world.published.domains)
     caller.ask_all([name for name in world.hosts if name.startswith(first)], pause_s=0.3)
-    assert caller.ended == ALLOWED_ENDS
+    assert caller.crashed == MAX_CRASHES
     world.run(4.0)
     caller.ask_all([name for name in world.hosts if not name.startswith(first)], pause_s=0.0)
-    assert caller.ended == ALLOWED_ENDS
+    assert caller.crashed == MAX_CRASHES
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_it_is_told_again_where_datagrams_are_lost(seed):
     """Every fifth datagram is lost: a host that missed the word lets the request run."""
-    world = World(Shape(hosts=6), seed=seed, loss=0.2)
+    world = GossipSimulation(Shape(hosts=6), seed=seed, loss=0.2)
     world.run_until(world.sees_all)
     caller = Caller(world)
-    caller.ask_all([*world.hosts][:ALLOWED_ENDS], pause_s=0.5)
+    caller.ask_all([*world.hosts][:MAX_CRASHES], pause_s=0.5)
     world.run(4.0)
-    ended = caller.ended
+    crashed = caller.crashed
     caller.ask_all(world.hosts, pause_s=0.0)
-    assert caller.ended == ended <= ALLOWED_ENDS + 1
+    assert caller.crashed == crashed <= MAX_CRASHES + 1
 
 
 def test_a_host_that_starts_or_was_cut_off_is_told_what_it_missed():
@@ -100,13 +100,13 @@
     world.cuts |= links
     caller = Caller(world)
     caller.ask_all([*rest, *rest], pause_s=0.5)
-    world.run(RETOLD_S + 10.0)
+    world.run(REBROADCAST_S + 10.0)
     world.cuts -= links
     world.kill(restarts)
     world.start(restarts)
     world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
     caller.ask_all([restarts, cut], pause_s=0.0)
-    assert caller.ended == ALLOWED_ENDS
+    assert caller.crashed == MAX_CRASHES
 
 
 def test_a_request_that_was_served_is_cleared_everywhere():
@@ -115,17 +115,17 @@
     caller = Caller(world)
     first, second, third = world.hosts
     caller.ask_all([first, second], pause_s=1.0)
-    world.hosts[first].gossip.ends.note_served(DEADLY, world.now)
+    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
     world.run(2.0)
     caller.ask(second)
     world.run(2.0)
-    assert world.hosts[third].gossip.ends.find_hold(DEADLY, world.now) is None
+    assert world.hosts[third].gossip.ends.find_hold(CRASHING, world.now) is None
 
 
 def test_nothing_is_added_to_heartbeats_while_no_endpoint_ends():
     """Ends are rare; what tells of them must cost nothing on all other days."""
     world = make_world(hosts=4)
-    quiet = [host.gossip.ends.list_news(world.now, full=True) for host in world.hosts.values()]
+    quiet = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
     assert quiet == [CrashNews((), ())] * 4
 
 
@@ -134,12 +134,12 @@
     world = make_world(hosts=3)
     first, *_ = world.hosts
     for number in range(20):
-        world.hosts[first].gossip.ends.note_end(Crash(f"e{number}", (number,), world.now))
+        world.hosts[first].gossip.ends.record_crash(Crash(f"e{number}", (number,), world.now))
     world.run(1.0)
-    news = [host.gossip.ends.list_news(world.now, full=True) for host in world.hosts.values()]
+    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
     assert all(len(each.crashes) >= 20 for each in news)
-    world.run(RETOLD_S + 1.0)
-    news = [host.gossip.ends.list_news(world.now, full=True) for host in world.hosts.values()]
+    world.run(REBROADCAST_S + 1.0)
+    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
     assert news == [CrashNews((), ())] * 3
 
 
@@ -151,20 +151,22 @@
     first, *others = world.hosts
     ends = world.hosts[first].gossip.ends
     for engine in range(64):
-        life = f"region-00-domain-000-engine-{engine:03}@start-{engine}"
-        ends.note_end(Crash(life, (engine, DEADLY * 100), world.now))
+        incarnation = f"region-00-domain-000-engine-{engine:03}@start-{engine}"
+        ends.record_crash(Crash(incarnation, (engine, CRASHING * 100), world.now))
     world.run(3.0)
     assert max(longest) <= MAX_DATAGRAM_BYTES
     for name in others:
-        news = world.hosts[name].gossip.ends.list_news(world.now, full=True)
+        news = world.hosts[name].gossip.ends.list_updates(world.now, full=True)
         assert sum(len(crash.digests) for crash in news.crashes) > 32
 
 
 def test_a_host_that_is_told_refuses_with_the_time_that_is_left():
-    ends = Ends(make_settings().quarantine)
+    ends = CrashTracker(make_settings().quarantine)
     request = make_request(1, 0.0, 20.0)
-    for number in range(ALLOWED_ENDS):
-        ends.hear(CrashNews((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0)
+    for number in range(MAX_CRASHES):
+        ends.apply_update(
+            CrashNews((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0
+        )
     refused = ends.find_refusal(request, 10.0)
     assert refused is not None
     assert refused.kind is Kind.QUARANTINED
@@ -173,14 +175,14 @@
 
 def test_what_is_heard_and_who_is_refused_can_be_read_in_the_log(caplog):
     """An operator sees refusals at a host that has seen no endpoint end."""
-    ends = Ends(make_settings().quarantine)
+    ends = CrashTracker(make_settings().quarantine)
     with caplog.at_level("INFO", logger="cloverway.dispatch.ends"):
-        for number in range(ALLOWED_ENDS):
-            ends.hear(CrashNews((Crash(f"e{number}", (DEADLY,), 5.0),), ()), 6.0)
+        for number in range(MAX_CRASHES):
+            ends.apply_update(CrashNews((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
     told = [record for record in caplog.records if record.msg == "an endpoint has ended"]
     held = [record for record in caplog.records if record.levelname == "WARNING"]
-    assert [record.life for record in told] == ["e0", "e1", "e2"]
-    assert [(record.request_digest, record.ends) for record in held] == [(f"{DEADLY:016x}", 3)]
+    assert [record.incarnation for record in told] == ["e0", "e1", "e2"]
+    assert [(record.request_digest, record.ends) for record in held] == [(f"{CRASHING:016x}", 3)]
 
 
 def test_an_end_counts_from_when_it_happened_wherever_it_is_heard_of():
@@ -199,9 +201,9 @@
     world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
     hold_s = make_settings().quarantine.hold_s
     for host in world.hosts.values():
-        hold = host.gossip.ends.find_hold(DEADLY, world.now)
+        hold = host.gossip.ends.find_hold(CRASHING, world.now)
         assert hold is not None
-        assert world.now + hold.left_s <= begun_at + hold_s * 2 ** (hold.ends - ALLOWED_ENDS) + 5.0
+        assert world.now + hold.left_s <= begun_at + hold_s * 2 ** (hold.ends - MAX_CRASHES) + 5.0
 
 
 def test_a_request_that_was_cleared_once_and_turns_deadly_is_found_out_at_all_hosts():
@@ -214,7 +216,7 @@
     first, *_ = world.hosts
     caller.ask(first)
     world.run(1.0)
-    world.hosts[first].gossip.ends.note_served(DEADLY, world.now)
+    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
     world.run(SERVED_S + 10.0)
     caller.ask_all([*world.hosts] * 3, pause_s=0.5)
-    assert caller.ended == 1 + ALLOWED_ENDS
+    assert caller.crashed == 1 + MAX_CRASHES
--- a/cloverway/tests/test_keys.py
+++ b/cloverway/tests/test_keys.py
@@ -6,14 +6,14 @@
 
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Refused
-from cloverway.once.keynames import KeyName
+from cloverway.once.keynames import ParsedKey
 from cloverway.once.keys import (
     Grant,
     Recorded,
     Settlement,
     compute_digest,
 )
-from cloverway.tests.ledgers import ANSWER, BOUNDS, claim_of, issue, make_ledger, settle_of
+from cloverway.tests.ledgers import ANSWER, BOUNDS, issue, make_claim, make_ledger, make_settle_call
 
 
 def kind_of(result):
@@ -29,8 +29,8 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    assert ledger.claim(claim_of(key), 1.0) == Grant(10.0)
-    second = ledger.claim(claim_of(key, "b"), 1.0)
+    assert ledger.claim(make_claim(key), 1.0) == Grant(10.0)
+    second = ledger.claim(make_claim(key, "b"), 1.0)
     assert kind_of(second) == (Kind.KEY_IN_USE, Ran.UNKNOWN)
     assert second.retry_after > 0
 
@@ -42,7 +42,7 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    assert ledger.claim(claim_of(key), 1.0) == ledger.claim(claim_of(key), 1.5) == Grant(10.0)
+    assert ledger.claim(make_claim(key), 1.0) == ledger.claim(make_claim(key), 1.5) == Grant(10.0)
 
 
 def test_repeat_after_the_answer_was_lost():
@@ -52,9 +52,9 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    assert ledger.settle(settle_of(key, Settlement.DONE, recorded=ANSWER), 2.0)
-    assert ledger.claim(claim_of(key, "b"), 50.0) == ANSWER
+    ledger.claim(make_claim(key), 1.0)
+    assert ledger.settle(make_settle_call(key, Settlement.DONE, recorded=ANSWER), 2.0)
+    assert ledger.claim(make_claim(key, "b"), 50.0) == ANSWER
 
 
 def test_repeat_after_unknown():
@@ -64,9 +64,9 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    assert ledger.settle(settle_of(key, Settlement.UNKNOWN), 2.0)
-    assert kind_of(ledger.claim(claim_of(key, "b"), 3.0)) == (Kind.KEY_SPENT, Ran.UNKNOWN)
+    ledger.claim(make_claim(key), 1.0)
+    assert ledger.settle(make_settle_call(key, Settlement.UNKNOWN), 2.0)
+    assert kind_of(ledger.claim(make_claim(key, "b"), 3.0)) == (Kind.KEY_SPENT, Ran.UNKNOWN)
 
 
 def test_grantee_killed():
@@ -77,9 +77,9 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    assert kind_of(ledger.claim(claim_of(key, "b"), 11.9))[0] is Kind.KEY_IN_USE
-    assert kind_of(ledger.claim(claim_of(key, "b"), 12.0)) == (Kind.KEY_SPENT, Ran.UNKNOWN)
+    ledger.claim(make_claim(key), 1.0)
+    assert kind_of(ledger.claim(make_claim(key, "b"), 11.9))[0] is Kind.KEY_IN_USE
+    assert kind_of(ledger.claim(make_claim(key, "b"), 12.0)) == (Kind.KEY_SPENT, Ran.UNKNOWN)
 
 
 def test_grantee_wakes_late_and_has_not_run():
@@ -89,10 +89,10 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    assert kind_of(ledger.claim(claim_of(key, "b"), 30.0))[0] is Kind.KEY_SPENT
-    assert ledger.settle(settle_of(key, Settlement.NOT_RUN), 31.0)
-    assert isinstance(ledger.claim(claim_of(key, "c"), 32.0), Grant)
+    ledger.claim(make_claim(key), 1.0)
+    assert kind_of(ledger.claim(make_claim(key, "b"), 30.0))[0] is Kind.KEY_SPENT
+    assert ledger.settle(make_settle_call(key, Settlement.NOT_RUN), 31.0)
+    assert isinstance(ledger.claim(make_claim(key, "c"), 32.0), Grant)
 
 
 def test_late_settlement_of_an_earlier_claimant():
@@ -102,11 +102,11 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    assert ledger.settle(settle_of(key, Settlement.NOT_RUN), 2.0)
-    assert isinstance(ledger.claim(claim_of(key, "b"), 3.0), Grant)
-    assert not ledger.settle(settle_of(key, Settlement.NOT_RUN), 4.0)
-    assert kind_of(ledger.claim(claim_of(key, "c"), 5.0))[0] is Kind.KEY_IN_USE
+    ledger.claim(make_claim(key), 1.0)
+    assert ledger.settle(make_settle_call(key, Settlement.NOT_RUN), 2.0)
+    assert isinstance(ledger.claim(make_claim(key, "b"), 3.0), Grant)
+    assert not ledger.settle(make_settle_call(key, Settlement.NOT_RUN), 4.0)
+    assert kind_of(ledger.claim(make_claim(key, "c"), 5.0))[0] is Kind.KEY_IN_USE
 
 
 def test_late_copy_of_a_claim_that_was_given_up():
@@ -116,10 +116,10 @@
     """
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    ledger.settle(settle_of(key, Settlement.NOT_RUN), 2.0)
-    assert kind_of(ledger.claim(claim_of(key), 3.0)) == (Kind.KEY_IN_USE, Ran.NO)
-    assert isinstance(ledger.claim(claim_of(key, "b"), 4.0), Grant)
+    ledger.claim(make_claim(key), 1.0)
+    ledger.settle(make_settle_call(key, Settlement.NOT_RUN), 2.0)
+    assert kind_of(ledger.claim(make_claim(key), 3.0)) == (Kind.KEY_IN_USE, Ran.NO)
+    assert isinstance(ledger.claim(make_claim(key, "b"), 4.0), Grant)
 
 
 @pytest.mark.parametrize("later", list(Settlement))
@@ -127,10 +127,10 @@
 def test_first_settlement_stands(first, later):
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    ledger.settle(settle_of(key, first), 2.0)
-    assert ledger.settle(settle_of(key, later), 3.0) is (first is later)
-    assert not isinstance(ledger.claim(claim_of(key, "b"), 4.0), Grant)
+    ledger.claim(make_claim(key), 1.0)
+    ledger.settle(make_settle_call(key, first), 2.0)
+    assert ledger.settle(make_settle_call(key, later), 3.0) is (first is later)
+    assert not isinstance(ledger.claim(make_claim(key, "b"), 4.0), Grant)
 
 
 def test_replaced_issuer():
@@ -139,7 +139,7 @@
     The new one has no memory of the old one's grants and says so: the outcome is unknown.
     """
     key = issue(make_ledger("i1"))
-    result = make_ledger("i2").claim(claim_of(key), 1.0)
+    result = make_ledger("i2").claim(make_claim(key), 1.0)
     assert kind_of(result) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
 
 
@@ -147,23 +147,23 @@
 def test_key_of_another_request(change):
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    ledger.settle(settle_of(key, Settlement.DONE, recorded=ANSWER), 2.0)
-    assert kind_of(ledger.claim(claim_of(key, "b", **change), 3.0)) == (Kind.KEY_MISMATCH, Ran.NO)
+    ledger.claim(make_claim(key), 1.0)
+    ledger.settle(make_settle_call(key, Settlement.DONE, recorded=ANSWER), 2.0)
+    assert kind_of(ledger.claim(make_claim(key, "b", **change), 3.0)) == (Kind.KEY_MISMATCH, Ran.NO)
 
 
 def test_binding_outlives_a_run_that_did_not_happen():
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    ledger.settle(settle_of(key, Settlement.NOT_RUN), 2.0)
-    result = ledger.claim(claim_of(key, "b", digest=b"other"), 3.0)
+    ledger.claim(make_claim(key), 1.0)
+    ledger.settle(make_settle_call(key, Settlement.NOT_RUN), 2.0)
+    result = ledger.claim(make_claim(key, "b", digest=b"other"), 3.0)
     assert kind_of(result) == (Kind.KEY_MISMATCH, Ran.NO)
 
 
 @pytest.mark.parametrize("text", ["", "order-17", "k1_h1_i1_0_00_00", "k1_" * 99, "k1_ü_i_0_0_0"])
 def test_malformed_keys(text):
-    assert kind_of(make_ledger().claim(claim_of(text), 1.0)) == (Kind.KEY_INVALID, Ran.NO)
+    assert kind_of(make_ledger().claim(make_claim(text), 1.0)) == (Kind.KEY_INVALID, Ran.NO)
 
 
 @given(st.data())
@@ -172,14 +172,14 @@
     key = issue(ledger)
     at = data.draw(st.integers(0, len(key) - 1))
     forged = key[:at] + data.draw(st.characters(exclude_characters=key[at])) + key[at + 1 :]
-    result = ledger.claim(claim_of(forged), 1.0)
+    result = ledger.claim(make_claim(forged), 1.0)
     assert kind_of(result)[0] in (Kind.KEY_INVALID, Kind.KEY_OWNER_LOST)
     assert len(ledger) == 0
 
 
 @given(st.text(max_size=300))
 def test_any_text_is_parsed_or_not(text):
-    name = KeyName.parse(text)
+    name = ParsedKey.parse(text)
     assert name is None or name.text == text
 
 
@@ -188,7 +188,7 @@
     ledger = make_ledger()
     signed, _, mac = issue(ledger).rpartition("_")
     assert mac.upper() != mac
-    result = ledger.claim(claim_of(f"{signed}_{mac.upper()}"), 1.0)
+    result = ledger.claim(make_claim(f"{signed}_{mac.upper()}"), 1.0)
     assert kind_of(result)[0] is Kind.KEY_INVALID
 
 
@@ -196,20 +196,20 @@
     """A key that was never used is too old to claim; one that was used is held a lifetime more."""
     ledger = make_ledger()
     old, used = ledger.issue([b"a" * 12, b"b" * 12], 0.0)
-    ledger.claim(claim_of(used), 99.0)
-    ledger.settle(settle_of(used, Settlement.DONE, recorded=ANSWER), 99.5)
-    assert kind_of(ledger.claim(claim_of(old), 100.0)) == (Kind.KEY_EXPIRED, Ran.UNKNOWN)
-    assert ledger.claim(claim_of(used, "b"), 198.0) == ANSWER
-    assert kind_of(ledger.claim(claim_of(used, "b"), 199.0)) == (Kind.KEY_EXPIRED, Ran.UNKNOWN)
+    ledger.claim(make_claim(used), 99.0)
+    ledger.settle(make_settle_call(used, Settlement.DONE, recorded=ANSWER), 99.5)
+    assert kind_of(ledger.claim(make_claim(old), 100.0)) == (Kind.KEY_EXPIRED, Ran.UNKNOWN)
+    assert ledger.claim(make_claim(used, "b"), 198.0) == ANSWER
+    assert kind_of(ledger.claim(make_claim(used, "b"), 199.0)) == (Kind.KEY_EXPIRED, Ran.UNKNOWN)
     assert (len(ledger), ledger.recorded_bytes) == (0, 0)
 
 
 def test_clock_that_steps_back():
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 10.0)
+    ledger.claim(make_claim(key), 10.0)
     ledger.expire(150.0)
-    assert kind_of(ledger.claim(claim_of(key, "b"), 11.0))[0] is Kind.KEY_EXPIRED
+    assert kind_of(ledger.claim(make_claim(key, "b"), 11.0))[0] is Kind.KEY_EXPIRED
 
 
 def test_full_table_refuses_new_keys_and_keeps_used_ones():
@@ -221,11 +221,11 @@
     ledger = make_ledger()
     keys = ledger.issue([bytes([n]) * 12 for n in range(5)], 0.0)
     for number, key in enumerate(keys[:4]):
-        assert isinstance(ledger.claim(claim_of(key, team=f"t{number}"), 1.0), Grant)
-    refused = ledger.claim(claim_of(keys[4]), 1.0)
+        assert isinstance(ledger.claim(make_claim(key, team=f"t{number}"), 1.0), Grant)
+    refused = ledger.claim(make_claim(keys[4]), 1.0)
     assert kind_of(refused) == (Kind.OVERLOADED, Ran.NO)
     assert refused.retry_after == 60.0
-    assert kind_of(ledger.claim(claim_of(keys[0], "b", team="t0"), 1.0))[0] is Kind.KEY_IN_USE
+    assert kind_of(ledger.claim(make_claim(keys[0], "b", team="t0"), 1.0))[0] is Kind.KEY_IN_USE
 
 
 def test_team_that_uses_many_keys():
@@ -233,39 +233,41 @@
     ledger = make_ledger()
     keys = ledger.issue([bytes([n]) * 12 for n in range(4)], 0.0)
     for key in keys[:2]:
-        assert isinstance(ledger.claim(claim_of(key), 1.0), Grant)
-    refused = ledger.claim(claim_of(keys[2]), 1.0)
+        assert isinstance(ledger.claim(make_claim(key), 1.0), Grant)
+    refused = ledger.claim(make_claim(keys[2]), 1.0)
     assert kind_of(refused) == (Kind.TEAM_LIMIT, Ran.NO)
     assert refused.retry_after > 0
-    assert isinstance(ledger.claim(claim_of(keys[3], team="u"), 1.0), Grant)
+    assert isinstance(ledger.claim(make_claim(keys[3], team="u"), 1.0), Grant)
     ledger.expire(102.0)
     (key,) = ledger.issue([b"z" * 12], 102.0)
-    assert isinstance(ledger.claim(claim_of(key), 102.0), Grant)
+    assert isinstance(ledger.claim(make_claim(key), 102.0), Grant)
 
 
 def test_recorded_answers_make_room():
     ledger = make_ledger(bounds=BOUNDS._replace(keys=8))
     keys = ledger.issue([bytes([n]) * 12 for n in range(3)], 0.0)
     for key in keys:
-        ledger.claim(claim_of(key), 1.0)
+        ledger.claim(make_claim(key), 1.0)
         answer = Recorded(200, "", b"x" * 50)
-        ledger.settle(settle_of(key, Settlement.DONE, recorded=answer), 1.0)
+        ledger.settle(make_settle_call(key, Settlement.DONE, recorded=answer), 1.0)
     assert ledger.recorded_bytes == 100
-    assert kind_of(ledger.claim(claim_of(keys[0], "b"), 2.0)) == (Kind.ANSWER_GONE, Ran.YES)
-    assert isinstance(ledger.claim(claim_of(keys[2], "b"), 2.0), Recorded)
+    assert kind_of(ledger.claim(make_claim(keys[0], "b"), 2.0)) == (Kind.ANSWER_GONE, Ran.YES)
+    assert isinstance(ledger.claim(make_claim(keys[2], "b"), 2.0), Recorded)
 
 
 def test_answer_too_large_to_record():
     ledger = make_ledger()
     key = issue(ledger)
-    ledger.claim(claim_of(key), 1.0)
-    ledger.settle(settle_of(key, Settlement.DONE, recorded=Recorded(200, "", b"x" * 61)), 1.0)
-    assert kind_of(ledger.claim(claim_of(key, "b"), 2.0)) == (Kind.ANSWER_GONE, Ran.YES)
+    ledger.claim(make_claim(key), 1.0)
+    ledger.settle(
+        make_settle_call(key, Settlement.DONE, recorded=Recorded(200, "", b"x" * 61)), 1.0
+    )
+    assert kind_of(ledger.claim(make_claim(key, "b"), 2.0)) == (Kind.ANSWER_GONE, Ran.YES)
 
 
 def test_claim_after_the_deadline():
     ledger = make_ledger()
-    assert kind_of(ledger.claim(claim_of(issue(ledger), left_s=0.0), 1.0)) == (
+    assert kind_of(ledger.claim(make_claim(issue(ledger), left_s=0.0), 1.0)) == (
         Kind.DEADLINE,
         Ran.NO,
     )
@@ -277,7 +279,7 @@
     key = issue(ledger)
     ledger.leaving = True
     assert kind_of(ledger.issue([b"m" * 12], 1.0)) == (Kind.LEAVING, Ran.NO)
-    assert isinstance(ledger.claim(claim_of(key), 1.0), Grant)
+    assert isinstance(ledger.claim(make_claim(key), 1.0), Grant)
 
 
 def test_digest_tells_parts_apart():
@@ -295,11 +297,11 @@
     first, second = ledger.issue([b"a" * 12, b"b" * 12], 1.0)
     assert ledger.is_needed(30.9, 30.0)
     assert not ledger.is_needed(31.0, 30.0)
-    ledger.claim(claim_of(first), 32.0)
-    ledger.claim(claim_of(second, "b", left_s=20.0), 32.0)
-    ledger.settle(settle_of(first, Settlement.DONE), 33.0)
+    ledger.claim(make_claim(first), 32.0)
+    ledger.claim(make_claim(second, "b", left_s=20.0), 32.0)
+    ledger.settle(make_settle_call(first, Settlement.DONE), 33.0)
     assert ledger.outstanding == 1
     assert ledger.is_needed(52.9, 0.0)
     assert not ledger.is_needed(53.0, 0.0)
-    ledger.settle(settle_of(second, Settlement.NOT_RUN, "b"), 54.0)
+    ledger.settle(make_settle_call(second, Settlement.NOT_RUN, "b"), 54.0)
     assert ledger.outstanding == 0
--- a/cloverway/tests/test_membership.py
+++ b/cloverway/tests/test_membership.py
@@ -9,14 +9,14 @@
 from cloverway.membership.membership import Membership, Merged
 from cloverway.membership.readings import LIST_LAG_S, Readings, Report
 from cloverway.membership.seal import MAX_DATAGRAM_BYTES
-from cloverway.tests.virtual import SEAL, Shape, World
+from cloverway.tests.virtual import SEAL, GossipSimulation, Shape
 
 SUSPECT_S = 2.0
 ENGINE = "region-00-domain-000-engine-000"
 
 
 def make_world(hosts=4, endpoints=4, **more):
-    world = World(Shape(hosts=hosts, endpoints=endpoints), **more)
+    world = GossipSimulation(Shape(hosts=hosts, endpoints=endpoints), **more)
     world.run_until(world.sees_all)
     return world
 
@@ -224,7 +224,7 @@
 
 def test_a_cut_failure_domain_keeps_its_own_view_and_leaves_that_of_the_others():
     """Hosts of a cut domain lose their own endpoints, or others send work into the cut."""
-    world = World(Shape(domains=3, hosts=2, endpoints=2, regions=3))
+    world = GossipSimulation(Shape(domains=3, hosts=2, endpoints=2, regions=3))
     world.run(8.0)
     first, *others = world.published.domains
     inside = world.published.hosts_of(first)
@@ -258,7 +258,7 @@
 
 def test_every_datagram_fits_one_frame():
     lengths = []
-    world = World(Shape(hosts=3, endpoints=300, targets=60, domains=2))
+    world = GossipSimulation(Shape(hosts=3, endpoints=300, targets=60, domains=2))
     world.tap = lambda name, to, datagram: lengths.append(len(datagram))
     world.run_until(world.sees_all)
     world.run(6.0)
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -11,7 +11,7 @@
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.exchange import Reply
 from cloverway.messages import Outcome
-from cloverway.once.claims import Claims, Granted, KeyTask, Replayed
+from cloverway.once.claims import Claims, Granted, LedgerTask, Replayed
 from cloverway.once.keys import Bounds, Ledger
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
@@ -34,7 +34,7 @@
         bounds = Bounds(100, 100.0, 10_000, 1_000)
         ledger = Ledger(name, incarnation, name.encode() * 8, bounds, time.monotonic())
         me = Identity(name, incarnation)
-        self.keys = KeyTask(ledger, lambda *_: True)
+        self.keys = LedgerTask(ledger, lambda *_: True)
         self.client = PeerClient(me, SECRET, peer_bounds)
         self.claims = Claims(self.keys, self.client, addresses.get, lambda *_: True)
         handler = Handler()
--- a/cloverway/tests/test_residency.py
+++ b/cloverway/tests/test_residency.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cloverway.config.published import Published
-from cloverway.dispatch.residency import allowed_regions, check_here
+from cloverway.dispatch.residency import allowed_regions, check_region_allowed
 from cloverway.errors import Kind, RequestError
 from cloverway.messages import Request
 
@@ -82,12 +82,12 @@
         revision=2, teams={**PUBLISHED.teams, "free": free._replace(bound=True)}
     )
     with pytest.raises(RequestError) as caught:
-        check_here(own, make_request("free", "stock", origin), "rodrigues")
+        check_region_allowed(own, make_request("free", "stock", origin), "rodrigues")
     assert caught.value.kind is Kind.RESIDENCY
-    check_here(own, make_request("free", "stock", origin), "curepipe")
+    check_region_allowed(own, make_request("free", "stock", origin), "curepipe")
 
 
 def test_a_host_without_configuration_runs_nothing():
     with pytest.raises(RequestError) as caught:
-        check_here(None, make_request("free", "stock", 1), "curepipe")
+        check_region_allowed(None, make_request("free", "stock", 1), "curepipe")
     assert caught.value.kind is Kind.STARTING
--- a/cloverway/tests/test_routing.py
+++ b/cloverway/tests/test_routing.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cloverway.dispatch.affinity import rank_places
-from cloverway.dispatch.decisions import Core
-from cloverway.dispatch.outliers import LONGEST_ASKED_S, LONGEST_PAUSE_S, Outliers
+from cloverway.dispatch.affinity import rank_destinations
+from cloverway.dispatch.decisions import DispatchCore
+from cloverway.dispatch.outliers import MAX_EJECTION_S, MAX_REQUESTED_PAUSE_S, OutlierDetector
 from cloverway.dispatch.prompts import Prefix
 from cloverway.dispatch.routing import SLOW_START_S
 from cloverway.errors import Kind
@@ -30,7 +30,7 @@
 
     def __init__(self, published=None, seed=1, policy="cloverway", **more):
         self.published = published or make_published()
-        self.core = Core.from_config(make_settings(policy=policy))
+        self.core = DispatchCore.from_config(make_settings(policy=policy))
         self.view = make_view(self.published, **more)
         self.random = Random(seed)
         self.now = 0.0
@@ -137,24 +137,24 @@
 
 def test_a_pause_that_an_endpoint_asked_for_has_a_bound():
     """Guards against a number that is wrong by a factor and takes an endpoint out for good."""
-    outliers = Outliers()
-    outliers.note_pause("e", 1e9, 0.0)
-    assert outliers.is_paused("e", LONGEST_ASKED_S - 1)
-    assert not outliers.is_paused("e", LONGEST_ASKED_S + 1)
+    outliers = OutlierDetector()
+    outliers.record_requested_pause("e", 1e9, 0.0)
+    assert outliers.is_paused("e", MAX_REQUESTED_PAUSE_S - 1)
+    assert not outliers.is_paused("e", MAX_REQUESTED_PAUSE_S + 1)
 
 
 def test_pauses_of_a_flapping_endpoint_double_up_to_a_bound():
-    outliers = Outliers()
+    outliers = OutlierDetector()
     now, pauses = 0.0, []
     for _ in range(8):
-        outliers.note_failure("e", now)
+        outliers.record_failure("e", now)
         begin = now
         while outliers.is_paused("e", now):
             now += 0.05
         pauses.append(round(now - begin, 2))
     assert pauses == sorted(pauses)
     assert pauses[0] < 1.0
-    assert LONGEST_PAUSE_S <= pauses[-1] < LONGEST_PAUSE_S + 0.1
+    assert MAX_EJECTION_S <= pauses[-1] < MAX_EJECTION_S + 0.1
 
 
 def test_a_poisonous_request_does_not_eject_an_endpoint_alone():
@@ -176,16 +176,16 @@
     again = host.arrive(body=body, stream=True)
     assert again.route.endpoint == held
     host.finish(again)
-    prefixes = host.core._knowledge.prefixes
-    assert prefixes.count_matched(held, "e1", Prefix.from_body(body), -1.0) > 0
-    assert prefixes.count_matched(held, "e2", Prefix.from_body(body), -1.0) == 0
+    prefixes = host.core._learned.prefixes
+    assert prefixes.count_matching_blocks(held, "e1", Prefix.from_body(body), -1.0) > 0
+    assert prefixes.count_matching_blocks(held, "e2", Prefix.from_body(body), -1.0) == 0
 
 
 def test_hosts_agree_on_the_place_of_a_prefix():
     names = [f"e{number}" for number in range(10)]
-    assert rank_places(b"key", names) == rank_places(b"key", reversed(names))
-    moved = rank_places(b"key", names[:-1])
-    assert [name for name in rank_places(b"key", names) if name != "e9"] == moved
+    assert rank_destinations(b"key", names) == rank_destinations(b"key", reversed(names))
+    moved = rank_destinations(b"key", names[:-1])
+    assert [name for name in rank_destinations(b"key", names) if name != "e9"] == moved
 
 
 def is_away(verdict):
@@ -300,4 +300,4 @@
     reasons = {row["place"]: row["why"] for row in bound["candidates"]}
     assert bound["allowed_regions"] == ["rodrigues"]
     assert "residency" in reasons["pl-1"]
-    assert host.core.figures().in_flight == 0
+    assert host.core.get_stats().in_flight == 0
--- a/cloverway/tests/test_tenants.py
+++ b/cloverway/tests/test_tenants.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverway.dispatch.tenants import REVIEW_S, SHARED, TenantLabels
+from cloverway.dispatch.tenants import REVIEW_PERIOD_S, SHARED_LABELS, TenantLabels
 
 
 def feed(labels, traffic):
@@ -20,7 +20,7 @@
     seen = feed(labels, [(f"team-{n}", 1 + 3000 // (n + 1)) for n in range(300)])
     seen |= feed(labels, [(f"team-{n}", 1) for n in range(9000)])
     shared = {label for label in seen if label.startswith("_other_")}
-    assert len(shared) == SHARED
+    assert len(shared) == SHARED_LABELS
     assert len(seen - shared) == 48
     assert {f"team-{n}" for n in range(40)} <= seen
 
@@ -29,10 +29,10 @@
     labels = TenantLabels(0.0, named=2)
     feed(labels, [("a", 100), ("b", 20), ("c", 30)])
     assert labels.get("c").startswith("_other_")
-    assert labels.review(REVIEW_S) == []
+    assert labels.review(REVIEW_PERIOD_S) == []
     feed(labels, [("c", 100)])
-    assert labels.review(REVIEW_S * 1.5) == []
-    assert labels.review(REVIEW_S * 2) == ["b"]
+    assert labels.review(REVIEW_PERIOD_S * 1.5) == []
+    assert labels.review(REVIEW_PERIOD_S * 2) == ["b"]
     assert labels.get("c") == "c"
     assert labels.get("b").startswith("_other_")
 
--- a/cloverway/tests/virtual.py
+++ b/cloverway/tests/virtual.py
@@ -10,7 +10,7 @@
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import QuarantineTerms
-from cloverway.dispatch.ends import Ends
+from cloverway.dispatch.ends import CrashTracker
 from cloverway.membership.gossip import Gossip, Own
 from cloverway.membership.heartbeats import parse_incarnation
 from cloverway.membership.readings import Report
@@ -18,7 +18,7 @@
 from cloverway.membership.seal import Seal
 
 SEAL = Seal.from_secret(b"a secret of the tests that all hosts share")
-TRIP_S = 0.001
+LATENCY_S = 0.001
 FRAME_BYTES = 28
 """Headers of IP and UDP."""
 TICK_S = 0.05
@@ -81,7 +81,7 @@
         return set(self.gossip.near_hosts(now))
 
 
-class World:
+class GossipSimulation:
     """All hosts of a published configuration. Times are virtual seconds."""
 
     def __init__(self, shape: Shape, seed: int = 1, loss: float = 0.0, timing=TIMING) -> None:
@@ -114,7 +114,7 @@
             timing=self.timing,
             seal=SEAL,
             random=self.random,
-            ends=Ends(QuarantineTerms()),
+            ends=CrashTracker(QuarantineTerms()),
         )
         gossip.own = Own(revision=1)
         gossip.adopt(self.published)
@@ -171,29 +171,29 @@
     def _at(self, when, step, *arguments):
         heapq.heappush(self.queue, (when, next(self.number), step, arguments))
 
-    def _runs(self, name, host):
+    def _is_running(self, name, host):
         return self.hosts[name] is host and host.alive
 
     def _beat(self, name, host, period):
-        if self._runs(name, host):
+        if self._is_running(name, host):
             self._at(self.now + period, self._beat, name, host, period)
             if host.paused_at is None:
                 self._send(name, host, host.gossip.beat(self.now))
 
     def _speak(self, name, host, period):
-        if self._runs(name, host):
+        if self._is_running(name, host):
             self._at(self.now + period, self._speak, name, host, period)
             if host.paused_at is None:
                 self._send(name, host, host.gossip.speak(self.now))
 
     def _tick(self, name, host, period):
-        if not self._runs(name, host):
+        if not self._is_running(name, host):
             return
         self._at(self.now + period, self._tick, name, host, period)
         if host.paused_at is not None:
             return
         self._read(host)
-        if host.gossip.ends.take_fresh() or host.urgent:
+        if host.gossip.ends.take_urgent() or host.urgent:
             host.urgent = False
             self._send(name, host, host.gossip.spread(self.now))
 
@@ -208,8 +208,8 @@
             report = self.reports[endpoint]
             if self.churn:
                 report = report._replace(
-                    running=_wander(report.running, 8, self.random),
-                    waiting=_wander(report.waiting, 4, self.random),
+                    running=_random_step(report.running, 8, self.random),
+                    waiting=_random_step(report.waiting, 4, self.random),
                 )
                 self.reports[endpoint] = report
             if host.gossip.readings.take_report(endpoint, report, self.now):
@@ -224,7 +224,7 @@
                 self.tap(name, to, datagram)
             if (name, to) in self.cuts or self.random.random() < self.loss:
                 continue
-            self._at(self.now + TRIP_S, self.deliver, to, datagram)
+            self._at(self.now + LATENCY_S, self.deliver, to, datagram)
 
     def deliver(self, name, datagram):
         host = self.hosts[name]
@@ -243,5 +243,5 @@
         host.replaced = host.replaced or received.replaced
 
 
-def _wander(count, most, random):
-    return min(most, max(0, count + random.choice((-1, 0, 1))))
+def _random_step(count, maximum, random):
+    return min(maximum, max(0, count + random.choice((-1, 0, 1))))
