--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -17,7 +17,7 @@
 from cloverway.dispatch.catalogue import Catalogue
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.dispatch.explanation import Explanation, explain, explain_not_ready
-from cloverway.dispatch.outlook import PlacementContext
+from cloverway.dispatch.placement import PlacementContext
 from cloverway.dispatch.policies import Policy, Reach, make_policy
 from cloverway.dispatch.retries import RAN_AFTER_OUTCOME, RetryBudget, may_retry
 from cloverway.dispatch.routing import Candidate, LearnedState, Router
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -7,7 +7,7 @@
 
 from cloverway.dispatch.admission import QueueEntry, RequestQueue
 from cloverway.dispatch.catalogue import DomainCapacity
-from cloverway.dispatch.outlook import HOME_CANNOT_SERVE, PlacementContext
+from cloverway.dispatch.placement import HOME_CANNOT_SERVE, PlacementContext
 from cloverway.dispatch.policies import PlacementOptions, Policy, Reach
 from cloverway.dispatch.routing import Candidate, Router, make_domain_key
 from cloverway.errors import Kind
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -15,7 +15,7 @@
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.exchange import Reply
 from cloverway.messages import Outcome, Refused, Request
-from cloverway.once.keynames import ParsedKey
+from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
     Bounds,
--- a/cloverway/once/keys.py
+++ b/cloverway/once/keys.py
@@ -17,7 +17,7 @@
 
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Refused
-from cloverway.once.keynames import MAC_BYTES, ParsedKey
+from cloverway.once.key_format import MAC_BYTES, ParsedKey
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -21,7 +21,7 @@
 from cloverway.errors import Kind
 from cloverway.messages import Refused
 from cloverway.once.claims import Claims, LedgerTask
-from cloverway.once.keynames import ParsedKey
+from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
     Bounds,
--- a/cloverway/tests/bench_membership.py
+++ b/cloverway/tests/bench_membership.py
@@ -16,8 +16,8 @@
 from cloverway.config.settings import Timing
 from cloverway.membership.heartbeats import Heartbeat, LoadRow, decode, encode, identify
 from cloverway.membership.membership import Membership
+from cloverway.tests.gossip_simulation import SEAL, GossipSimulation, Shape
 from cloverway.tests.test_control import Cluster
-from cloverway.tests.virtual import SEAL, GossipSimulation, Shape
 
 OWN_THREADS = ("control", "reports", "platform", "list", "fetch")
 LOOP_S = 15.0
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -12,7 +12,7 @@
 from cloverway.membership.gossip import FULL_EVERY
 from cloverway.membership.seal import MAX_DATAGRAM_BYTES
 from cloverway.tests.builders import make_request, make_settings
-from cloverway.tests.virtual import GossipSimulation, Shape
+from cloverway.tests.gossip_simulation import GossipSimulation, Shape
 
 MAX_CRASHES = 3
 CRASHING = 77
@@ -181,7 +181,7 @@
             ends.apply_update(CrashNews((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
     told = [record for record in caplog.records if record.msg == "an endpoint has ended"]
     held = [record for record in caplog.records if record.levelname == "WARNING"]
-    assert [record.incarnation for record in told] == ["e0", "e1", "e2"]
+    assert [record.life for record in told] == ["e0", "e1", "e2"]
     assert [(record.request_digest, record.ends) for record in held] == [(f"{CRASHING:016x}", 3)]
 
 
--- a/cloverway/tests/test_keys.py
+++ b/cloverway/tests/test_keys.py
@@ -6,7 +6,7 @@
 
 from cloverway.errors import Kind, Ran
 from cloverway.messages import Refused
-from cloverway.once.keynames import ParsedKey
+from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
     Grant,
     Recorded,
--- a/cloverway/tests/test_membership.py
+++ b/cloverway/tests/test_membership.py
@@ -9,7 +9,7 @@
 from cloverway.membership.membership import Membership, Merged
 from cloverway.membership.readings import LIST_LAG_S, Readings, Report
 from cloverway.membership.seal import MAX_DATAGRAM_BYTES
-from cloverway.tests.virtual import SEAL, GossipSimulation, Shape
+from cloverway.tests.gossip_simulation import SEAL, GossipSimulation, Shape
 
 SUSPECT_S = 2.0
 ENGINE = "region-00-domain-000-engine-000"
