--- a/cloverway/dispatch/__init__.py
+++ b/cloverway/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided about a request: queues, limits, routes, retries."""
+"""Dispatching of requests: queues, limits, routes and retries."""
--- a/cloverway/dispatch/admission.py
+++ b/cloverway/dispatch/admission.py
@@ -1,7 +1,7 @@
-"""Admission: a bounded queue, by urgency and by fair share of teams, that holds nothing back.
+"""Admission control: a bounded, work-conserving queue with priority classes and fair sharing.
 
-A request that can't start in time is refused at once. What waits is served by urgency, yet each
-lower class keeps a small share, and within a class each team gets capacity by its weight.
+A request that can't start in time is refused at once. Waiting requests are served by urgency, but
+each lower class keeps a small reserved share. Within a class, teams share capacity by weight.
 """
 
 from __future__ import annotations
@@ -19,45 +19,47 @@
 from cloverway.messages import Refused, Request
 
 RESERVED_SHARE: dict[Urgency, float] = {Urgency.BATCH: 0.03, Urgency.NORMAL: 0.07}
-"""Part of the capacity that a lower class gets while more urgent work waits: none starves."""
+"""Share of the capacity that a lower class gets while more urgent work waits, so that it does not
+starve."""
 START_MARGIN = 1.5
-"""Expected service times that must be left at the start, as most answers take less than that."""
+"""Time that must be left before the deadline at the start, as a multiple of the expected service
+time; most answers take less than that."""
 MAX_CREDIT = 2.0
-"""Bound on what a class can save up, in requests of its own."""
+"""Upper bound on the credit that a class accumulates, as a multiple of its cheapest request."""
 MIN_SLOTS = 0.1
 RATE_HALF_LIFE_S = 2.5
 MIN_RATE_FRACTION = 0.1
-"""Rate that is assumed at least, as a part of the slots, before anything was measured."""
+"""Minimum assumed completion rate, as a fraction of the slots, until there are measurements."""
 STARTING_RETRY_AFTER_S = 1.0
-"""When to come back to a host that has no configuration yet."""
+"""Retry-After of a host that has no configuration yet."""
 LEAVING_RETRY_AFTER_S = 0.2
-"""When to come back after asking a leaving host: another host can be asked at once."""
+"""Retry-After of a leaving host; it is short because another host can be tried at once."""
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 30.0
 RETRY_AFTER_JITTER = 0.3
 
 
 class QueueEntry(NamedTuple):
-    """A request that waits for a route."""
+    """A queued request that waits for a route."""
 
     entry_id: int
     request: Request
     target: str
     urgency: Urgency
     weight: float
-    """The team's part of the capacity."""
+    """The team's weight in fair sharing."""
     cost_s: float
-    """Expected seconds in a slot."""
+    """Expected seconds for which the request occupies a slot."""
     prefix: Prefix
     entered_at: float
     ran: Ran = Ran.NO
-    """What earlier attempts may have done; a later refusal must not deny it."""
+    """Whether earlier attempts may have run the request; a later refusal must report the same."""
     tried: frozenset[str] = frozenset()
-    """Endpoints, hosts and domains that earlier attempts used."""
+    """Destinations of earlier attempts: endpoints, hosts and failure domains."""
 
     @property
     def latest_start(self) -> float:
-        """When a start would probably be too late: some expected times before the deadline."""
+        """Latest start with a good chance to finish by the deadline (see START_MARGIN)."""
         return self.request.deadline - START_MARGIN * self.cost_s
 
 
@@ -75,17 +77,18 @@
         self.throughput = Throughput()
 
     def record_offered_load(self, urgency: Urgency, cost_s: float, now: float) -> None:
-        """Count work that arrives, in slot seconds, whether it is admitted or not."""
+        """Record arriving work in slot seconds, whether it is admitted or not."""
         self._offered_load[urgency].add(cost_s, now)
 
     def estimate_offered_load_above(self, urgency: Urgency, now: float) -> float:
-        """Give the slots that more urgent work is expected to use, from its offers lately."""
+        """Return the slots that more urgent work is expected to use, from its recent arrivals."""
         return sum(self._offered_load[other].rate(now) for other in Urgency if other > urgency)
 
     def add(self, entry: QueueEntry) -> None:
-        """Put a request in the queue.
+        """Add a request to the queue.
 
-        A team that was idle starts level with the others: it has no claim on time gone by.
+        A team that was idle starts at the current virtual time: unused capacity of the past does
+        not count in its favour.
         """
         assert entry.entry_id not in self.entries
         team = entry.request.team
@@ -94,7 +97,7 @@
         self.entries[entry.entry_id] = entry
 
     def list_in_service_order(self) -> list[QueueEntry]:
-        """List the requests in the order in which they are to be served."""
+        """Return the waiting requests in the order in which to serve them."""
         ordered = sorted(
             self.entries.values(),
             key=lambda entry: (
@@ -110,7 +113,7 @@
         return [first, *(entry for entry in ordered if entry is not first)] if first else ordered
 
     def admit(self, entry: QueueEntry) -> None:
-        """Remove a request that was admitted, and charge its team and class."""
+        """Remove an admitted request and charge its cost to its team and class."""
         self.discard(entry)
         team = entry.request.team
         self._virtual_time = max(self._virtual_time, self._usage[team])
@@ -122,14 +125,14 @@
         self._forget_idle_teams()
 
     def discard(self, entry: QueueEntry) -> None:
-        """Remove a request that is not admitted."""
+        """Remove a request without admitting it."""
         del self.entries[entry.entry_id]
 
     def predict_wait(self, entry: QueueEntry, slots: float, now: float) -> float:
-        """Predict the seconds until a request gets one of some slots.
+        """Predict the seconds until a request gets one of `slots` slots.
 
-        More urgent work goes first, that which waits and that which will come; but a lower class
-        waits no longer than its kept share takes.
+        More urgent work goes first, both what is queued and what is expected to arrive. The wait
+        of a lower class is bounded by the time that its reserved share takes.
         """
         work_ahead_s = self._estimate_work_ahead(entry) + entry.cost_s
         more_urgent_s = sum(
@@ -140,7 +143,7 @@
         return min((more_urgent_s + work_ahead_s) / free, work_ahead_s / reserved)
 
     def _estimate_work_ahead(self, entry: QueueEntry) -> float:
-        """Give the slot seconds of the same class that are served before a request."""
+        """Return the slot seconds of the same class that are served before a request."""
         same_class = [other for other in self.entries.values() if other.urgency == entry.urgency]
         own = sum(
             other.cost_s
@@ -157,10 +160,12 @@
         return min(own + others, fair)
 
     def select_eviction(self) -> QueueEntry:
-        """Choose whom a full queue gives up: least urgent, most of a team's share, latest.
+        """Select the request to evict from a full queue.
 
-        A class that holds no more than its kept share of the places is spared: else more urgent
-        work would push the lowest class out of every full queue, and it would never be served.
+        That is the least urgent one, then the one of the team with the most queued work for its
+        weight, then the one with the latest deadline. A class with no more than its reserved share
+        of the entries is protected. Otherwise more urgent work would push the lowest class out of
+        every full queue, and it would never be served.
         """
         queued_cost: dict[tuple[Urgency, str], float] = defaultdict(float)
         counts: dict[Urgency, int] = defaultdict(int)
@@ -185,15 +190,15 @@
         )
 
     def find_unstartable(self, now: float) -> Iterator[QueueEntry]:
-        """Yield the requests that can't be answered in time any more."""
+        """Return the requests whose latest start time has passed."""
         return (entry for entry in list(self.entries.values()) if entry.latest_start <= now)
 
     def classify_shortage(self, entry: QueueEntry) -> Kind:
-        """Say whether a team's own share is short, or the capacity for all."""
+        """Return TEAM_LIMIT when the team exceeds its fair share, else OVERLOADED."""
         return Kind.TEAM_LIMIT if self._is_over_share(entry) else Kind.OVERLOADED
 
     def _is_over_share(self, entry: QueueEntry) -> bool:
-        """Tell whether a team holds more than its fair share of its class's queue."""
+        """Return whether a team has more than its fair share of the work queued in its class."""
         same_class = [other for other in self.entries.values() if other.urgency == entry.urgency]
         weights = {other.request.team: other.weight for other in same_class}
         if len(weights) < 2:
@@ -205,7 +210,7 @@
         return queued_cost * sum(weights.values()) > total * entry.weight
 
     def find_overdue_class(self) -> Urgency | None:
-        """Find the lowest class whose kept share has paid for one of its requests."""
+        """Return the lowest class whose credit covers one of its requests, or None."""
         cheapest: dict[Urgency, float] = {}
         for entry in self.entries.values():
             cheapest[entry.urgency] = min(cheapest.get(entry.urgency, entry.cost_s), entry.cost_s)
@@ -217,7 +222,7 @@
         return None
 
     def _forget_idle_teams(self) -> None:
-        """Drop teams that are level with the rest; 9,000 of them come and go."""
+        """Drop teams without waiting requests or excess usage; there may be 9,000 teams."""
         present = {entry.request.team for entry in self.entries.values()}
         self._usage = defaultdict(
             float,
@@ -230,19 +235,19 @@
 
 
 class DecayingRate:
-    """A rate per second with exponential decay."""
+    """A rate per second, averaged with exponential decay."""
 
     def __init__(self) -> None:
         self._sum = 0.0
         self._at = float("-inf")
 
     def add(self, amount: float, now: float) -> None:
-        """Add an amount."""
+        """Add an amount at a point in time."""
         self._sum = self._decayed(now) + amount
         self._at = now
 
     def rate(self, now: float) -> float:
-        """Give the amount per second, lately."""
+        """Return the recent amount per second."""
         return self._decayed(now) * log(2) / RATE_HALF_LIFE_S
 
     def _decayed(self, now: float) -> float:
@@ -252,23 +257,23 @@
 
 
 class Throughput:
-    """Measure how fast work is done, and say when a refused caller should come back."""
+    """Measure the completion rate and schedule the retries of refused callers."""
 
     def __init__(self) -> None:
         self._done = DecayingRate()
         self._scheduled_until = float("-inf")
 
     def record_completed(self, cost_s: float, now: float) -> None:
-        """Count finished work, in slot seconds."""
+        """Record completed work in slot seconds."""
         self._done.add(cost_s, now)
 
     def schedule_retry(
         self, queued_s: float, cost_s: float, slots: float, now: float, random: Random
     ) -> float:
-        """Give the seconds after which a refused caller should come back.
+        """Return the seconds after which a refused caller should retry.
 
-        Each refusal takes the next place after those refused before, at the measured rate: if all
-        were told the same time, they would come back together and be refused together.
+        Each refusal is scheduled after the earlier ones, at the measured completion rate. If all
+        callers got the same time, they would retry together and be refused together.
         """
         rate = max(self._done.rate(now), MIN_RATE_FRACTION * slots, MIN_RATE_FRACTION)
         start = max(now + queued_s / rate, self._scheduled_until)
@@ -280,7 +285,7 @@
 
 
 def refuse(entry: QueueEntry, kind: Kind, retry_after: float | None, detail: str = "") -> Refused:
-    """Refuse a request, without denying what an earlier attempt may have done."""
+    """Return a refusal that states whether an earlier attempt may have run the request."""
     if entry.ran is Ran.NO:
         return Refused(kind, detail, retry_after)
     unknown = Kind.TIMED_OUT if kind is Kind.DEADLINE else Kind.ENDPOINT_FAILED
@@ -288,12 +293,12 @@
 
 
 def refuse_not_ready(view: View) -> Refused:
-    """Refuse a request at a host that takes no work."""
+    """Return the refusal of a host that accepts no work."""
     if view.leaving:
         return Refused(Kind.LEAVING, retry_after=LEAVING_RETRY_AFTER_S)
     return Refused(Kind.STARTING, retry_after=STARTING_RETRY_AFTER_S)
 
 
 def jitter(seconds: float, random: Random) -> float:
-    """Spread a time to come back, so that callers don't come back together."""
+    """Randomise a retry delay so that callers don't retry at the same time."""
     return seconds * random.uniform(0.5, 1.5)
--- a/cloverway/dispatch/catalogue.py
+++ b/cloverway/dispatch/catalogue.py
@@ -1,4 +1,4 @@
-"""Look-ups over one published configuration, worked out once for each revision."""
+"""Indexes over one published configuration, computed once for each revision."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DomainCapacity(NamedTuple):
-    """What one failure domain has been given for one model or service."""
+    """Configured capacity of one failure domain for one model or service."""
 
     domain: str
     region: str
@@ -18,7 +18,7 @@
 
 
 class Catalogue:
-    """Which failure domains can serve a target, and which hosts they have."""
+    """Index of the failure domains that can serve a target, and of their hosts."""
 
     def __init__(self, published: Published) -> None:
         self.published = published
@@ -28,15 +28,15 @@
             self._hosts[host.domain].append(name)
 
     def list_capacities(self, target: str) -> list[DomainCapacity]:
-        """List the failure domains that have endpoints for a model or service."""
+        """Return the capacity of each failure domain with endpoints for a model or service."""
         return self._capacities.get(target, [])
 
     def hosts(self, domain: str) -> list[str]:
-        """List the names of a failure domain's hosts, sorted."""
+        """Return the names of a failure domain's hosts, sorted."""
         return self._hosts.get(domain, [])
 
     def get_latency_s(self, here: str, there: str) -> float:
-        """Give the seconds of a trip one way between two regions, or within one."""
+        """Return the one-way network latency in seconds between two regions, or within one."""
         if here == there:
             return 0.001
         region_pair = (self.published.regions.get(here), self.published.regions.get(there))
--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -1,6 +1,6 @@
-"""The pure core of the dispatcher: every decision about a request, without I/O, clock or chance.
+"""The functional core of the dispatcher: all decisions about requests, without I/O.
 
-Time and randomness are arguments, so that tests drive it in virtual time.
+The current time and the random generator are arguments, so tests can run it in virtual time.
 """
 
 from __future__ import annotations
@@ -27,32 +27,34 @@
 from cloverway.messages import Away, Outcome, Refused, Request, Verdict
 
 CAPACITY_RETRY_AFTER_S = 1.0
-"""When to come back where no endpoint is ready: about the lag of a report."""
+"""Retry-After where no endpoint is ready: about the delay of a load report."""
 MIN_EXPECTED_SLOTS = 0.2
-"""Slots of expected urgent work below which none is kept free."""
+"""Expected urgent work, in slots, below which no slot is reserved."""
 MAX_RESERVED_FRACTION = 0.4
-"""Part of the slots that is kept free for more urgent work at most."""
+"""Maximum fraction of the slots that is reserved for more urgent work."""
 NO_RESERVATION = -1
-"""Less than no free slot: a warm cache may be waited for where all slots are taken."""
+"""Below zero, so that requests may be sent without a free slot to wait in the engine for a warm
+cache."""
 LOOKAHEAD_ENTRIES = 8
-"""Waiting requests that are tried for a route at a time: bounds the work for one message."""
+"""Number of waiting requests to try for a route at a time; bounds the work for one message."""
 ADMISSION_PERIOD_S = 0.05
-"""Period in which waiting requests are tried for a slot though nothing has changed."""
+"""Period in which waiting requests are tried for a slot even if the view has not changed."""
 REVIEW_PERIOD_S = 0.25
-"""Period in which waiting requests are weighed again: sent away, or given up."""
+"""Period in which waiting requests are reviewed: sent to another failure domain, or refused."""
 AWAY_HYSTERESIS_S = 2.0
-"""How long after a request was sent away the next one needs no further gain."""
+"""Time after a request was sent to another region in which the next ones need not exceed the
+hysteresis threshold."""
 
 
 class Decision(NamedTuple):
-    """A verdict for the request that waits at a place."""
+    """The verdict for one queue entry."""
 
     entry_id: int
     verdict: Verdict
 
 
 class DispatchStats(NamedTuple):
-    """Counts of one moment, for other threads to read."""
+    """A snapshot of counts for other threads to read."""
 
     in_flight: int = 0
     queued: int = 0
@@ -62,7 +64,7 @@
 
 
 class DispatchCore:
-    """Own the queues, tickets and budgets of one host, and decide about each request."""
+    """Own the queues, tickets and retry budget of one host, and decide about each request."""
 
     def __init__(self, settings: Settings, crash_tracker: CrashTracker) -> None:
         self._settings = settings
@@ -86,11 +88,11 @@
     def from_config(
         cls, settings: Settings, crash_tracker: CrashTracker | None = None
     ) -> DispatchCore:
-        """Make the core of one daemon; `ends` is shared with whoever hears other hosts."""
+        """Create the core of one daemon; `crash_tracker` is shared with the control loop."""
         return cls(settings, crash_tracker or CrashTracker(settings.quarantine))
 
     def get_stats(self) -> DispatchStats:
-        """Count what is in progress and what waits."""
+        """Return counts of the requests in progress and in the queue."""
         return DispatchStats(
             in_flight=len(self._tickets),
             queued=self._count_queued(),
@@ -101,7 +103,7 @@
     def arrive(
         self, entry_id: int, request: Request, view: View, now: float, random: Random
     ) -> list[Decision]:
-        """Decide about a new request."""
+        """Decide about a new request: route, queue or refuse it."""
         if not view.ready:
             return [Decision(entry_id, refuse_not_ready(view))]
         if request.id in self._open:
@@ -121,7 +123,7 @@
         return self._check_all_accounted(self._enqueue(entry, context))
 
     def start(self, ticket: int, view: View, at: float) -> None:
-        """Note the first byte of an answer."""
+        """Record the first byte of an answer."""
         self._tickets.start(ticket, view, at)
 
     def finish(
@@ -135,9 +137,9 @@
         retry: int | None = None,
         pause_s: float | None = None,
     ) -> list[Decision]:
-        """Note the end of an attempt; `retry` is the place that asks for another route.
+        """Record the end of an attempt; `retry` is the entry ID that requests another route.
 
-        `pause_s` is how long the endpoint wants nothing from this host, where it said so.
+        `pause_s` is how long the endpoint asked this host to send it nothing, if it did.
         """
         ended = self._tickets.close(ticket, outcome, now, pause_s)
         self._crash_tracker.record_outcome(ended, outcome, view, now)
@@ -155,7 +157,7 @@
         return self._check_all_accounted(decisions)
 
     def cancel(self, request_id: str) -> list[Decision]:
-        """Give up a request that waits in the queue."""
+        """Remove a waiting request from the queue because its caller left."""
         found = [
             (queue, entry)
             for queue in self._queues.values()
@@ -166,7 +168,7 @@
         return self._check_all_accounted([self._remove_entry(*each) for each in refused])
 
     def advance(self, view: View, now: float, random: Random) -> list[Decision]:
-        """Decide what time and a changed view have made possible or hopeless."""
+        """Admit or refuse waiting requests after time has passed or the view has changed."""
         review = now >= self._reviewed_at + REVIEW_PERIOD_S
         if view.published is None or not (review or self._count_queued()):
             return []
@@ -188,7 +190,7 @@
         return self._check_all_accounted(decisions)
 
     def explain(self, team: str, profile: str, view: View, now: float) -> Explanation:
-        """Say where a request would go, and why; decides nothing."""
+        """Explain where a request would be routed, and why, without routing it."""
         if not view.ready:
             return explain_not_ready(
                 team, profile, self._settings.policy, refuse_not_ready(view).kind
@@ -208,7 +210,7 @@
         return PlacementContext(router, random)
 
     def _enqueue(self, entry: QueueEntry, context: PlacementContext) -> list[Decision]:
-        """Route a request, let it wait, or refuse it; all at once."""
+        """Route a request at once, leave it in the queue, or refuse it."""
         queue = self._get_queue(entry.target)
         queue.add(entry)
         decisions = self._admit_waiting(queue, context, arrival=entry)
@@ -228,7 +230,7 @@
         arrival: QueueEntry | None = None,
         review: bool = False,
     ) -> list[Decision]:
-        """Admit waiting requests in their order, as long as there is room for them."""
+        """Admit waiting requests in service order while there is capacity for them."""
         decisions: list[Decision] = []
         while queue.entries and not self._tickets.is_full:
             entry, candidate = next(
@@ -246,10 +248,10 @@
         arrival: QueueEntry | None,
         review: bool,
     ) -> Iterator[tuple[QueueEntry, Candidate]]:
-        """Yield waiting requests that can be run now, the first in order first.
+        """Yield waiting requests that can run now with their candidates, in service order.
 
-        Other failure domains are weighed for a newcomer and at reviews only: that costs more, and
-        what is known of them changes slowly.
+        Other failure domains are considered only for a new arrival and at reviews, because that
+        costs more and their state changes slowly.
         """
         order = queue.list_in_service_order()
         states = context.router.list_local_states(order[0].target)
@@ -283,11 +285,11 @@
         states: list[EndpointState],
         context: PlacementContext,
     ) -> frozenset[Urgency]:
-        """Find the classes that may take a slot of this failure domain now.
+        """Return the classes that may take a slot of this failure domain now.
 
-        The last free slots are kept for more urgent work that is expected: slots full of long work
-        free up slowly, and an urgent request would wait for one. No class gets what is kept from a
-        more urgent one.
+        The last free slots are reserved for expected urgent work: slots with long work become free
+        slowly, and an urgent request would have to wait for one. A class reserves at least as many
+        slots as each more urgent class.
         """
         if not context.router.has_room(states):
             return frozenset()
@@ -308,9 +310,10 @@
     def _count_reserved_slots(
         self, queue: RequestQueue, target: str, urgency: Urgency, slots: float, now: float
     ) -> int:
-        """Count the slots to keep free: twice the spread above the mean, as arrivals are random.
+        """Return the number of slots to reserve for work more urgent than a class.
 
-        A host whose part is few slots keeps none: it would serve nothing else.
+        It is the expected load plus two standard deviations of Poisson arrivals. A host with few
+        slots reserves none, because otherwise it would serve nothing else.
         """
         above = queue.estimate_offered_load_above(urgency, now)
         if above < MIN_EXPECTED_SLOTS:
@@ -329,7 +332,7 @@
         away = isinstance(candidate.route, Away)
         assert not (request.passed_on and away), "a passed-on request is never passed on again"
         assert candidate.region in context.list_allowed_regions(request), "run in an allowed region"
-        assert candidate.name not in entry.tried, "a retry goes elsewhere"
+        assert candidate.name not in entry.tried, "a retry must use another destination"
         queue.admit(entry)
         if away and candidate.region != context.router.view.region:
             self._last_away_at[entry.target] = context.now
@@ -338,7 +341,7 @@
         return Decision(entry.entry_id, admitted)
 
     def _evict_entry(self, context: PlacementContext) -> Decision:
-        """Give up one request of a queue that is too long: the least urgent of the longest."""
+        """Evict one request: the least urgent of all queues, preferably of the longest queue."""
         victims = [queue.select_eviction() for queue in self._nonempty_queues()]
         longest = max(len(queue.entries) for queue in self._queues.values())
         victim = min(
@@ -353,7 +356,7 @@
         return self._refuse_entry(queue, victim, queue.classify_shortage(victim), context)
 
     def _review(self, context: PlacementContext) -> list[Decision]:
-        """Send waiting requests away, or give up those that would now wait in vain."""
+        """Send waiting requests to other failure domains, or refuse those without a prospect."""
         decisions: list[Decision] = []
         for queue in self._nonempty_queues():
             decisions += self._admit_waiting(queue, context, review=True)
@@ -367,7 +370,7 @@
     def _retry(
         self, entry_id: int, ended: Ticket, outcome: Outcome, context: PlacementContext
     ) -> list[Decision]:
-        """Find another route for a request whose attempt failed, if that is safe and affordable."""
+        """Find another route for a request whose attempt failed, if safe and within the budget."""
         entry = ended.entry
         ran = (
             Ran.UNKNOWN
@@ -394,7 +397,7 @@
     def _refuse_entry(
         self, queue: RequestQueue, entry: QueueEntry, kind: Kind, context: PlacementContext
     ) -> Decision:
-        """Give a waiting request its final answer, with when to come back."""
+        """Refuse a waiting request, with a time to retry where that can help."""
         if kind is Kind.RESIDENCY:
             wait_s = None
         elif kind in (Kind.NO_CAPACITY, Kind.ENDPOINT_REFUSED):
@@ -427,6 +430,8 @@
         return sum(len(queue.entries) for queue in self._queues.values())
 
     def _check_all_accounted(self, decisions: list[Decision]) -> list[Decision]:
-        """Check that each open request is queued or in flight, so that none is lost."""
-        assert len(self._open) == self._count_queued() + len(self._tickets), "a request is lost"
+        """Assert that each open request is queued or in flight, and return the decisions."""
+        assert len(self._open) == self._count_queued() + len(
+            self._tickets
+        ), "an open request is neither queued nor in flight"
         return decisions
--- a/cloverway/dispatch/dispatcher.py
+++ b/cloverway/dispatch/dispatcher.py
@@ -1,6 +1,7 @@
-"""The dispatcher: the one thread that owns queues, in-flight counts, limits and budgets.
+"""The dispatcher: the single thread that owns queues, in-flight counts, limits and budgets.
 
-Workers ask it for a route and block until a typed answer; all deciding is in `decisions.Core`.
+Workers request a route and block until they get a verdict. `decisions.DispatchCore` makes all
+decisions.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.01
-"""Period in which waiting requests are looked at; well below the 20 ms that a refusal may take."""
+"""Period in which waiting requests are checked; well below the 20 ms that a refusal may take."""
 MAX_RETRY_WAIT_S = 3_605.0
-"""Bound on the wait for a new route: the longest deadline of a profile, and the grace."""
+"""Maximum wait for a new route: the longest deadline of a profile plus the grace period."""
 VERDICT_GRACE_S = 5.0
-"""How long after its deadline a worker still waits for its verdict."""
+"""How long a worker waits for its verdict after the request's deadline."""
 
 
 class Explain(NamedTuple):
-    """Ask where a request would go, and why."""
+    """Message: explain where a request would be routed, and why."""
 
     team: str
     profile: str
@@ -50,7 +51,7 @@
 
 
 class Dispatcher:
-    """Hand out routes; safe to call from every thread."""
+    """Assign routes to requests. All methods are thread-safe."""
 
     def __init__(
         self, core: DispatchCore, holder: ViewHolder, clock: Callable[[], float], random: Random
@@ -73,7 +74,7 @@
         random: Random | None = None,
         crash_tracker: CrashTracker | None = None,
     ) -> Dispatcher:
-        """Make a dispatcher from a daemon's settings; `start` runs it."""
+        """Create a dispatcher from a daemon's settings; `start` runs it."""
         return cls(
             DispatchCore.from_config(settings, crash_tracker), holder, clock, random or Random()
         )
@@ -83,18 +84,18 @@
         self._task.start()
 
     def stop(self) -> None:
-        """Stop the thread; requests that still wait are refused."""
+        """Stop the thread and refuse the requests that are still waiting."""
         self._task.stop()
         for answer in self._waiting.values():
             answer.set_result(Refused(Kind.LEAVING, retry_after=0.0))
         self._waiting.clear()
 
     def submit(self, request: Request) -> Verdict:
-        """Wait for a route or a refusal, at most until the request's deadline."""
+        """Wait for a route or a refusal, at most until shortly after the request's deadline."""
         return self._ask_verdict(Arrival(request), request)
 
     def started(self, ticket: int, at: float) -> None:
-        """Note the first byte of an answer."""
+        """Record the first byte of an answer."""
         self._task.send(Started(ticket, at))
 
     def finished(
@@ -105,34 +106,34 @@
         retry: bool = False,
         pause_s: float | None = None,
     ) -> Verdict | None:
-        """Note the end of an attempt; with `retry` wait for a new route or a refusal."""
+        """Record the end of an attempt; with `retry`, wait for a new route or a refusal."""
         answer = self._task.send(Finished(ticket, outcome, at, retry, pause_s))
         verdict: Verdict | None = answer.result(MAX_RETRY_WAIT_S) if retry else None
         return verdict
 
     def cancel(self, request_id: str) -> None:
-        """Give up a request that waits in the queue: its `submit` returns a refusal."""
+        """Remove a request from the queue; its `submit` then returns a refusal."""
         self._task.send(Cancelled(request_id))
 
     def explain(self, team: str, profile: str, now: float) -> Explanation:
-        """Say where a request would go, and why."""
+        """Explain where a request would be routed, and why."""
         explanation: Explanation = self._task.ask(Explain(team, profile, now), VERDICT_GRACE_S)
         return explanation
 
     def load(self) -> float:
-        """Give requests in progress over the limit, 0 to 1."""
+        """Return the requests in progress as a fraction of the limit, 0 to 1."""
         return self._stats.load
 
     def in_flight(self) -> int:
-        """Count attempts in progress."""
+        """Return the number of attempts in progress."""
         return self._stats.in_flight
 
     def queued(self) -> int:
-        """Count requests that wait for a route."""
+        """Return the number of requests that wait for a route."""
         return self._stats.queued
 
     def count_targets(self) -> dict[str, int]:
-        """Count requests in progress by model or service."""
+        """Return the number of requests in progress by model or service."""
         return self._stats.targets
 
     def _ask_verdict(self, message: Arrival, request: Request) -> Verdict:
@@ -140,7 +141,10 @@
         try:
             verdict: Verdict = answer.result(request.deadline - self._clock() + VERDICT_GRACE_S)
         except TimeoutError:
-            log.error("the dispatcher gave no verdict", extra={"request_id": request.id})
+            log.error(
+                "the dispatcher returned no verdict in time",
+                extra={"request_id": request.id},
+            )
             self.cancel(request.id)
             return Refused(Kind.INTERNAL)
         return verdict
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -1,4 +1,4 @@
-"""Requests that end the endpoints which run them, as all hosts of the own interface see them."""
+"""Requests that crash the endpoints that run them, tracked across the hosts of the fleet."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 log = logging.getLogger(__name__)
 
 REBROADCAST_S = 6.0
-"""How long an end is told again after it happened: a dozen heartbeats, of which all get lost only
-where the link is cut."""
+"""How long a crash is rebroadcast after it happened: a dozen heartbeats, all of which get lost only
+if the link is cut."""
 MAX_BROADCAST_REQUESTS = 64
-"""Requests that are told of at a time: those of one endpoint that ended with all of its slots
-taken."""
+"""Maximum number of requests in one update: those of one endpoint that crashed with all of its
+slots taken."""
 
 
 class CrashTracker:
-    """Counts the endpoints that ended under requests, and refuses those that go on ending them.
+    """Count the endpoint crashes of each request and refuse requests that keep causing them.
 
-    The dispatcher asks and notes, and the control loop hears from other hosts and tells them, each
-    on a thread of its own. A lock is held for the time of a few look-ups.
+    The dispatcher queries and records; the control loop exchanges updates with other hosts. Each
+    runs on its own thread. The lock is held only for a few dictionary operations.
     """
 
     def __init__(self, terms: QuarantineTerms) -> None:
@@ -35,7 +35,7 @@
         self._has_urgent = False
 
     def find_refusal(self, request: Request, now: float) -> Refused | None:
-        """Give the refusal of a request that has ended too many endpoints, or None."""
+        """Return the refusal of a request that has crashed too many endpoints, or None."""
         hold = self.find_hold(request.compute_digest(), now)
         if hold is None:
             return None
@@ -43,12 +43,12 @@
         return Refused(Kind.QUARANTINED, why, hold.left_s)
 
     def find_hold(self, digest: int, now: float) -> Hold | None:
-        """Tell why a request must not be sent now, or None when it may."""
+        """Return why a request is in quarantine now, or None if it may be sent."""
         with self._lock:
             return self._quarantine.get_hold(digest, now)
 
     def record_outcome(self, ticket: Ticket, outcome: Outcome, view: View, now: float) -> None:
-        """Learn from the end of an attempt at an endpoint of this failure domain."""
+        """Record the outcome of an attempt at an endpoint of this failure domain."""
         if not isinstance(ticket.candidate.route, Local):
             return
         endpoint_incarnation = f"{ticket.candidate.name}@{ticket.incarnation}"
@@ -60,30 +60,31 @@
             self._record_report(endpoint_incarnation, view.endpoints.get(ticket.candidate.name))
 
     def _record_report(self, endpoint_incarnation: str, state: EndpointState | None) -> None:
-        """Note until when a life of an endpoint was there, by its last report.
+        """Record until when an endpoint incarnation was alive, by its last load report.
 
-        An answer alone doesn't tell which life gave it: one that is back within 0.1 s is taken for
-        the one before until it is reported, and would take back the end that it came from.
+        An answer alone does not identify the incarnation that sent it. An endpoint that restarts
+        within 0.1 s is treated as the previous incarnation until its next report, and its answers
+        would void the crash that it restarted after.
         """
         if state is not None and endpoint_incarnation == f"{state.name}@{state.incarnation}":
             with self._lock:
                 self._quarantine.note_alive(endpoint_incarnation, float("-inf"), state.reported_at)
 
     def record_crash(self, crash: Crash) -> None:
-        """Note that an endpoint ended while it ran some requests."""
+        """Record that an endpoint crashed while it ran some requests."""
         with self._lock:
             new_crash = self._quarantine.note_crash(crash)
             self._has_urgent = self._has_urgent or new_crash is not None
         self._log_crashes([new_crash], is_remote=False, now=crash.at)
 
     def record_served(self, digest: int, now: float) -> None:
-        """Note that a request had a whole answer."""
+        """Record that a request got a complete answer."""
         with self._lock:
             if self._quarantine.note_served(digest, now):
                 self._has_urgent = True
 
     def apply_update(self, update: CrashNews, now: float) -> None:
-        """Take over what another host tells. It goes on with the next heartbeats."""
+        """Apply an update from another host; the next heartbeats forward it."""
         with self._lock:
             for digest in update.served:
                 self._quarantine.note_served(digest, now)
@@ -91,17 +92,18 @@
         self._log_crashes(new_crashes, is_remote=True, now=now)
 
     def take_urgent(self) -> bool:
-        """Tell, once, whether this host has seen something that others are to know at once."""
+        """Return whether this host has news to broadcast at once, and clear the flag."""
         with self._lock:
             has_urgent, self._has_urgent = self._has_urgent, False
         return has_urgent
 
     def list_updates(self, now: float, full: bool = False) -> CrashNews:
-        """List what was learnt lately, for other hosts; in full with what requests are held for.
+        """Return the recent crashes and served requests for other hosts.
 
-        An end for which nothing is refused, and who was served, is told only while it is news. Told
-        for ever, the first would fill heartbeats with the failures of months, and the second keep a
-        request that turns deadly later from being found out.
+        With `full`, include the crashes for which requests are in quarantine now. All other crashes
+        and the served requests are broadcast for a short time only. Otherwise heartbeats would fill
+        up with the crashes of months, and a request that was served once and causes crashes later
+        would never be detected.
         """
         with self._lock:
             recent = self._quarantine.list_news(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
@@ -111,7 +113,7 @@
     def _log_crashes(
         self, new_crashes: Iterable[Crash | None], is_remote: bool, now: float
     ) -> None:
-        """Log the endpoints that ended, and the requests that are refused from now on."""
+        """Log the crashed endpoints and the requests that are refused from now on."""
         for crash in filter(None, new_crashes):
             log.info(
                 "an endpoint has ended",
--- a/cloverway/dispatch/estimates.py
+++ b/cloverway/dispatch/estimates.py
@@ -1,4 +1,4 @@
-"""Running estimates of how long work takes, learnt from attempts that ended."""
+"""Running estimates of service times, learned from finished attempts."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 PRIOR_SERVICE_S = 1.0
 PRIOR_FIRST_TOKEN_S = 0.1
 PRIOR_PREFILL_S_PER_BYTE = 25e-6
-"""Seconds to read a byte of a prompt that isn't cached: 10,000 tokens a second, 4 bytes each."""
+"""Prefill seconds for an uncached prompt byte: 10,000 tokens a second, 4 bytes each."""
 MIN_S = 1e-3
 QUANTILE_STEP = 0.05
 WARM_QUANTILE = 0.2
 COLD_QUANTILE = 0.5
 PRIOR_DEADLINE_FRACTION = 0.1
-"""A profile that never ran is taken to need a tenth of its deadline, if that is little."""
+"""Service time of a profile without samples, as a fraction (a tenth) of its deadline; at most
+PRIOR_SERVICE_S."""
 
 
 class Mean:
-    """An exponentially weighted mean that trusts its first samples more than its prior."""
+    """An exponentially weighted mean that weights its first samples higher than its prior."""
 
     __slots__ = ("_samples", "value")
 
@@ -29,14 +30,14 @@
         self._samples = 0
 
     def add(self, sample: float) -> None:
-        """Take in a sample."""
+        """Add a sample."""
         self._samples += 1
         weight = max(SAMPLE_WEIGHT, 1.0 / (self._samples + 1))
         self.value += weight * (sample - self.value)
 
 
 class Quantile:
-    """A running quantile; unlike a mean, it isn't moved far by samples of another kind."""
+    """A running quantile; unlike a mean, it is robust against outliers."""
 
     __slots__ = ("_fraction", "samples", "value")
 
@@ -46,7 +47,7 @@
         self.value = MIN_S
 
     def add(self, sample: float) -> None:
-        """Take in a sample above zero."""
+        """Add a sample above zero."""
         self.samples += 1
         if self.samples == 1:
             self.value = sample
@@ -55,7 +56,7 @@
 
 
 class Estimates:
-    """Service times by profile, and times to the first token by model or service."""
+    """Service times by profile, and times to first token by model or service."""
 
     def __init__(self) -> None:
         self._service: dict[str, Mean] = {}
@@ -64,14 +65,14 @@
         self._prefill_per_byte: dict[str, Quantile] = {}
 
     def service_s(self, name: str, profile: Profile) -> float:
-        """Give the seconds for which a request of a profile holds a slot."""
+        """Return the expected seconds for which a request of a profile occupies a slot."""
         mean = self._service.get(name)
         if mean is None:
             return min(PRIOR_SERVICE_S, PRIOR_DEADLINE_FRACTION * profile.deadline_ms / 1000)
         return max(MIN_S, mean.value)
 
     def first_token_s(self, target: str, uncached_bytes: float) -> float:
-        """Give the seconds from a free slot to the first token, with some of the prompt cold."""
+        """Return the expected seconds from a free slot to the first token."""
         cached = (
             self._first_token[target].value
             if self._is_known(self._first_token, target)
@@ -80,18 +81,18 @@
         return cached + self.prefill_s(target, uncached_bytes)
 
     def prefill_s(self, target: str, uncached_bytes: float) -> float:
-        """Give the seconds to read some bytes of a prompt that aren't cached."""
+        """Return the expected seconds to prefill the uncached bytes of a prompt."""
         known = self._is_known(self._prefill_per_byte, target)
         return uncached_bytes * (
             self._prefill_per_byte[target].value if known else PRIOR_PREFILL_S_PER_BYTE
         )
 
     def record_first_token(self, target: str, seconds: float, uncached_bytes: float) -> None:
-        """Take in the time to a first token that was predicted to meet no queue.
+        """Record a time to first token that was predicted to include no queueing.
 
-        What was sent to a place once may have been evicted there, and what this host never sent
-        there a sibling may have. So the fixed part is a low quantile of the prompts that may be
-        cached, and the part that grows with cold bytes a middle one of the others.
+        A block that was sent to an endpoint may have been evicted there, and another host may have
+        sent a block that this host has not. So the fixed part is a low quantile over prompts that
+        may be cached, and the part per uncached byte is the median over the other prompts.
         """
         cached = self._first_token.setdefault(target, Quantile(WARM_QUANTILE))
         uncached = self._prefill_per_byte.setdefault(target, Quantile(COLD_QUANTILE))
@@ -104,15 +105,15 @@
             uncached.add((seconds - cached.value) / uncached_bytes)
 
     def record_service(self, name: str, seconds: float) -> None:
-        """Take in the time for which a whole answer held its slot."""
+        """Record the time for which a complete answer occupied its slot, by profile."""
         self._service.setdefault(name, Mean(max(seconds, MIN_S))).add(max(seconds, MIN_S))
 
     def mean_slot_s(self, target: str) -> float:
-        """Give the mean seconds for which a slot is held, over all profiles of a target."""
+        """Return the mean seconds for which a slot is occupied, over all profiles of a target."""
         return self._slot[target].value if target in self._slot else PRIOR_SERVICE_S
 
     def record_slot_time(self, target: str, seconds: float) -> None:
-        """Take in the time for which a whole answer held its slot, by target."""
+        """Record the time for which a complete answer occupied its slot, by target."""
         self._slot.setdefault(target, Mean(max(seconds, MIN_S))).add(seconds)
 
     def _is_known(self, quantiles: dict[str, Quantile], target: str) -> bool:
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -1,4 +1,4 @@
-"""Why a request would go where: what `cloverway explain` shows of one decision."""
+"""Explanations of routing decisions, as `cloverway explain` shows them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from cloverway.messages import Away, Request
 
 PROBE_DEADLINE_S = 60.0
-"""Time that an explained request is taken to have."""
+"""Assumed time until the deadline of an explained request."""
 
 
 class CandidateRow(TypedDict):
-    """One place that could run a request, with its predicted cost."""
+    """One destination that could run a request, with its predicted cost."""
 
     place: str
     """Name of an endpoint, or of another failure domain."""
@@ -34,21 +34,21 @@
 
 
 class Explanation(TypedDict):
-    """Why a request of a team and profile would go where."""
+    """Where a request of a team and profile would be routed, and why."""
 
     team: str
     profile: str
     policy: str
     allowed_regions: list[str]
     verdict: str
-    """Name of the chosen place, "queued", or the kind of the refusal."""
+    """Name of the chosen destination, "queued", or the kind of the refusal."""
     home_wait_s: float | None
-    """Predicted wait in this failure domain's queue; None where it can't serve the request."""
+    """Predicted wait in this failure domain's queue; None if it can't serve the request."""
     candidates: list[CandidateRow]
 
 
 def explain_not_ready(team: str, profile: str, policy: str, kind: Kind) -> Explanation:
-    """Say that a host takes no work at all."""
+    """Return the explanation of a host that accepts no work."""
     return Explanation(
         team=team,
         profile=profile,
@@ -67,7 +67,7 @@
     policy_name: str,
     team_and_profile: tuple[str, str],
 ) -> Explanation:
-    """Say where a request of a (team, profile) would go, and why; decides nothing."""
+    """Explain where a request of a (team, profile) would be routed, without routing it."""
     request = _make_probe(*team_and_profile, context.now)
     refusal = context.find_refusal(request)
     if refusal is not None:
@@ -99,7 +99,7 @@
 def _explain_candidates(
     options: PlacementOptions, chosen: Candidate | None, adjust: Callable[[Candidate], float]
 ) -> list[CandidateRow]:
-    """Describe each candidate and why it was taken or left out."""
+    """Describe each candidate and why it was chosen or rejected."""
     return [
         _make_row(
             candidate,
@@ -117,7 +117,7 @@
 def _explain_excluded(
     router: Router, entry: QueueEntry, allowed: frozenset[str], options: PlacementOptions
 ) -> list[CandidateRow]:
-    """Describe the places that were no candidates, and why."""
+    """Describe the destinations that are not candidates, and why."""
     listed = {candidate.name for candidate in (*options.local, *options.away)}
     endpoints = [
         (name, router.view.region, _explain_endpoint_exclusion(router, entry, name, allowed))
--- a/cloverway/dispatch/limits.py
+++ b/cloverway/dispatch/limits.py
@@ -1,7 +1,7 @@
-"""Limits on what one host has in flight at an endpoint; they divide without coordination.
+"""Limits on the requests that one host has in flight at an endpoint, without coordination.
 
-Every host reads the same late reports, takes off its own part, and expects its siblings to do as
-it does. A share of the slots is always its own, so that none is starved by the others.
+All hosts read the same delayed load reports. Each subtracts its own requests and assumes that the
+other hosts act as it does. Each host always has a share of the slots, so that none is starved.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 from cloverway.membership.view import EndpointState
 
 HISTORY_S = 10.0
-"""How far back own in-flight counts are kept; reports older than that are useless anyhow."""
+"""Retention of own in-flight counts; older reports are not used."""
 STALE_REPORT_S = 3.0
-"""An older report says nothing about the other hosts; only the own share is used then."""
+"""Maximum age of a report; with an older one, a host uses only its own share of the slots."""
 HEADROOM = 1.25
-"""Part of the slots that may be in flight, so that a warm cache can be waited for in the engine."""
+"""Limit on requests in flight as a multiple of the slots; the excess lets requests wait in the
+engine for a warm cache."""
 DECREASE_FACTOR = 0.8
 DECREASE_INTERVAL_S = 0.5
-"""One cut for all answers that met the same queue."""
+"""Minimum interval between decreases, so that answers delayed by the same queue cause only one."""
 
 
 class AttemptCounter:
-    """Own attempts in progress at one place, with the past needed to read late reports."""
+    """Count of own attempts at one destination, with the history to interpret delayed reports."""
 
     __slots__ = ("_changes", "_rate_sum", "_start_sum", "in_flight", "pending_prefill_s")
 
@@ -30,12 +31,12 @@
         self.in_flight = 0
         self._changes: deque[tuple[float, int]] = deque()
         self.pending_prefill_s = 0.0
-        """Seconds of reading prompts that were sent there and gave no first token yet."""
+        """Expected prefill seconds of the prompts sent there that have no first token yet."""
         self._start_sum = 0.0
         self._rate_sum = 0.0
 
     def begin(self, now: float, expected_s: float) -> None:
-        """Count an attempt that begins."""
+        """Count an attempt that starts."""
         self._start_sum += now / expected_s
         self._rate_sum += 1 / expected_s
         self._change(1, now)
@@ -47,14 +48,14 @@
         self._change(-1, now)
 
     def count_at(self, at: float) -> int:
-        """Give how many were in flight at an earlier moment."""
+        """Return the number of attempts in flight at an earlier time."""
         for changed_at, count in reversed(self._changes):
             if changed_at <= at:
                 return count
         return 0
 
     def mean_age(self, now: float) -> float:
-        """Give the mean age of attempts in progress, each over its expected time."""
+        """Return the mean age of the attempts in progress, each relative to its expected time."""
         if not self.in_flight:
             return 0.0
         return max(0.0, now * self._rate_sum - self._start_sum) / self.in_flight
@@ -70,7 +71,7 @@
 
 
 class ConcurrencyLimit:
-    """Adaptive concurrency: additive increase, multiplicative decrease on queue time."""
+    """Adaptive concurrency limit: additive increase, multiplicative decrease by queue time."""
 
     __slots__ = ("_decreased_at", "value")
 
@@ -79,7 +80,7 @@
         self._decreased_at = float("-inf")
 
     def record_queue_time(self, queue_s: float, tolerated_s: float, slots: int, now: float) -> None:
-        """Take in the queue time of an answer that was predicted to meet no queue."""
+        """Record the queue time of an answer that was predicted to have none."""
         if queue_s <= tolerated_s:
             self.value = min(slots * HEADROOM, self.value + 1 / self.value)
         elif now >= self._decreased_at + DECREASE_INTERVAL_S:
@@ -88,17 +89,18 @@
 
 
 def share_slots(slots: int, hosts: int) -> int:
-    """Give the slots that are one host's own, whatever the others do; at least one."""
+    """Return the slots reserved for one host, whatever the others do; at least one."""
     return max(1, slots // max(1, hosts))
 
 
 def estimate_others_in_flight(
     state: EndpointState, attempts: AttemptCounter, hosts: int, now: float
 ) -> float:
-    """Estimate what the other hosts have in flight at an endpoint.
+    """Estimate the requests that the other hosts have in flight at an endpoint.
 
-    The report holds our own part as it was then; what we have added since, each sibling has
-    probably added too. Without that, all hosts that read "idle" would send there at once.
+    The report includes this host's own requests at the time of the report. Each other host has
+    probably added as many since as this one has. Without that assumption, all hosts would send to
+    an endpoint that reports "idle" at the same time.
     """
     if hosts == 1:
         return 0.0
--- a/cloverway/dispatch/outliers.py
+++ b/cloverway/dispatch/outliers.py
@@ -1,6 +1,6 @@
-"""Outlier ejection: a place that fails is left alone for a while, but never the last one.
+"""Outlier ejection: a destination that fails is not used for a while, unless it is the last one.
 
-A place that has asked for a pause itself is left alone for that, the last one too.
+A destination that requested a pause is not used until the pause ends, even if it is the last one.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 MIN_EJECTION_S = 0.5
 MAX_EJECTION_S = 10.0
 MIN_CONSECUTIVE_FAILURES = 2
-"""Failures in a row that blame the place: a single one may be the request's own fault."""
+"""Consecutive failures before ejection: a single one may be caused by the request itself."""
 EJECTION_RESET_S = 30.0
-"""A place that has gone so long without failing starts with the first pause again."""
+"""A destination without failures for this long starts with the minimum ejection time again."""
 MAX_REQUESTED_PAUSE_S = 3_600.0
-"""The longest pause that a place is given because it asked for it."""
+"""Upper bound on a pause that a destination requests."""
 
 
 class OutlierDetector:
-    """Remember which places failed, and until when each is left alone."""
+    """Track failures of destinations, and until when each is ejected."""
 
     def __init__(self) -> None:
         self._ejections: dict[str, tuple[float, float]] = {}
@@ -26,12 +26,12 @@
         self._requested_until: dict[str, float] = {}
 
     def record_failure(self, name: str, now: float, certain: bool = True) -> None:
-        """Leave a place alone; each further failure doubles the pause.
+        """Eject a destination; each further failure doubles the ejection time.
 
-        A failure that is not `certain` to be the place's own counts from the second in a row on.
-
-        A flapping endpoint fails, is tried and fails again: the doubling bounds the attempts that
-        it can spoil, and the longest pause bounds how long a mended one stays unused.
+        A failure that is not `certain` to be the destination's own fault counts from the second
+        consecutive one. For an endpoint that fails again and again, doubling bounds the number of
+        failed attempts, and the maximum ejection time bounds how long it stays unused once it
+        works again.
         """
         self._failure_counts[name] = self._failure_counts.get(name, 0) + 1
         if not certain and self._failure_counts[name] < MIN_CONSECUTIVE_FAILURES:
@@ -45,26 +45,27 @@
         self._ejections[name] = (now + ejection_s, ejection_s)
 
     def record_requested_pause(self, name: str, seconds: float, now: float) -> None:
-        """Leave a place alone for as long as it has asked for."""
+        """Stop using a destination for as long as it requested."""
         until = now + min(seconds, MAX_REQUESTED_PAUSE_S)
         self._requested_until[name] = max(until, self._requested_until.get(name, until))
 
     def record_success(self, name: str) -> None:
-        """Halve the next pause of a place that answered."""
+        """Halve the next ejection time of a destination that answered."""
         self._failure_counts.pop(name, None)
         if name in self._ejections:
             until, ejection_s = self._ejections[name]
             self._ejections[name] = (until, ejection_s / 2)
 
     def is_paused(self, name: str, now: float) -> bool:
-        """Tell whether a place is left alone now."""
+        """Return whether a destination is ejected or has requested a pause."""
         failed_until, _ = self._ejections.get(name, (now, 0.0))
         return now < failed_until or self._has_requested_pause(name, now)
 
     def filter_usable(self, names: Sequence[str], now: float) -> frozenset[str]:
-        """Drop paused places.
+        """Return the destinations that are not paused.
 
-        When all have failed, keep the one whose pause ends first, unless it asked for it.
+        If all are paused, keep the ejected one whose ejection ends first, except those that
+        requested a pause.
         """
         usable = frozenset(name for name in names if not self.is_paused(name, now))
         failed = [name for name in names if not self._has_requested_pause(name, now)]
@@ -73,7 +74,7 @@
         return frozenset({min(failed, key=lambda name: (self._ejections[name][0], name))})
 
     def prune(self, now: float) -> None:
-        """Forget places whose last pause ended long ago."""
+        """Drop destinations whose last ejection ended more than EJECTION_RESET_S ago."""
         self._ejections = {
             name: (until, ejection_s)
             for name, (until, ejection_s) in self._ejections.items()
--- a/cloverway/dispatch/placement.py
+++ b/cloverway/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""What lies ahead of one request at one moment: where it may go, how long it would wait here."""
+"""Placement of one request at one moment: where it may run and how long it would wait here."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from cloverway.messages import Request
 
 MAX_PASSED_ON_WAIT_S = 0.25
-"""The longest predicted wait of a passed-on request; its first host may know a better place."""
+"""Maximum predicted wait of a passed-on request; its first host may have a better destination."""
 MAX_PASSES = 2
-"""Times that one request is passed on to other failure domains, one after the other."""
+"""Maximum number of times that one host passes a request on to other failure domains."""
 
 GOOD_COST_FRACTION = 0.5
-"""Part of the service time that a free place may cost over a first token without any cache."""
+"""Fraction of the service time by which a good local candidate may exceed the time to first token
+of an uncached prompt."""
 
 HOME_IS_FREE = HomeEstimate(0.0, True, 0.0)
 HOME_CANNOT_SERVE = HomeEstimate(float("inf"), False, float("inf"))
@@ -29,9 +30,10 @@
 def has_good_local_candidate(
     entry: QueueEntry, local: list[Candidate], first_token_s: float
 ) -> bool:
-    """Tell whether home has so good a place that no other region needs to be weighed.
+    """Return whether a local candidate is so good that other regions need not be considered.
 
-    Most requests find one, and a hundred failure domains cost more to weigh than all the rest.
+    Most requests have one, and evaluating a hundred failure domains costs more than the rest of the
+    decision.
     """
     return any(
         candidate.free
@@ -42,12 +44,12 @@
 
 
 def may_be_passed_on(entry: QueueEntry) -> bool:
-    """Tell whether a request may go to another failure domain at all."""
+    """Return whether a request may be passed on to another failure domain at all."""
     return not entry.request.passed_on and len(entry.tried) <= MAX_PASSES
 
 
 class PlacementContext:
-    """Predict for requests by one view at one moment; changes nothing."""
+    """Read-only predictions for requests, from one view at one moment."""
 
     def __init__(self, router: Router, random: Random) -> None:
         self.router = router
@@ -56,22 +58,22 @@
 
     @property
     def published(self) -> Published:
-        """The configuration of this moment."""
+        """The configuration in force at this moment."""
         return self.router.catalogue.published
 
     def list_allowed_regions(self, request: Request) -> frozenset[str]:
-        """List the allowed regions by the configuration of now, not of the arrival."""
+        """Return the allowed regions by the current configuration, not the one at arrival."""
         return allowed_regions(self.published, request.team, request.profile)
 
     def find_refusal(self, request: Request) -> Kind | None:
-        """Find why a request may not be taken at all."""
+        """Return why a request must be refused at arrival, or None."""
         allowed = self.list_allowed_regions(request)
         if not allowed or (request.passed_on and self.router.view.region not in allowed):
             return Kind.RESIDENCY
         return Kind.DEADLINE if request.deadline <= self.now else None
 
     def make_entry(self, entry_id: int, request: Request) -> QueueEntry:
-        """Note what the queue needs to know of a request that may be taken."""
+        """Create the queue entry of an acceptable request."""
         profile = self.published.profiles[request.profile]
         return QueueEntry(
             entry_id=entry_id,
@@ -92,7 +94,7 @@
         reach: Reach,
         recently_sent_away: bool,
     ) -> PlacementOptions:
-        """Gather all that a choice for a request is made from."""
+        """Collect the inputs of a policy's choice for a request."""
         allowed = self.list_allowed_regions(entry.request)
         local = []
         if self.router.view.region in allowed:
@@ -117,7 +119,7 @@
         )
 
     def predict_home(self, queue: RequestQueue, entry: QueueEntry) -> HomeEstimate:
-        """Predict what waiting for a slot in this failure domain comes to."""
+        """Predict the cost of waiting for a slot in this failure domain."""
         states = [
             state
             for state in self.router.list_local_states(entry.target)
@@ -131,7 +133,7 @@
         return HomeEstimate(wait_s + first_token_s, self.now + wait_s <= entry.latest_start, wait_s)
 
     def find_queue_refusal(self, queue: RequestQueue, entry: QueueEntry) -> Kind | None:
-        """Find why a request without a route would wait in vain; None when it may wait."""
+        """Return why a request without a route must not stay in the queue, or None if it may."""
         home = self.predict_home(queue, entry)
         if home == HOME_CANNOT_SERVE:
             return self._classify_no_endpoint(entry)
--- a/cloverway/dispatch/policies.py
+++ b/cloverway/dispatch/policies.py
@@ -1,4 +1,4 @@
-"""Policies: how one candidate is chosen. All but the first are baselines for measurements."""
+"""Policies that choose among candidates. All but the first are baselines for measurements."""
 
 from __future__ import annotations
 
@@ -13,59 +13,61 @@
 from cloverway.dispatch.routing import Candidate
 
 SENT_AWAY_FRACTION = 0.25
-"""Part of its service time that a request would wait at home at equal weights, to stay there."""
+"""Extra wait at home before a request is sent away, at equal weights, as a fraction of its service
+time."""
 MIN_TAIL_WEIGHT = 0.01
 URGENCY_FACTOR = {Urgency.BATCH: 2.0, Urgency.NORMAL: 1.0, Urgency.URGENT: 0.5}
 HYSTERESIS_FRACTION = 0.1
-"""Hysteresis: part of the service time by which the first one sent away must gain."""
+"""Hysteresis: fraction of the service time that the first request sent away must gain."""
 TAIL_WAIT_FACTOR = 3.0
-"""Predicted waits by which the slowest ones exceed the mean, at most."""
+"""Maximum excess of the slowest waits over the predicted mean, in predicted waits."""
 WARM_WAIT_FACTOR = 1.0
-"""Waiting for a warm cache, as a part of what it saves."""
+"""Maximum wait for a warm cache, as a multiple of the time it saves."""
 COST_JITTER_FRACTION = 0.01
-"""Part of the service time by which costs are blurred, so that hosts don't all choose alike."""
+"""Random jitter on costs as a fraction of the service time, so that hosts choose differently."""
 
 
 class Reach(Enum):
-    """How far candidates are looked for."""
+    """Scope of the search for candidates."""
 
     HOME = "home"
     NEEDED = "needed"
-    """In other failure domains where home has no good place."""
+    """In other failure domains only if home has no good candidate."""
     ALL = "all"
 
 
 class HomeEstimate(NamedTuple):
-    """What staying in this failure domain means for a request that finds no slot now."""
+    """Predictions for a request that waits in this failure domain because no slot is free."""
 
     cost_s: float
-    """Predicted time to the first token through the queue; infinite where home can't serve it."""
+    """Predicted time to first token including the queue; infinite if home can't serve it."""
     in_time: bool
-    """Whether the queue would let it meet its deadline."""
+    """Whether it would still meet its deadline after the predicted wait."""
     wait_s: float
     """Predicted wait in the queue."""
 
 
 class PlacementOptions(NamedTuple):
-    """All that one choice is made from."""
+    """Inputs of one choice."""
 
     entry: QueueEntry
     local: Sequence[Candidate]
     away: Sequence[Candidate]
     home: HomeEstimate
     recently_sent_away: bool = False
-    """Whether requests for this target were sent to another region a moment ago."""
+    """Whether requests for this target were recently sent to another region."""
     waited_s: float = 0.0
-    """How long the request has waited for a route."""
+    """Time that the request has waited for a route."""
 
 
 def should_wait_for_warm_cache(options: PlacementOptions, free_candidate: Candidate) -> bool:
-    """Tell whether to wait for a slot at a place whose cache is warmer than that of a free one.
+    """Return whether to wait for a slot at an endpoint with a warmer cache than the free one.
 
-    Under load the warm place is mostly full, and a request that takes the first free slot evicts
-    there what others need: soon no cache holds anything. Waiting as long as the cold read would
-    take costs no more than the read, and mostly the slot comes sooner. Urgent work takes what it
-    finds: the slots that are kept for it are few.
+    Under load the endpoint with the warm cache is mostly full. A request that takes the first free
+    slot elsewhere evicts cache entries that other requests need there, until no cache is useful.
+    Waiting for as long as the extra prefill would take costs no more than that prefill, and the
+    slot usually becomes free sooner. Urgent requests don't wait, because only few slots are
+    reserved for them.
     """
     if options.entry.urgency is Urgency.URGENT:
         return False
@@ -74,22 +76,22 @@
 
 
 class Policy(Protocol):
-    """Chooses among candidates; None leaves the request in the queue."""
+    """Choose among candidates; None leaves the request in the queue."""
 
     reach: Reach
-    """How far candidates are looked for, for a request that has just come."""
+    """Scope of the search for candidates of a newly arrived request."""
 
     def choose(self, options: PlacementOptions, random: Random) -> Candidate | None:
         """Choose one of the candidates that may take the request now."""
         ...
 
     def adjust_away_cost(self, destination: Candidate, options: PlacementOptions) -> float:
-        """Give the cost of another failure domain with what the policy adds to it."""
+        """Return the cost of another failure domain including the policy's surcharge."""
         ...
 
 
 class HomeFirst:
-    """Choose the least predicted cost, at home unless another region is worth being sent to."""
+    """Choose the lowest predicted cost, and prefer home unless another region gains enough."""
 
     reach = Reach.NEEDED
 
@@ -122,16 +124,16 @@
         return elsewhere
 
     def adjust_home_cost(self, home: HomeEstimate) -> float:
-        """Give the cost of waiting at home: more than the mean wait where the tail matters."""
+        """Return the cost of waiting at home, above the mean wait if tail latency matters."""
         objective = self._objective()
         total_weight = objective.tail_latency + objective.sent_away
         fraction = objective.tail_latency / total_weight if total_weight > 0 else 0.5
         return home.cost_s + TAIL_WAIT_FACTOR * fraction * home.wait_s
 
     def adjust_away_cost(self, destination: Candidate, options: PlacementOptions) -> float:
-        """Give the cost of another failure domain with what the objective adds to it.
+        """Return the cost of another failure domain including the surcharge by the objective.
 
-        A request that would miss its deadline at home is sent for its predicted cost alone.
+        A request that would miss its deadline at home has no surcharge.
         """
         if destination.region == self._region or not options.home.in_time:
             return destination.cost_s
@@ -144,15 +146,15 @@
 
 
 class UnadjustedCost:
-    """Add nothing to the cost of another failure domain."""
+    """Add no surcharge to the cost of another failure domain."""
 
     def adjust_away_cost(self, destination: Candidate, options: PlacementOptions) -> float:
-        """Give the cost of another failure domain with what the policy adds to it."""
+        """Return the cost of another failure domain including the policy's surcharge."""
         return destination.cost_s
 
 
 class BaselinePolicy(UnadjustedCost):
-    """Choose among free places at home by a simple rule; away only where home can't serve."""
+    """Choose among free candidates at home by a rule; away only if home can't serve."""
 
     reach = Reach.NEEDED
 
@@ -168,7 +170,7 @@
 
 
 class GlobalLeastLoaded(UnadjustedCost):
-    """Choose the least loaded place of all regions, whatever the trip."""
+    """Choose the least loaded candidate of all regions, regardless of network latency."""
 
     reach = Reach.ALL
 
@@ -181,7 +183,7 @@
 
 
 class HomeOnly(HomeFirst):
-    """Choose as the first policy does, but stay home wherever home may serve at all."""
+    """Choose as HomeFirst does, but stay at home whenever home can serve at all."""
 
     def choose(self, options: PlacementOptions, random: Random) -> Candidate | None:
         """Choose one of the candidates that may take the request now."""
@@ -190,7 +192,7 @@
 
 
 def make_policy(name: str, objective: Callable[[], Objective], region: str) -> Policy:
-    """Make the policy that the settings name."""
+    """Create the policy with the name from the settings."""
     counter = itertools.count()
     factories: dict[str, Callable[[], Policy]] = {
         "cloverway": lambda: HomeFirst(objective, region),
--- a/cloverway/dispatch/prompts.py
+++ b/cloverway/dispatch/prompts.py
@@ -5,9 +5,9 @@
 from hashlib import blake2b
 
 BLOCK_BYTES = 1024
-"""Engines cache by blocks of tokens; about 256 tokens is fine enough to tell prompts apart."""
+"""Engines cache blocks of tokens; about 256 tokens are enough to tell prompts apart."""
 MAX_BLOCKS = 32
-"""Bound on the work for one request; two prompts that agree so far share their cache anyhow."""
+"""Bound on the work for one request; prompts that agree on all of these blocks share a cache."""
 PROMPT_FIELDS = (b'"messages"', b'"prompt"')
 
 
@@ -19,11 +19,11 @@
     def __init__(self, hashes: tuple[bytes, ...], length: int) -> None:
         self.hashes = hashes
         self.length = length
-        """Bytes of the whole prompt, not only of the hashed blocks."""
+        """Bytes of the entire prompt, not only of the hashed blocks."""
 
     @classmethod
     def from_body(cls, body: bytes) -> Prefix:
-        """Hash the blocks of a JSON body from its prompt on; a short prompt has none."""
+        """Hash the blocks of a JSON body from the start of its prompt; a short prompt has none."""
         begin = _find_prompt_start(body)
         length = len(body) - begin
         running = blake2b(digest_size=8)
@@ -36,15 +36,15 @@
 
     @property
     def key(self) -> bytes:
-        """Give what hosts agree by on an endpoint for this prefix; empty for a short prompt."""
+        """The rendezvous hashing key for this prefix; empty for a short prompt."""
         return self.hashes[min(1, len(self.hashes) - 1)] if self.hashes else b""
 
     def uncached_bytes(self, matched: int) -> int:
-        """Count the bytes that an engine must read when it holds the first `matched` blocks."""
+        """Return the bytes that an engine must prefill if it has cached `matched` blocks."""
         return self.length - matched * BLOCK_BYTES
 
 
 def _find_prompt_start(body: bytes) -> int:
-    """Give where the prompt begins: fields before it, such as a seed, differ for each call."""
+    """Return where the prompt begins: fields before it, such as a seed, differ for each call."""
     found = [at for at in (body.find(field) for field in PROMPT_FIELDS) if at >= 0]
     return min(found, default=0)
--- a/cloverway/dispatch/residency.py
+++ b/cloverway/dispatch/residency.py
@@ -1,4 +1,4 @@
-"""Where a team's requests may be served: the one rule, applied by each host that handles them."""
+"""Data residency: the rule for where a team's requests may run, applied by each host on the way."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def allowed_regions(published: Published, team: str, profile: str) -> frozenset[str]:
-    """List the regions that may serve a team's requests with a profile; empty means refuse.
+    """Return the regions that may serve a team's requests with a profile; empty means refuse.
 
-    An unknown team, profile or region allows nothing: what isn't known can't be shown to be safe.
+    An unknown team, profile or region allows no region, since its residency can't be checked.
     """
     known_team = published.teams.get(team)
     known_profile = published.profiles.get(profile)
@@ -25,11 +25,10 @@
 
 
 def check_region_allowed(published: Published | None, request: Request, region: str) -> None:
-    """Raise RequestError unless this host's own configuration lets a request run in a region.
+    """Raise RequestError unless this host's configuration allows a request to run in a region.
 
-    The host that runs a request checks it again. The first host chose a region that its own
-    revision allows, so a request runs only where both revisions allow it: the stricter one holds,
-    whichever of the two is older.
+    The host that runs a request checks the region again, after the first host checked it against
+    its own revision. So a request runs only where both revisions allow it, whichever is older.
     """
     if published is None:
         raise RequestError(Kind.STARTING)
--- a/cloverway/dispatch/retries.py
+++ b/cloverway/dispatch/retries.py
@@ -1,4 +1,4 @@
-"""Retries: which attempts may be repeated, and a budget so that an outage multiplies nothing."""
+"""Retries: which attempts may be retried, and a budget against load amplification in an outage."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 RETRIES_PER_SUCCESS = 0.1
 """Retries per recent success."""
 MIN_RETRIES = 1
-"""Retries in a window without any success, so that a quiet host can still retry one."""
+"""Retries in a window without any success, so that a host with little traffic can retry too."""
 
 RAN_AFTER_OUTCOME: dict[Outcome, Ran] = {
     Outcome.DONE: Ran.YES,
@@ -21,14 +21,14 @@
     Outcome.LOST: Ran.UNKNOWN,
     Outcome.CALLER_LEFT: Ran.UNKNOWN,
 }
-"""What is known of an attempt after each outcome."""
+"""Whether an attempt ran the request, by its outcome."""
 
 
 def may_retry(outcome: Outcome, idempotent: bool) -> bool:
-    """Tell whether another attempt is safe.
+    """Return whether another attempt is safe.
 
-    An attempt that certainly did not run can be made elsewhere. After the first byte may have left,
-    only an idempotent request can: the endpoint may have run it though its answer was lost.
+    A request that certainly did not run can be retried elsewhere. Once its first byte may have been
+    sent, only an idempotent request can: the endpoint may have run it although its answer was lost.
     """
     if outcome in (Outcome.NOT_SENT, Outcome.REFUSED):
         return True
@@ -36,19 +36,19 @@
 
 
 class RetryBudget:
-    """Allow retries up to a share of the successes of the last seconds."""
+    """Allow retries up to a share of the recent successes."""
 
     def __init__(self) -> None:
         self._successes: deque[float] = deque()
         self._retries: deque[float] = deque()
 
     def record_success(self, now: float) -> None:
-        """Count an attempt that gave a whole answer."""
+        """Record an attempt with a complete answer."""
         self._successes.append(now)
         self._prune(now)
 
     def try_take(self, now: float) -> bool:
-        """Take a retry out of the budget, if there is one left."""
+        """Take one retry from the budget; return False if none is left."""
         self._prune(now)
         if len(self._retries) >= MIN_RETRIES + RETRIES_PER_SUCCESS * len(self._successes):
             return False
--- a/cloverway/dispatch/routing.py
+++ b/cloverway/dispatch/routing.py
@@ -1,7 +1,7 @@
-"""Candidates for a request: where it could run, and what it would cost there in seconds.
+"""Candidates for a request: where it could run, and its cost there in seconds.
 
-A cost is the predicted time to the first token: wait for a slot, trip, and reading what the cache
-doesn't hold; slow places pay for their slowness too. Nothing here chooses; `policies` does.
+The cost is the predicted time to first token: wait for a slot, network latency, and prefill of what
+is not cached, with a surcharge for slow destinations. The choice is made in `policies`.
 """
 
 from __future__ import annotations
@@ -29,52 +29,52 @@
 
 SLOW_START_S = 10.0
 SLOW_START_FRACTION = 0.25
-"""Part of the slots that a returning endpoint gets at first, while its cache is cold."""
+"""Fraction of the slots that a restarted endpoint gets at first, while its cache is cold."""
 STARTUP_WINDOW_S = 2.0
-"""Endpoints that were first seen this soon after the host's own start aren't returning ones."""
+"""Endpoints first seen this soon after the host became ready are not treated as restarted."""
 SLOW_THRESHOLD = 2.0
-"""Answers this much slower than expected make a place slow; less is chance."""
+"""Factor over the expected time from which a destination counts as slow; less is noise."""
 SLOWDOWN_HALF_LIFE_S = 20.0
-"""A slow place is believed to mend, so that it is tried again."""
+"""Half-life of a measured slowdown, so that a slow destination is tried again."""
 LAST_RESORT_COST_S = 2.0
-"""Cost of the last endpoint when it fails too: other failure domains are better while they work."""
+"""Added cost of the last endpoint if it fails too, so that other failure domains are preferred."""
 BATCH_COST_FRACTION = 0.03
-"""Part of the service time that a full batch costs against an empty one."""
+"""Added cost of a full batch over an empty one, as a fraction of the service time."""
 RANKED_UNCACHED_FRACTIONS = (0.1, 0.3, 0.6)
-"""Part of a prompt believed cold at its first and second place by rendezvous hash."""
+"""Assumed uncached fraction of a prompt at its first endpoints by rendezvous hash."""
 MAX_SUMMARY_AGE_PERIODS = 5
-"""A summary that missed this many of its periods says that the failure domain is cut off."""
+"""Age of a summary, in its periods, above which the failure domain is treated as unreachable."""
 AWAY_RESERVED_FRACTION = 0.1
-"""Part of another failure domain's slots that is left free for its own callers."""
+"""Fraction of another failure domain's slots that is left free for its own callers."""
 
 
 def make_domain_key(domain: str) -> str:
-    """Name a failure domain among places; an endpoint may have the same published name."""
+    """Return the key of a failure domain; the prefix avoids collisions with endpoint names."""
     return f"domain/{domain}"
 
 
 def make_host_key(host: str) -> str:
-    """Name a host among places; an endpoint may have the same published name."""
+    """Return the key of a host; the prefix avoids collisions with endpoint names."""
     return f"host/{host}"
 
 
 class Candidate(NamedTuple):
-    """One place that could run a request."""
+    """One destination that could run a request."""
 
     name: str
-    """Name of an endpoint, or of another failure domain as `name_domain` gives it."""
+    """Name of an endpoint, or key of another failure domain from `make_domain_key`."""
     route: Route
     region: str
     free: bool
     """Whether a slot is probably free."""
     sendable: bool
-    """Whether the limits let a request go there now, if only to wait for a warm cache."""
+    """Whether the limits allow sending a request now, possibly to wait for a warm cache."""
     wait_s: float
     cost_s: float
     saved_s: float
-    """What a warm cache takes off, against a cold one."""
+    """Seconds that the cached prefix saves, compared to a cold cache."""
     uncached_prefill_s: float
-    """Predicted time to read what the cache doesn't hold."""
+    """Predicted prefill seconds of the uncached part of the prompt."""
     load: float
     """Estimated requests in progress over slots."""
     outstanding: int
@@ -82,7 +82,7 @@
 
 
 class DestinationRecord:
-    """What this host has learnt about one place. Owned by the dispatcher."""
+    """What this host has learned about one destination. Owned by the dispatcher."""
 
     def __init__(self, slots: int) -> None:
         self.attempts = AttemptCounter()
@@ -91,28 +91,28 @@
         self._slowdown_at = float("-inf")
 
     def record_slowdown(self, sample: float, now: float) -> None:
-        """Take in a time over the expected one."""
+        """Record a measured time divided by the expected one."""
         self._slowdown.value = self.slowdown(now)
         self._slowdown.add(min(20.0, sample))
         self._slowdown_at = now
 
     def slowdown(self, now: float) -> float:
-        """Give how slow the place is: 1 is as expected."""
+        """Return the slowdown factor of the destination; 1 is as expected."""
         faded = 0.5 ** (max(0.0, now - self._slowdown_at) / SLOWDOWN_HALF_LIFE_S)
         return 1.0 + (self._slowdown.value - 1.0) * faded
 
     def effective_slowdown(self, now: float) -> float:
-        """Give the pace where it stands out, from ended attempts and from those in progress.
+        """Return the slowdown if it reaches SLOW_THRESHOLD, else 1.
 
-        A place that has become slow finishes nothing for a while; the age of its attempts in
-        progress shows it before their end does.
+        A destination that has become slow completes nothing for a while. The age of its attempts in
+        progress shows the slowdown earlier than their completion.
         """
         slowdown = max(self.slowdown(now), self.attempts.mean_age(now))
         return slowdown if slowdown >= SLOW_THRESHOLD else 1.0
 
 
 class LearnedState:
-    """All that a host has learnt about places; the rest comes from the view."""
+    """All that a host has learned about destinations; everything else comes from the view."""
 
     def __init__(self) -> None:
         self.records: dict[str, DestinationRecord] = {}
@@ -123,13 +123,13 @@
         """When this host was first ready."""
 
     def get_record(self, name: str, slots: int = 1) -> DestinationRecord:
-        """Give the record of a place."""
+        """Return the record of a destination; create it if needed."""
         if name not in self.records:
             self.records[name] = DestinationRecord(slots)
         return self.records[name]
 
     def prune(self, view: View, now: float) -> None:
-        """Forget places that are gone from the view and have nothing in flight."""
+        """Drop destinations that are no longer in the view and have nothing in flight."""
         domains = view.published.domains if view.published else ()
         known = {*view.endpoints, *(make_domain_key(domain) for domain in domains)}
         self.records = {
@@ -141,15 +141,15 @@
 
 
 class Assessment(NamedTuple):
-    """How one endpoint stands for this host at one moment."""
+    """Load and limits of one endpoint, as this host sees it at one moment."""
 
     own: int
     occupied: float
     effective_slowdown: float
     max_in_flight: float
-    """What this host may have in flight there at most."""
+    """Maximum number of requests that this host may have in flight there."""
     allowance: float
-    """What it may have in flight there without making the endpoint queue."""
+    """Number of requests that it may have in flight there without queueing at the endpoint."""
     pending_prefill_s: float
 
 
@@ -174,19 +174,19 @@
         )
 
     def list_local_states(self, target: str) -> list[EndpointState]:
-        """List the endpoints of this failure domain that may be chosen for a target at all."""
+        """Return the endpoints of this failure domain that are eligible for a target."""
         if target not in self._states:
             self._states[target] = self._find_local_states(target)
         return self._states[target]
 
     def assess(self, state: EndpointState) -> Assessment:
-        """Say how an endpoint stands, once for each moment."""
+        """Return the assessment of an endpoint; it is cached until `invalidate`."""
         if state.name not in self._assessments:
             self._assessments[state.name] = self._assess(state)
         return self._assessments[state.name]
 
     def invalidate(self, name: str) -> None:
-        """Look at an endpoint again, after it was given a request."""
+        """Drop the cached assessment of an endpoint after a request was sent to it."""
         self._assessments.pop(name, None)
 
     def _find_local_states(self, target: str) -> list[EndpointState]:
@@ -204,7 +204,7 @@
         return [state for state in eligible if state.name in usable]
 
     def list_local(self, entry: QueueEntry, states: list[EndpointState]) -> list[Candidate]:
-        """List candidates among endpoints of this failure domain."""
+        """Return the candidates among endpoints of this failure domain."""
         states = [state for state in states if state.name not in entry.tried]
         ranked = rank_destinations(
             entry.prefix.key, [state.name for state in states][: _get_ranking_size(entry)]
@@ -214,7 +214,7 @@
     def list_away(
         self, entry: QueueEntry, allowed: frozenset[str], random: Random
     ) -> list[Candidate]:
-        """List candidates among other failure domains in allowed regions."""
+        """Return the candidates among other failure domains in allowed regions."""
         assert not entry.request.passed_on, "a passed-on request is never passed on again"
         return [
             candidate
@@ -227,14 +227,14 @@
         ]
 
     def estimate_slots(self, states: list[EndpointState]) -> float:
-        """Estimate the slots that this host may fill, each by the pace of its endpoint."""
+        """Estimate the slots that this host may fill, reduced by the slowdown of each endpoint."""
         assessments = [self.assess(state) for state in states]
         return sum(
             assessment.allowance / assessment.effective_slowdown for assessment in assessments
         )
 
     def has_room(self, states: list[EndpointState]) -> bool:
-        """Tell whether any endpoint may take a request now."""
+        """Return whether any endpoint may take a request now."""
         assessments = [self.assess(state) for state in states]
         return any(assessment.own < assessment.max_in_flight for assessment in assessments)
 
@@ -244,7 +244,7 @@
         return sum(max(0.0, assessment.allowance - assessment.own) for assessment in assessments)
 
     def is_warming(self, state: EndpointState) -> bool:
-        """Tell whether an endpoint came back lately, so that its cache is cold."""
+        """Return whether an endpoint restarted recently, so that its cache is cold."""
         ready_at = self.learned.ready_at
         if ready_at is None or state.started_at <= ready_at + STARTUP_WINDOW_S:
             return False
@@ -331,14 +331,17 @@
     def _estimate_free(
         self, capacity: DomainCapacity, summary: Summary | None, attempts: AttemptCounter
     ) -> float:
-        """Estimate the free slots of a failure domain, less what this one has sent since."""
+        """Estimate the free slots of a failure domain, minus what this one has sent since then."""
         if summary is None:
             return capacity.slots - attempts.in_flight * self.hosts
         sent = max(0, attempts.in_flight - attempts.count_at(summary.at))
         return summary.free - sent * self.hosts
 
     def _choose_host(self, domain: str, tried: frozenset[str], random: Random) -> str | None:
-        """Choose the less loaded of two live hosts; any published one where none was ever heard."""
+        """Choose the less loaded of two random live hosts.
+
+        If no host of the failure domain was ever heard, choose any published one.
+        """
         published = [
             name
             for name in self.catalogue.hosts(domain)
@@ -362,7 +365,7 @@
         return not host.leaving and self.now - host.heard_at <= self._timing.suspect_s
 
     def is_usable(self, summary: Summary) -> bool:
-        """Tell whether a summary is young enough and offers anything."""
+        """Return whether a summary is recent and has ready endpoints."""
         age = self.now - summary.at
         return summary.ready > 0 and age <= MAX_SUMMARY_AGE_PERIODS * self._timing.summary_s
 
@@ -402,5 +405,5 @@
 
 
 def _get_ranking_size(entry: QueueEntry) -> int | None:
-    """Rank no place for a prompt that is too short to be worth a cache."""
+    """Return the end of the slice to rank: no endpoint for a prompt without a full block."""
     return None if entry.prefix.key else 0
--- a/cloverway/dispatch/tenants.py
+++ b/cloverway/dispatch/tenants.py
@@ -1,8 +1,8 @@
-"""Labels of tenants for histograms: a bounded number of them, however many teams there are.
+"""Tenant labels for histograms, bounded in number regardless of the number of teams.
 
-The teams with the most traffic get a label of their own, and all others share a fixed number of
-labels by a hash of their name. The traffic is counted by the space-saving algorithm, whose table is
-bounded as well: a count is never too low, and too high by at most the error that it carries.
+The teams with the most traffic get their own labels. All others share a fixed number of labels by a
+hash of their name. Traffic is counted with the space-saving algorithm, whose table is bounded too:
+a count is never too low, and too high by at most its recorded error.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from typing import NamedTuple
 
 MAX_NAMED_TEAMS = 48
-"""Teams with a label of their own."""
+"""Maximum number of teams with their own label."""
 SHARED_LABELS = 16
-"""Labels that all other teams share."""
+"""Number of labels that all other teams share."""
 MAX_COUNTED_TEAMS = 512
-"""Teams whose traffic is counted."""
+"""Maximum number of teams whose traffic is counted."""
 MIN_REQUESTS = 8
-"""Requests that a team has certainly sent before it gets a free label."""
+"""Minimum certain requests of a team before it gets a free label."""
 REVIEW_PERIOD_S = 300.0
-"""How often labels may move from one team to another, and counts are halved."""
+"""Interval at which labels are reassigned between teams and counts are halved."""
 TAKEOVER_FACTOR = 2
-"""A team takes over a label only with this many times the traffic of its holder."""
+"""A team takes over a label only if it has this many times the traffic of the holder."""
 
 
 class _Count(NamedTuple):
@@ -30,12 +30,12 @@
 
     @property
     def certain(self) -> int:
-        """Requests that were sent for certain."""
+        """Requests that were certainly sent."""
         return self.requests - self.error
 
 
 class TenantLabels:
-    """Choose the label of each team."""
+    """Assign labels to teams."""
 
     def __init__(
         self, now: float, named: int = MAX_NAMED_TEAMS, tracked: int = MAX_COUNTED_TEAMS
@@ -47,7 +47,7 @@
         self._reviewed_at = now
 
     def choose(self, team: str) -> str:
-        """Count a request of a team and give its label."""
+        """Count a request of a team and return the team's label."""
         self._count(team)
         free = len(self._named) < self._named_limit
         if free and team not in self._named and self._counts[team].certain >= MIN_REQUESTS:
@@ -56,16 +56,16 @@
         return self.get(team)
 
     def get(self, team: str) -> str:
-        """Give the label of a team without counting."""
+        """Return the label of a team without counting a request."""
         if team in self._named:
             return team
-        # A published name never starts with an underscore, so no team can take a shared label.
+        # Published names never start with an underscore, so a team name can't equal a shared label.
         return f"_other_{zlib.crc32(team.encode()) % SHARED_LABELS:02d}"
 
     def review(self, now: float) -> list[str]:
-        """Move labels to teams with clearly more traffic; give the labels that are out of use.
+        """Move labels to teams with clearly more traffic; return the labels no longer in use.
 
-        Halves all counts, so that yesterday's peak does not hold a label today.
+        Halve all counts, so that a past peak does not hold a label for long.
         """
         if now - self._reviewed_at < REVIEW_PERIOD_S:
             return []
@@ -88,7 +88,7 @@
         self._counts[team] = known._replace(requests=known.requests + 1)
 
     def _reassign_labels(self) -> list[str]:
-        """Give the holders that lost their label."""
+        """Reassign labels and return the holders that lost theirs."""
         candidates = sorted(
             (team for team in self._counts if team not in self._named),
             key=lambda team: (-self._counts[team].certain, team),
--- a/cloverway/dispatch/tickets.py
+++ b/cloverway/dispatch/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: attempts in progress, and what is learnt when they start and end."""
+"""Tickets: attempts in progress, and what the host learns when they start and end."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 from cloverway.messages import Admitted, Away, Local, Outcome
 
 TOLERATED_QUEUE_S = 0.2
-"""Start late by this, or by the mean time that a slot is held, before a queue is suspected: prompts
-that are read at the same time delay each other too, and fewer in flight would not mend that."""
+"""Minimum delay of the first token that is treated as queueing at the endpoint; the mean slot time
+applies if it is longer. Concurrent prefills delay each other too, and a lower limit on requests in
+flight would not help there."""
 
 
 class Ticket(NamedTuple):
@@ -28,7 +29,7 @@
     uncached_bytes: int
     incarnation: str
     pending_prefill_s: float = 0.0
-    """Expected seconds of reading, while the first token is outstanding."""
+    """Expected prefill seconds until the first token arrives, then zero."""
 
 
 class Tickets:
@@ -47,15 +48,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the host runs as many requests as its settings allow."""
+        """Whether the host has as many attempts in progress as its settings allow."""
         return len(self._open) >= self._limit
 
     def count_more_urgent(self, target: str, urgency: Urgency) -> int:
-        """Count attempts in progress that are more urgent than a class."""
+        """Return the number of attempts in progress that are more urgent than a class."""
         return sum(self._classes[target, other] for other in Urgency if other > urgency)
 
     def open(self, entry: QueueEntry, candidate: Candidate, view: View, now: float) -> Admitted:
-        """Begin an attempt."""
+        """Start an attempt and return its admission."""
         assert not self.is_full, "in flight is never above the limit"
         state = view.endpoints.get(candidate.name)
         incarnation = state.incarnation if state else ""
@@ -79,7 +80,7 @@
         return Admitted(number, candidate.route)
 
     def start(self, number: int, view: View, at: float) -> None:
-        """Learn from the first byte of an answer; only a stream's tells of the first token."""
+        """Learn from the first byte of a stream; only there is it the first token."""
         ticket = self._open.get(number)
         if ticket is None or not ticket.entry.request.stream:
             return
@@ -101,8 +102,8 @@
     def close(
         self, number: int, outcome: Outcome, now: float, pause_s: float | None = None
     ) -> Ticket:
-        """End an attempt and learn from its outcome; `pause_s` is what its endpoint asked for."""
-        assert number in self._open, "a ticket is finished once"
+        """End an attempt and learn from its outcome; `pause_s` is what its endpoint requested."""
+        assert number in self._open, "a ticket may be closed only once"
         self._end_prefill(number, self._open[number])
         ticket = self._open.pop(number)
         destination = self._learned.get_record(ticket.candidate.name)
@@ -147,9 +148,9 @@
 
 
 def list_destinations(candidate: Candidate) -> tuple[str, ...]:
-    """Name what an attempt used: an endpoint, or a failure domain and its host.
+    """Return what an attempt used: an endpoint, or a failure domain and one of its hosts.
 
-    A refusal speaks for the whole failure domain, a failure only for the host that was asked.
+    A refusal applies to the entire failure domain, a failure only to the host that was used.
     """
     if isinstance(candidate.route, Away):
         return make_domain_key(candidate.route.domain), make_host_key(candidate.route.host)
