--- a/cloverway/once/__init__.py
+++ b/cloverway/once/__init__.py
@@ -1,1 +1,1 @@
-"""Work that may be done once: idempotency keys and who grants them."""
+"""At-most-once execution: idempotency keys and the hosts that grant them."""
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -1,4 +1,4 @@
-"""How a host gets the right to run a request with a key: from its own ledger or from a peer's."""
+"""Claims of idempotency keys, decided by the host's own ledger or by a peer's."""
 
 from __future__ import annotations
 
@@ -36,36 +36,36 @@
 SECRET_BYTES = 32
 MAX_KEYS_PER_CALL = 1_000
 LEDGER_TIMEOUT_S = 5.0
-"""How long a sender waits for the task that owns the ledger."""
+"""How long a caller waits for an answer of the task that owns the ledger."""
 RETRY_AFTER_S = 2.0
 SENDER_THREADS = 4
 
 MayStore = Callable[[str, str, str], bool]
-"""Whether data of a team and a profile may be held at a host: (team, profile, host)."""
+"""Return whether data of a team and profile may be stored at a host: (team, profile, host)."""
 
 
 class IssueKeys(NamedTuple):
-    """Message: make keys."""
+    """Message: issue keys."""
 
     key_count: int
 
 
 class StopIssuing(NamedTuple):
-    """Message: issue no more keys; claims are still answered."""
+    """Message: stop issuing keys; claims are still answered."""
 
 
 class CountKeys(NamedTuple):
-    """Message: tell how much the ledger holds."""
+    """Message: return the size of the ledger."""
 
 
 class CheckNeeded(NamedTuple):
-    """Message: tell whether claims must still be answered."""
+    """Message: return whether claims must still be answered."""
 
     hold_s: float
 
 
 class LedgerCount(NamedTuple):
-    """What a ledger holds."""
+    """Size of a ledger."""
 
     keys: int
     outstanding: int
@@ -73,7 +73,7 @@
 
 
 class LedgerTask:
-    """The task that owns this incarnation's ledger."""
+    """The task that owns the ledger of this incarnation of the host."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings, incarnation: str, may_store: MayStore) -> LedgerTask:
-        """Make the task with a new secret, which no other process ever learns."""
+        """Create the task with a new secret that never leaves this process."""
         limits = settings.limits
         bounds = Bounds(
             limits.idempotency_keys,
@@ -109,11 +109,11 @@
         self._task.start()
 
     def stop(self) -> None:
-        """End the thread; the keys can never be granted again."""
+        """Stop the thread; its keys can never be granted again."""
         self._task.stop()
 
     def issue(self, count: int) -> list[str]:
-        """Give new keys; raise RequestError when the host is leaving or the count is wrong."""
+        """Return new keys; raise RequestError if the host is leaving or the count is invalid."""
         if not 1 <= count <= MAX_KEYS_PER_CALL:
             raise RequestError(Kind.MALFORMED, f"count must be from 1 to {MAX_KEYS_PER_CALL}")
         issued = self._call_ledger(IssueKeys(count), Ran.NO)
@@ -123,30 +123,30 @@
         return keys
 
     def claim(self, call: ClaimCall) -> ClaimResult:
-        """Decide a claim; raise RequestError when the task does not answer."""
+        """Return the decision on a claim; raise RequestError if the task does not answer."""
         result: ClaimResult = self._call_ledger(call, Ran.UNKNOWN)
         return result
 
     def settle(self, call: SettleCall) -> None:
-        """Note how a run ended; returns at once, and later claims see it."""
+        """Record how a run ended, without waiting; later claims take it into account."""
         if call.recorded is not None and not self._may_store(call.team, call.profile, self.host):
-            # A peer may decide by an older configuration: the stricter of the two holds.
+            # A peer may use an older configuration; the stricter of the two applies.
             call = call._replace(recorded=None)
         self._task.send(call)
 
     def leave(self) -> None:
-        """Issue no more keys."""
+        """Stop issuing keys."""
         self._task.send(StopIssuing())
 
     def count(self) -> LedgerCount:
-        """Tell what the ledger holds; a leaving host waits until nothing is outstanding."""
+        """Return the size of the ledger; a leaving host waits until no grant is outstanding."""
         count: LedgerCount = self._call_ledger(CountKeys(), Ran.NO)
         return count
 
     def is_needed(self, hold_s: float) -> bool:
-        """Tell whether a leaving host should go on answering claims.
+        """Return whether a leaving host must still answer claims.
 
-        So it is while granted runs go on, and until `hold_s` after the last key was issued.
+        It must while granted runs are in progress, and for `hold_s` after it issued its last key.
         """
         needed: bool = self._call_ledger(CheckNeeded(hold_s), Ran.NO)
         return needed
@@ -155,7 +155,9 @@
         try:
             return self._task.ask(message, LEDGER_TIMEOUT_S)
         except TimeoutError as error:
-            raise RequestError(Kind.INTERNAL, "the ledger did not answer", ran=ran) from error
+            raise RequestError(
+                Kind.INTERNAL, "the key ledger did not answer in time", ran=ran
+            ) from error
 
     def _expire(self) -> None:
         self._ledger.expire(self._clock())
@@ -182,7 +184,7 @@
 
 
 class Granted(NamedTuple):
-    """This host alone may run the request, once, if the first byte leaves before `start_by`."""
+    """Exclusive permission to run a request once, if its first byte is sent before `start_by`."""
 
     key: str
     team: str
@@ -193,16 +195,16 @@
     """Monotonic time of this host."""
 
     def check(self, now: float) -> None:
-        """Raise RequestError when it is too late to start; call it just before sending.
+        """Raise RequestError if it is too late to start; call this just before sending.
 
-        A process that was paused wakes up here with a grant that its caller has given up.
+        Otherwise a process that was paused could use a grant after the request's deadline.
         """
         if now >= self.start_by:
-            raise RequestError(Kind.DEADLINE, "the key's grant has ended", ran=Ran.NO)
+            raise RequestError(Kind.DEADLINE, "the key's grant has expired", ran=Ran.NO)
 
 
 class Replayed(NamedTuple):
-    """The request was run before; this is its recorded answer."""
+    """The recorded answer of a request that has already run."""
 
     reply: Reply
 
@@ -220,7 +222,7 @@
 
 
 class Claims:
-    """Claims keys from whichever host issued them."""
+    """Claim keys from the hosts that issued them."""
 
     def __init__(
         self,
@@ -241,17 +243,17 @@
         ]
 
     def start(self) -> None:
-        """Start the threads that tell other hosts how runs ended."""
+        """Start the threads that send settlements to other hosts."""
         for sender in self._senders:
             sender.start()
 
     def stop(self) -> None:
-        """End the threads after one attempt at all that is in their inboxes."""
+        """Stop the threads after one attempt at everything in their inboxes."""
         for sender in self._senders:
             sender.stop()
 
     def claim(self, request: Request) -> Granted | Replayed:
-        """Get the right to run, or the recorded answer; raise RequestError for all else."""
+        """Return permission to run or the recorded answer; raise RequestError otherwise."""
         parsed_key = ParsedKey.parse(request.key)
         if parsed_key is None:
             raise RequestError(Kind.KEY_INVALID, "keys come from POST /v1/idempotency-keys")
@@ -266,7 +268,7 @@
         )
         result = self._claim_from(parsed_key, call)
         if isinstance(result, Grant):
-            # Counted from before the claim left, so that it ends here before it ends there.
+            # Counted from before the claim was sent, so it expires here before it expires there.
             start_by = min(request.deadline, asked_at + result.lifetime_s)
             return Granted(
                 request.key, request.team, request.profile, call.claimant, parsed_key.host, start_by
@@ -277,9 +279,9 @@
         raise result.as_error()
 
     def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
-        """Tell the issuer how the run ended; returns at once.
+        """Report to the issuer how the run ended, without waiting.
 
-        The answer goes along when it is whole and its data may be held where the issuer is.
+        The answer is included if it is complete and its data may be stored at the issuer.
         """
         self._send(
             SettleCall(
@@ -303,7 +305,7 @@
         return Recorded(reply.status, reply.content_type, reply.body, reply.headers)
 
     def _make_claimant_id(self) -> str:
-        """Name one attempt. A request's id would not do: a caller may send the same id twice."""
+        """Return a unique ID of one attempt; callers may reuse request IDs, so those won't do."""
         keys = self._keys
         return f"{keys.host}/{keys.incarnation}/{next(self._attempts)}"
 
@@ -313,14 +315,14 @@
                 return self._keys.claim(call)
             return self._claim_from_peer(parsed_key.host, call)
         except (PeerError, RequestError) as error:
-            # The grant may have been given and its answer lost; nothing will be run with it.
+            # Give the grant back: the issuer may have granted the claim and its answer was lost.
             settle = SettleCall(
                 call.key, call.team, call.profile, call.claimant, Settlement.NOT_RUN
             )
             self._send(settle, parsed_key.host)
             if isinstance(error, RequestError):
                 raise
-            log.info("an issuer could not be asked", extra={"issuer": parsed_key.host})
+            log.info("could not reach the issuer of a key", extra={"issuer": parsed_key.host})
             raise RequestError(
                 Kind.KEY_OWNER_LOST,
                 "this request was not run; an earlier one with the key may have been",
@@ -331,7 +333,7 @@
     def _claim_from_peer(self, host: str, call: ClaimCall) -> ClaimResult:
         address = self._address_of(host)
         if address is None:
-            # Not proof of a forged key: the host may have been taken off the list since.
+            # The key is not necessarily forged: the host may have been removed from the list since.
             return Refused(
                 Kind.KEY_OWNER_LOST, "the host that issued it is not published", ran=Ran.UNKNOWN
             )
@@ -341,6 +343,6 @@
         if issuer == self._keys.host:
             self._keys.settle(call)
             return
-        # One issuer that does not answer must not hold up the settlements for all others.
+        # Shards by issuer, so that an unresponsive one does not delay settlements for all others.
         shard = zlib.crc32(issuer.encode()) % SENDER_THREADS
         self._senders[shard].settle(issuer, call)
--- a/cloverway/once/key_format.py
+++ b/cloverway/once/key_format.py
@@ -1,4 +1,4 @@
-"""The text of an idempotency key: what it says and how it is spelled."""
+"""The text format of idempotency keys."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ParsedKey(NamedTuple):
-    """What the text of a key says, before its MAC was checked."""
+    """The fields of a key whose MAC has not been verified."""
 
     host: str
     incarnation: str
     issued_ms: int
-    """By the issuer's own clock, since the issuer started."""
+    """Milliseconds since the issuer started, by its own clock."""
     nonce: bytes
     mac: bytes
 
     @classmethod
     def parse(cls, text: str) -> ParsedKey | None:
-        """Read a key; None when it does not have the form that hosts issue."""
+        """Parse a key; return None if it does not have the format of issued keys."""
         parts = text.split(SEPARATOR) if len(text) <= MAX_KEY_LENGTH and text.isascii() else []
         if len(parts) != 6 or parts[0] != VERSION or not parts[3].isdigit():
             return None
@@ -31,16 +31,16 @@
         except ValueError:
             return None
         name = cls(parts[1], parts[2], int(parts[3]), nonce, mac)
-        # Each key has one spelling only: another one must not pass for another key.
+        # Only the canonical spelling is valid, so that one key can't appear as two.
         return name if name.text == text and len(mac) == MAC_BYTES else None
 
     @property
     def signed(self) -> str:
-        """The part of the text that the MAC covers."""
+        """The part of the text covered by the MAC."""
         parts = (VERSION, self.host, self.incarnation, str(self.issued_ms), self.nonce.hex())
         return SEPARATOR.join(parts)
 
     @property
     def text(self) -> str:
-        """The key as callers hold it."""
+        """The key as callers send it."""
         return self.signed + SEPARATOR + self.mac.hex()
--- a/cloverway/once/keys.py
+++ b/cloverway/once/keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: the process that issued a key decides, alone, who may run its request.
+"""Idempotency keys: only the process that issued a key decides who may run its request.
 
-Nothing is shared and nothing lasts: a key names the one incarnation of the one host that may grant
-it. When that process is gone the key can't be granted any more, so it can't be granted twice.
+State is neither shared nor persisted: a key names the only host incarnation that may grant it. Once
+that process has ended, the key can't be granted any more, and so it can't be granted twice.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 NONCE_BYTES = 12
 BINDING_BYTES = 16
 MAX_TEAM_SHARE = 0.5
-"""The part of the table that one team may fill; the rest stays open to all others."""
+"""Maximum share of the table that one team may use; the rest is left to other teams."""
 DEADLINE_MARGIN_MS = 1_000
-"""After a request's deadline, until a repeat is told that the outcome is unknown."""
+"""Time after a request's deadline until a repeat gets "outcome unknown" instead of "in use"."""
 MAX_RETRY_AFTER_S = 60.0
 IN_USE_RETRY_AFTER_S = 1.0
 
 
 class Recorded(NamedTuple):
-    """A whole answer, held so that a repeat gets it again."""
+    """A complete answer, stored so that repeats of the request get it too."""
 
     status: int
     content_type: str
@@ -41,35 +41,35 @@
 
     @property
     def size(self) -> int:
-        """Bytes that count against the limits."""
+        """Bytes that count towards the limits."""
         headers = sum(len(parsed) + len(value) for parsed, value in self.headers)
         return len(self.body) + len(self.content_type) + headers
 
 
 class Settlement(StrEnum):
-    """How the run that a grant allowed has ended."""
+    """How a granted run ended."""
 
     DONE = "done"
     UNKNOWN = "unknown"
     NOT_RUN = "not_run"
-    """Certain: no byte left for an endpoint, or the endpoint said that it did not start."""
+    """Certain: no byte was sent to an endpoint, or the endpoint reported that it did not start."""
 
 
 class ClaimCall(NamedTuple):
-    """Ask the issuer of a key for the right to run its request."""
+    """Ask the issuer of a key for permission to run its request."""
 
     key: str
     team: str
     profile: str
     digest: bytes
     claimant: str
-    """Names one attempt of one host incarnation; never used for a second attempt."""
+    """ID of one attempt of one host incarnation; never reused for another attempt."""
     left_s: float
     """Time until the request's deadline."""
 
 
 class SettleCall(NamedTuple):
-    """Tell the issuer how the run ended."""
+    """Report to the issuer how the run ended."""
 
     key: str
     team: str
@@ -80,7 +80,7 @@
 
 
 class Grant(NamedTuple):
-    """The right to run, once, given to one claimant only."""
+    """Permission for one claimant to run the request once."""
 
     lifetime_s: float
     """The run must start within this time from before the claim was sent."""
@@ -90,11 +90,11 @@
 
 
 class KeyState(StrEnum):
-    """What the issuer knows about a key that was claimed."""
+    """What the issuer knows about a claimed key."""
 
     GRANTED = "granted"
     FREE = "free"
-    """The run that was granted certainly did not happen."""
+    """The granted run certainly did not happen."""
     DONE = "done"
     UNKNOWN = "unknown"
 
@@ -107,7 +107,7 @@
 
 
 class _Entry:
-    """One key that was claimed."""
+    """A claimed key."""
 
     __slots__ = ("binding", "claimant", "ends_ms", "expires_ms", "recorded", "state", "team")
 
@@ -122,7 +122,7 @@
 
 
 class Bounds(NamedTuple):
-    """How much a ledger holds, and for how long."""
+    """Limits on the size of a ledger and the lifetime of its keys."""
 
     keys: int
     lifetime_s: float
@@ -131,15 +131,15 @@
 
 
 def compute_digest(method: str, path: str, body: bytes) -> bytes:
-    """Identify a request's content; a key is bound to it at its first claim."""
+    """Return a digest of a request's content; the first claim binds the key to it."""
     return _hash_parts(method.encode(), path.encode(), body)
 
 
 class Ledger:
-    """All keys of one host incarnation that were claimed; pure but for its own state.
+    """All claimed keys of one host incarnation; performs no I/O and reads no clock.
 
-    Safety does not rest on clocks: a key is granted only when it has no entry or a free one, and
-    an entry goes only when its key has expired for new claims.
+    Safety does not depend on clocks: a key is granted only if it has no entry or a free one, and an
+    entry is removed only when its key has expired for new claims.
     """
 
     def __init__(
@@ -166,34 +166,34 @@
 
     @property
     def recorded_bytes(self) -> int:
-        """Bytes of recorded answers that are held."""
+        """Total bytes of the recorded answers."""
         return self._recorded_bytes
 
     @property
     def outstanding(self) -> int:
-        """Grants that are not settled."""
+        """Number of grants that are not settled."""
         return self._outstanding
 
     def is_needed(self, now: float, hold_s: float) -> bool:
-        """Tell whether a host that leaves should still answer claims.
+        """Return whether a leaving host must still answer claims.
 
-        So it is while a run goes on that a grant allowed, and for as long after the last issue as
-        callers hold keys before they send them.
+        It must while a granted run may be in progress, and for `hold_s` after the last key was
+        issued, because callers may keep a key that long before they send it.
         """
         now_ms = self._advance(now)
         running = self._outstanding > 0 and now_ms < self._last_end_ms
         return running or now_ms - self._last_issue_ms < hold_s * 1000
 
     def issue(self, nonces: Iterable[bytes], now: float) -> list[str] | Refused:
-        """Make one key for each nonce; a leaving issuer makes none."""
+        """Issue one key for each nonce; a leaving issuer refuses."""
         if self.leaving:
-            return Refused(Kind.LEAVING, "ask another host for keys")
+            return Refused(Kind.LEAVING, "this host is leaving; get keys from another host")
         issued_ms = self._advance(now)
         self._last_issue_ms = issued_ms
         return [self._sign(issued_ms, nonce) for nonce in nonces]
 
     def claim(self, call: ClaimCall, now: float) -> ClaimResult:
-        """Grant the key, give the recorded answer, or say why neither can be had."""
+        """Grant the key, return the recorded answer, or refuse with a reason."""
         now_ms = self._advance(now)
         parsed = ParsedKey.parse(call.key)
         refusal = self._check_key(parsed)
@@ -213,9 +213,9 @@
         return self._answer_repeat(entry, call)
 
     def settle(self, call: SettleCall, now: float) -> bool:
-        """Note how a run ended; False when the claimant does not hold the grant.
+        """Record how a run ended; return False if the claimant does not hold the grant.
 
-        The first settlement stands: a late or doubled one can't change it.
+        The first settlement is final: a late or duplicate one can't change it.
         """
         self._advance(now)
         parsed = ParsedKey.parse(call.key)
@@ -234,13 +234,13 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Drop the entries whose keys can't be granted any more."""
+        """Remove the entries whose keys have expired."""
         self._advance(now)
 
     def _advance(self, now: float) -> int:
-        """Give the time in whole milliseconds, never lower than before, and expire entries.
+        """Return the time in milliseconds, never lower than before, and remove expired entries.
 
-        Whole numbers, because an entry must not go a rounding error before its key expires.
+        It is an integer, so that a rounding error can't remove an entry before its key expires.
         """
         self._now_ms = max(self._now_ms, int((now - self._epoch) * 1000))
         while self._entries:
@@ -280,7 +280,7 @@
         self, parsed: ParsedKey, binding: bytes, call: ClaimCall, expired: bool
     ) -> ClaimResult:
         if expired:
-            # The entry may have been dropped, so nothing is known about the past.
+            # The entry may have been removed, so earlier runs are unknown.
             return Refused(Kind.KEY_EXPIRED, ran=Ran.UNKNOWN)
         if call.left_s <= 0:
             return Refused(Kind.DEADLINE)
@@ -290,8 +290,9 @@
             return Refused(
                 Kind.TEAM_LIMIT, "the team uses too many keys", self._compute_retry_after()
             )
-        # First claim plus lifetime is never before issue plus lifetime: once the entry goes,
-        # its key has expired, and it can't be granted a second time.
+        # The lifetime of the entry starts at the first claim, and that of the key at its issue,
+        # which is earlier. So once the entry is removed, its key has expired and can't be granted
+        # a second time.
         team = sys.intern(call.team)
         entry = _Entry(team, binding, self._now_ms + self._lifetime_ms)
         self._teams[team] += 1
@@ -304,7 +305,7 @@
         if call.left_s <= 0:
             return Refused(Kind.DEADLINE)
         if entry.claimant == call.claimant:
-            # A late copy of a claim that its sender has already given up.
+            # A delayed duplicate of a claim that its sender has already given up.
             return Refused(Kind.KEY_IN_USE, "the claim was given up", IN_USE_RETRY_AFTER_S, Ran.NO)
         return self._grant(entry, call)
 
@@ -332,21 +333,23 @@
 
     def _answer_repeat_in_progress(self, entry: _Entry, call: ClaimCall) -> ClaimResult:
         if entry.claimant == call.claimant:
-            # The answer to the first claim was lost; the claimant still has run nothing.
+            # The answer to the first claim was lost; the claimant has not run anything yet.
             return Grant(self._compute_lifetime(call))
         left_s = (entry.ends_ms - self._now_ms) / 1000
         if left_s > 0:
             wait = min(left_s, IN_USE_RETRY_AFTER_S)
             return Refused(Kind.KEY_IN_USE, retry_after=wait, ran=Ran.UNKNOWN)
-        # The claimant is gone or slow. It is never granted again on the word of a clock.
-        return Refused(Kind.KEY_SPENT, "the first run was not heard of", ran=Ran.UNKNOWN)
+        # The claimant has crashed or is slow. An expired time limit alone never frees the key.
+        return Refused(
+            Kind.KEY_SPENT, "the outcome of the first run was not reported", ran=Ran.UNKNOWN
+        )
 
     def _compute_retry_after(self) -> float:
         first = next(iter(self._entries.values()))
         return min((first.expires_ms - self._now_ms) / 1000, MAX_RETRY_AFTER_S)
 
     def _record_answer(self, nonce: bytes, entry: _Entry, recorded: Recorded) -> None:
-        """Hold an answer; the oldest ones make room, which loses answers but never a use."""
+        """Store an answer and evict the oldest ones; a key whose answer is evicted stays used."""
         size = recorded.size
         if size > min(self._bounds.recorded_answer_bytes, self._bounds.recorded_bytes):
             return
@@ -362,7 +365,7 @@
 
 
 def _hash_parts(*parts: bytes) -> bytes:
-    """Hash parts with their lengths, so that no two lists of parts look alike."""
+    """Hash parts with their lengths, so that different lists of parts never hash the same bytes."""
     digest = hashlib.sha256()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
--- a/cloverway/once/settlements.py
+++ b/cloverway/once/settlements.py
@@ -1,4 +1,4 @@
-"""Tells the hosts that issued keys how the runs ended, off the path of callers."""
+"""Background delivery of settlements to the hosts that issued the keys."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 MAX_ATTEMPTS = 5
 RETRY_INTERVAL_S = 0.5
 MAX_PENDING = 128
-"""Settlements that wait for issuers; more are dropped, and their keys end as unknown."""
+"""Maximum number of pending settlements; more are dropped, and the outcome of their keys becomes
+unknown."""
 
 
 class IssuerClient(Protocol):
-    """Reaches the ledgers of other hosts; raises PeerError within a bounded time."""
+    """Client for the ledgers of other hosts; raises PeerError within a bounded time."""
 
     def claim(self, host: str, address: str, call: ClaimCall) -> ClaimResult:
-        """Claim a key that another host issued; may ask twice, with the same call."""
+        """Claim a key that another host issued; may send the same call twice."""
         ...
 
     def settle(self, host: str, address: str, call: SettleCall) -> None:
@@ -33,7 +34,7 @@
 
 
 class _PendingSettlement(NamedTuple):
-    """A settlement that its issuer has not acknowledged."""
+    """A settlement not yet acknowledged by its issuer."""
 
     call: SettleCall
     issuer: str
@@ -41,7 +42,7 @@
 
 
 class SettlementSender:
-    """A thread that delivers settlements, and tries again a few times when an issuer is silent."""
+    """A thread that delivers settlements, with a few retries if an issuer does not answer."""
 
     def __init__(
         self,
@@ -64,13 +65,13 @@
         self._task.start()
 
     def stop(self) -> None:
-        """End the thread after one attempt at all that is in the inbox."""
+        """Stop the thread after one attempt at everything in the inbox."""
         self._task.stop()
 
     def settle(self, issuer: str, call: SettleCall) -> None:
-        """Deliver a settlement later; returns at once, and drops it when too many wait."""
+        """Queue a settlement for delivery; drop it if too many are pending."""
         if not self._pending_slots.acquire(blocking=False):
-            log.warning("too many settlements wait", extra={"issuer": issuer})
+            log.warning("too many settlements are pending; dropped one", extra={"issuer": issuer})
             return
         self._task.send(_PendingSettlement(call, issuer))
 
@@ -95,7 +96,7 @@
             self._pending.append(pending)
             return
         self._pending_slots.release()
-        log.warning("a settlement was given up", extra={"issuer": pending.issuer})
+        log.warning("could not deliver a settlement; dropped it", extra={"issuer": pending.issuer})
 
     def _retry_pending(self) -> None:
         now = self._clock()
