--- a/cloverway/tests/gossip_simulation.py
+++ b/cloverway/tests/gossip_simulation.py
@@ -1,4 +1,4 @@
-"""Hosts that gossip in virtual time, over a network that loses, cuts and delays."""
+"""Simulation of gossiping hosts in virtual time, over a network with loss, cuts and latency."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Shape(NamedTuple):
-    """How much of everything is published."""
+    """Size of the published configuration."""
 
     domains: int = 1
     hosts: int = 3
@@ -66,7 +66,7 @@
 
 
 class Host:
-    """One host with its socket's buffer and its timers."""
+    """One host with its socket buffer and counters."""
 
     def __init__(self, gossip: Gossip, random: Random) -> None:
         self.gossip = gossip
@@ -106,7 +106,7 @@
             self.start(name)
 
     def start(self, name, incarnation: str | None = None):
-        """Start a host, or its replacement, with nothing known."""
+        """Start a host, or its replacement, without any state."""
         gossip = Gossip(
             name,
             self.published.hosts[name].domain,
@@ -149,7 +149,7 @@
         self.now = end
 
     def run_until(self, condition, limit_s=30.0):
-        """Run until a condition holds; give the seconds it took."""
+        """Run until a condition holds and return the seconds that it took."""
         start = self.now
         while not condition():
             assert self.now - start < limit_s, f"not within {limit_s} virtual seconds"
--- a/cloverway/tests/ledgers.py
+++ b/cloverway/tests/ledgers.py
@@ -1,4 +1,4 @@
-"""A small ledger and its calls, for tests."""
+"""A small ledger and calls to it, for tests."""
 
 from __future__ import annotations
 
--- a/cloverway/tests/test_admission.py
+++ b/cloverway/tests/test_admission.py
@@ -29,7 +29,7 @@
 
 
 def serve(queue, count):
-    """Take requests in order, and count them by team and class."""
+    """Admit requests in service order and return their entries."""
     served = []
     for _ in range(count):
         entry = queue.list_in_service_order()[0]
@@ -38,8 +38,8 @@
     return served
 
 
-def test_the_lowest_class_is_not_starved_by_endless_urgent_work():
-    """Reports asked for at night never come, because urgent calls never stop coming."""
+def test_urgent_work_does_not_starve_the_lowest_class():
+    """Guard against batch requests that never run because urgent requests keep arriving."""
     queue = RequestQueue()
     queue.add(make_entry(1, urgency=Urgency.BATCH))
     served = []
@@ -50,7 +50,7 @@
     assert [entry.urgency for entry in served[:20]] == [Urgency.URGENT] * 20
 
 
-def test_a_full_queue_spares_the_last_request_of_the_lowest_class():
+def test_full_queue_does_not_evict_the_last_request_of_the_lowest_class():
     queue = RequestQueue()
     queue.add(make_entry(1, urgency=Urgency.BATCH))
     for place in range(2, 12):
@@ -58,7 +58,7 @@
     assert queue.select_eviction().urgency is Urgency.NORMAL
 
 
-def test_an_urgent_small_call_passes_long_dossiers():
+def test_urgent_short_request_overtakes_long_batch_work():
     queue = RequestQueue()
     for place in range(1, 9):
         queue.add(make_entry(place, urgency=Urgency.BATCH, cost_s=20.0))
@@ -66,8 +66,8 @@
     assert queue.list_in_service_order()[0].entry_id == 9
 
 
-def test_teams_share_by_weight_and_not_by_the_count_of_their_requests():
-    """One team's flood of requests holds up another team's few."""
+def test_teams_share_by_weight_not_by_request_count():
+    """Guard against one team with many requests that delays another team with few."""
     queue = RequestQueue()
     for place in range(100):
         queue.add(make_entry(place, team="flood"))
@@ -77,7 +77,7 @@
     assert counts["few"] == pytest.approx(30, abs=1)
 
 
-def test_a_team_that_was_idle_has_no_claim_on_the_past():
+def test_idle_team_gains_no_credit():
     queue = RequestQueue()
     for place in range(50):
         queue.add(make_entry(place, team="busy"))
@@ -88,7 +88,7 @@
     assert counts["new"] <= 6
 
 
-def test_long_work_is_charged_for_its_length():
+def test_teams_are_charged_by_cost():
     queue = RequestQueue()
     for place in range(20):
         queue.add(make_entry(place, team="long", cost_s=4.0))
@@ -98,8 +98,8 @@
     assert counts["short"] >= 15
 
 
-def test_refused_callers_are_told_different_times():
-    """All refused callers come back in the same second, and are refused again."""
+def test_refused_callers_get_different_retry_times():
+    """Guard against refused callers that all retry in the same second and are refused again."""
     throughput, random = Throughput(), Random(1)
     for number in range(50):
         throughput.record_completed(1.0, number * 0.1)
@@ -108,8 +108,8 @@
     assert all(0.1 <= time <= 30.0 for time in times)
 
 
-def test_a_request_that_cannot_start_in_time_is_refused_at_once():
-    """A pharmacist waits until the deadline to hear that there is no capacity."""
+def test_request_that_cannot_start_in_time_is_refused_at_once():
+    """Guard against callers that wait until their deadline before they are refused."""
     host = Host()
     verdicts = [host.arrive(lasts=3.0) for _ in range(40)]
     refused = [verdict for verdict in verdicts if isinstance(verdict, Refused)]
@@ -118,8 +118,8 @@
     assert all(verdict.ran is Ran.NO and verdict.retry_after >= 0.1 for verdict in refused)
 
 
-def test_a_waiting_request_gets_its_answer_by_its_deadline():
-    """The endpoint that a queued request waits for stops answering; nobody tells the caller."""
+def test_waiting_request_is_answered_by_its_deadline():
+    """Guard against a queued caller without an answer when the endpoint stops answering."""
     host = Host()
     for _ in range(8):
         host.arrive(lasts=60.0)
@@ -130,8 +130,11 @@
     assert verdict.ran is Ran.NO and verdict.retry_after > 0
 
 
-def test_a_queued_request_is_never_run_where_a_new_revision_forbids_it():
-    """A team is bound to its region while its request waits elsewhere; then a slot frees."""
+def test_queued_request_obeys_a_new_revision():
+    """A new revision binds a team to its region while its request waits in another region.
+
+    Then a slot becomes free there; the request must not run in it.
+    """
     host = Host()
     running = [host.arrive(lasts=60.0) for _ in range(8)]
     assert host.arrive(lasts=60.0) is None
@@ -144,10 +147,10 @@
     assert isinstance(verdict, Refused) or verdict.route.domain == "ro-1"
 
 
-def test_what_may_have_run_is_never_retried_nor_denied():
-    """An allocation is sent twice, and dispatch picks double cartons.
+def test_request_that_may_have_run_is_not_retried_and_reported_so():
+    """Guard against running a non-idempotent request twice.
 
-    The connection broke after the first byte had left; the endpoint had run it.
+    The connection broke after the first byte was sent, and the endpoint may have run the request.
     """
     host = Host()
     verdict = host.arrive(profile="allocate")
@@ -158,7 +161,7 @@
     assert not may_retry(Outcome.DONE, idempotent=True)
 
 
-def test_an_allocation_that_left_no_byte_is_tried_elsewhere():
+def test_non_idempotent_request_that_was_not_sent_is_retried_elsewhere():
     host = Host()
     verdict = host.arrive(profile="allocate")
     again = host.finish(verdict, Outcome.NOT_SENT, retry=True)
@@ -166,8 +169,8 @@
     assert again.route.endpoint != verdict.route.endpoint
 
 
-def test_a_retry_that_finds_no_place_does_not_deny_the_first_attempt():
-    """A caller is told that its request did not run, though its first attempt may have."""
+def test_refused_retry_reports_that_the_first_attempt_may_have_run():
+    """Guard against telling a caller that its request did not run when a first attempt may have."""
     stay = {"home": "curepipe", "bound": True, "profiles": ["stock"]}
     host = Host(make_published(endpoints=1, stay=stay))
     again = host.finish(host.arrive(team="stay"), Outcome.FAILED, retry=True)
@@ -176,8 +179,8 @@
     assert again.kind is Kind.ENDPOINT_FAILED
 
 
-def test_an_outage_multiplies_nothing():
-    """Every endpoint fails, and the retries of all requests double the load that broke them."""
+def test_outage_does_not_amplify_load():
+    """Guard against retries that double the load when every endpoint fails."""
     host = Host(make_published(endpoints=8, slots=8))
     attempts = requests = 0
     for _ in range(600):
@@ -190,7 +193,7 @@
     assert attempts <= 1.1 * requests
 
 
-def test_a_budget_is_a_share_of_recent_successes():
+def test_retry_budget_is_a_share_of_recent_successes():
     budget = RetryBudget()
     for _ in range(100):
         budget.record_success(0.0)
@@ -198,10 +201,11 @@
     assert sum(budget.try_take(2 * BUDGET_WINDOW_S) for _ in range(100)) == MIN_RETRIES
 
 
-def test_a_slow_endpoint_is_left_to_those_that_have_no_better():
-    """Callers of one in four requests wait ten times as long: one endpoint is slow, not dead.
+def test_slow_endpoint_gets_few_requests():
+    """Guard against a quarter of the requests taking ten times as long because of a slow endpoint.
 
-    It reports few requests in progress, since it is given no more than the others.
+    The endpoint is slow but alive. It reports few requests in progress, because it gets no more of
+    them than the others.
     """
     host = Host(make_published(endpoints=4, slots=8))
     late, sent = [], 0
@@ -217,11 +221,11 @@
             host.finish(verdict)
             late.remove((due, verdict))
         sent += len(slow)
-    assert sent <= 10, "a fair part of 480 requests would be 120"
+    assert sent <= 10, "an even share of 480 requests would be 120"
 
 
-def test_a_host_with_few_slots_keeps_none_of_them_free():
-    """Normal calls are refused beside idle slots, as all of them are kept for urgent ones."""
+def test_host_with_few_slots_reserves_none():
+    """Guard against refusing normal requests while all idle slots are reserved for urgent ones."""
     host = Host(make_published(endpoints=1, slots=2))
     urgent = [host.arrive(profile="urgent") for _ in range(2)]
     for verdict in urgent:
@@ -230,8 +234,8 @@
     assert isinstance(host.arrive(), Admitted)
 
 
-def test_an_urgent_call_finds_a_slot_among_long_work():
-    """An urgent check waits behind dossiers that fill every slot for many seconds."""
+def test_urgent_request_finds_a_slot_among_long_work():
+    """Guard against urgent requests that wait while long batch work fills every slot."""
     host = Host(make_published(endpoints=2, slots=8))
     for _ in range(20):
         verdict = host.arrive(profile="urgent")
--- a/cloverway/tests/test_at_most_once.py
+++ b/cloverway/tests/test_at_most_once.py
@@ -18,9 +18,9 @@
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Claimants that are killed, paused and late; messages lost, doubled and out of order.
+    """Claimants that are killed, paused and late; messages lost, duplicated and out of order.
 
-    `runs` counts the runs of each key, as its endpoint would; two of them are the failure.
+    `runs` counts the runs of each key, as its endpoint would; two runs of one key are the failure.
     """
 
     def __init__(self):
@@ -73,7 +73,7 @@
     def deliver(self, call, sent_at, lost):
         result = self.ledger.claim(call, self.now)
         if isinstance(result, Grant):
-            # A late copy of a claim gets its grant again, but its claimant waits for none any more.
+            # A late duplicate of a claim gets its grant again, but its claimant no longer waits.
             assert not self.runs[call.key] or call.claimant in self.held
             if not lost and call.claimant not in self.held:
                 self.held[call.claimant] = (call.key, sent_at + result.lifetime_s)
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -28,7 +28,7 @@
 
 
 class IssuerClient:
-    """The peers' ledgers, one call away; messages can be lost on either way."""
+    """In-process client for the peers' ledgers; messages can be lost in either direction."""
 
     def __init__(self, tasks):
         self.tasks = tasks
@@ -101,9 +101,9 @@
 
 
 def test_repeat_at_another_host_gets_the_recorded_answer(fleet):
-    """The answer from h1 is lost on the way to the caller, who repeats at h2.
+    """The answer from h1 is lost on the way to the caller, which repeats the request at h2.
 
-    h2 asks the issuer and gives the recorded answer, marked as replayed.
+    h2 gets the recorded answer from the issuer and marks it as replayed.
     """
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h1"].claim(fleet.request(key))
@@ -123,10 +123,10 @@
 
 
 def test_two_requests_with_one_id(fleet):
-    """Two connections send the same request, with the same key and the same request id, to h2.
+    """Two connections send the same request to h2, with the same key and the same request ID.
 
-    Were a claimant named by the request id, the second would be taken for a claim whose answer
-    was lost, and both would run.
+    If the request ID identified a claimant, the second request would be treated as a repeated claim
+    whose answer was lost, and both would run.
     """
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.claims["h2"].claim(fleet.request(key))
@@ -136,7 +136,7 @@
 
 
 def test_unreachable_issuer(fleet):
-    """The link to the issuer is cut; h2 can't know whether the key was used, so it never runs."""
+    """The link to the issuer is cut; h2 can't know whether the key was used, so it must not run."""
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.issuers.lose_calls = True
     with pytest.raises(RequestError) as error:
@@ -145,10 +145,11 @@
     assert error.value.retry_after > 0
 
 
-def test_lost_grant_is_given_back(fleet):
-    """The issuer grants, but its answer is lost for good, and h2 tells the caller "unknown".
+def test_lost_grant_is_released(fleet):
+    """The issuer grants the claim, but its answer is lost, and h2 returns "unknown" to the caller.
 
-    h2 then settles "not run", so that the caller's repeat can run instead of being spent.
+    h2 then settles "not run", so that a repeat by the caller can run instead of finding the key
+    spent.
     """
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.issuers.lose_answers = True
@@ -159,7 +160,7 @@
 
 
 def test_replaced_issuer(fleet):
-    """h1 is replaced at the same address; its new process never granted the key and never will."""
+    """h1 is replaced at the same address; its new process never grants keys of the old one."""
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.replace("h1", "i2")
     with pytest.raises(RequestError) as error:
@@ -168,7 +169,7 @@
     assert error.value.retry_after is None
 
 
-def test_issuer_that_is_no_longer_published(fleet):
+def test_unpublished_issuer(fleet):
     (key,) = fleet.tasks["h1"].issue(1)
     del fleet.addresses["h1"]
     with pytest.raises(RequestError) as error:
@@ -176,16 +177,16 @@
     assert kind_of(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
 
 
-def test_key_that_the_caller_chose(fleet):
+def test_key_chosen_by_the_caller(fleet):
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request("allocation-4711"))
     assert kind_of(error) == (Kind.KEY_INVALID, Ran.NO)
 
 
-def test_grantee_that_slept_past_its_deadline(fleet):
-    """The process is paused between the grant and the send, and wakes after the deadline.
+def test_grantee_paused_past_its_deadline(fleet):
+    """The process is paused between grant and send, and resumes after the deadline.
 
-    The last check before the first byte refuses; the key is freed for the caller's repeat.
+    The last check before the first byte refuses, and the key becomes free for a repeat.
     """
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h1"].claim(fleet.request(key))
@@ -198,7 +199,7 @@
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_outcomes(fleet, outcome):
+def test_settlement_by_outcome(fleet, outcome):
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h1"].claim(fleet.request(key))
     fleet.claims["h1"].settle(granted, outcome)
@@ -216,10 +217,10 @@
     assert error.value.kind is expected[outcome]
 
 
-def test_answer_is_not_held_where_its_data_may_not_be():
-    """A team bound to the region of h2 used a key of h1, which is in another region.
+def test_answer_is_not_stored_where_residency_forbids_it():
+    """A team that is bound to the region of h2 uses a key of h1, which is in another region.
 
-    The run is recorded at h1, its answer is not: a repeat learns that it ran, and no more.
+    h1 records the run but not its answer. A repeat is told only that the request has run.
     """
     fleet = Fleet(may_store=lambda team, profile, host: host == "h2")
     (key,) = fleet.tasks["h1"].issue(1)
@@ -234,9 +235,9 @@
 
 
 def test_issuer_checks_residency_again(fleet):
-    """The grantee decides by an older configuration and sends the answer along.
+    """The grantee has an older configuration and includes the answer in the settlement.
 
-    The issuer decides by its own as well, so the stricter of the two holds.
+    The issuer checks with its own configuration too, so the stricter of the two applies.
     """
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.tasks["h1"]._may_store = lambda team, profile, host: False
@@ -246,8 +247,8 @@
     assert fleet.tasks["h1"].count().recorded_bytes == 0
 
 
-def test_settlement_is_tried_again(fleet):
-    """The link is cut while the run ends, and heals; the settlement then still arrives."""
+def test_settlement_is_retried(fleet):
+    """The link is cut when the run ends and restored later; the settlement then arrives."""
     (key,) = fleet.tasks["h1"].issue(1)
     granted = fleet.claims["h2"].claim(fleet.request(key))
     fleet.issuers.lose_calls = True
@@ -269,7 +270,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1_001])
-def test_count_of_keys_is_bounded(fleet, count):
+def test_keys_per_call_are_bounded(fleet, count):
     with pytest.raises(RequestError) as error:
         fleet.tasks["h1"].issue(count)
     assert error.value.kind is Kind.MALFORMED
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -26,7 +26,7 @@
 
 
 class Requests(RuleBasedStateMachine):
-    """Drive one host's core in virtual time; every request gets one answer, and a true one."""
+    """Run one host's core in virtual time; every request gets exactly one correct answer."""
 
     @initialize(seed=st.integers(0, 1_000), admitted=st.integers(2, 12), queued=st.integers(1, 6))
     def prepare(self, seed, admitted, queued):
@@ -46,12 +46,14 @@
             request = self.waiting.pop(place)
             if isinstance(verdict, Admitted):
                 self.check_route(request, verdict)
-                assert verdict.ticket not in self.running, "a ticket is given once"
+                assert verdict.ticket not in self.running, "a ticket is issued only once"
                 self.running[verdict.ticket] = (request, verdict.route)
             else:
                 assert verdict.kind is not Kind.INTERNAL
                 expected = self.ran.get(request.id, Ran.NO)
-                assert verdict.ran is expected, "what may have run is never denied"
+                assert (
+                    verdict.ran is expected
+                ), "a refusal must report that the request may have run"
 
     def check_route(self, request, verdict):
         allowed = allowed_regions(self.view.published, request.team, request.profile)
@@ -187,7 +189,7 @@
         assert sum(figures.targets.values()) == len(self.running)
 
     def teardown(self):
-        """Nothing waits for ever: once the deadlines are past, the queue is empty."""
+        """No request waits forever: once all deadlines have passed, the queue is empty."""
         if hasattr(self, "core"):
             self.now += 60.0
             self.take(self.core.advance(self.view, self.now, self.random))
--- a/cloverway/tests/test_decisions_ends.py
+++ b/cloverway/tests/test_decisions_ends.py
@@ -1,4 +1,4 @@
-"""Requests that end each endpoint which runs them, at one host of the own interface."""
+"""Quarantine of requests that crash each endpoint that runs them, at one host."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CrashScenario:
-    """Requests at one core, in virtual time; endpoints that end come back born again."""
+    """Requests at one core in virtual time; crashed endpoints restart as new incarnations."""
 
     def __init__(self) -> None:
         self.core = DispatchCore.from_config(make_settings())
@@ -32,7 +32,7 @@
         self.crashed = []
 
     def arrive(self, body, profile="stock"):
-        """Send a request as another try; give the verdict."""
+        """Send a request under a new ID and return the verdict."""
         self.now += 1.0
         self.request_count += 1
         request = make_request(self.request_count, self.now, 20.0, profile=profile, body=body)
@@ -41,7 +41,7 @@
         )
 
     def finish(self, verdict, outcome, retry=False):
-        """End an attempt; give the verdict on the next one, where it is asked for."""
+        """End an attempt; with `retry`, return the verdict on the next one."""
         self.request_count += 1
         decided = self.core.finish(
             *(verdict.ticket, outcome, self.view, self.now + 0.1, self.random),
@@ -50,17 +50,17 @@
         return self._take(decided) if retry else None
 
     def crash(self, verdict):
-        """End the endpoint that runs an attempt; give the verdict on the next one."""
+        """Crash the endpoint that runs an attempt and return the verdict on the next one."""
         assert isinstance(verdict.route, Local)
         self.crashed.append(verdict.route.endpoint)
         verdict = self.finish(verdict, Outcome.LOST, retry=True)
         name = self.crashed[-1]
-        born = f"life-{len(self.crashed)}"
-        self.view = change_endpoint(self.view, name, incarnation=born)
+        next_incarnation = f"life-{len(self.crashed)}"
+        self.view = change_endpoint(self.view, name, incarnation=next_incarnation)
         return verdict
 
     def report(self, name, incarnation):
-        """Let a load report come of an endpoint."""
+        """Apply a load report of an endpoint."""
         changes = {"incarnation": incarnation, "reported_at": self.now + 0.2}
         self.view = change_endpoint(self.view, name, **changes)
 
@@ -69,7 +69,7 @@
 
 
 def send_repeatedly(scenario, attempts, body=CRASHING, profile="stock"):
-    """Send a request again and again, and let each endpoint that runs it end."""
+    """Send a request repeatedly and crash each endpoint that runs it."""
     verdict = None
     for _ in range(attempts):
         verdict = scenario.arrive(body, profile)
@@ -78,11 +78,11 @@
     return verdict
 
 
-def test_a_request_that_ends_each_endpoint_that_runs_it_is_not_sent_for_ever():
-    """A caller sends one request again and again; each endpoint that begins to run it ends.
+def test_request_that_keeps_crashing_endpoints_is_quarantined():
+    """A caller repeats a request that crashes each endpoint that starts to run it.
 
-    The failure was the endpoint's, so the next run went to a sound one, and the next try had
-    another id: nothing told that it was the same request.
+    Guards against treating the failures as the endpoints' own: each retry went to another endpoint,
+    and each repeat had a new request ID, so that nothing identified it as the same request.
     """
     scenario = CrashScenario()
     verdict = send_repeatedly(scenario, 12)
@@ -93,7 +93,7 @@
     assert isinstance(scenario.arrive(b"fine"), Admitted)
 
 
-def test_what_is_told_never_denies_the_run_that_has_just_ended_an_endpoint():
+def test_refusal_after_a_crash_reports_that_the_request_may_have_run():
     scenario = CrashScenario()
     send_repeatedly(scenario, 1)
     while len(scenario.crashed) < MAX_CRASHES:
@@ -101,8 +101,8 @@
     assert verdict.ran is Ran.UNKNOWN
 
 
-def test_failures_of_endpoints_that_live_on_shut_nothing_out():
-    """An application answers each try of one request with a failure of its own."""
+def test_failures_without_a_crash_do_not_quarantine():
+    """The application answers each attempt of a request with an error and keeps running."""
     scenario = CrashScenario()
     for _ in range(8):
         verdict = scenario.arrive(CRASHING)
@@ -110,7 +110,7 @@
         scenario.finish(verdict, Outcome.FAILED)
 
 
-def test_a_request_that_is_served_ends_nothing():
+def test_served_request_is_not_quarantined():
     scenario = CrashScenario()
     for _ in range(3):
         scenario.finish(scenario.arrive(CRASHING), Outcome.LOST)
@@ -120,18 +120,18 @@
     assert isinstance(scenario.arrive(CRASHING), Admitted)
 
 
-def test_other_requests_of_the_team_and_other_teams_are_not_meant():
+def test_other_requests_are_not_quarantined():
     scenario = CrashScenario()
     send_repeatedly(scenario, 4)
     assert isinstance(scenario.arrive(CRASHING + b" not"), Admitted)
     assert isinstance(scenario.arrive(CRASHING, profile="urgent"), Admitted)
 
 
-def test_an_endpoint_that_is_back_before_its_report_has_still_ended():
-    """Supervised endpoints are back within 0.1 s, sooner than the next load report tells of it.
+def test_crash_counts_if_the_endpoint_restarts_before_its_next_report():
+    """Supervised endpoints restart within 0.1 s, before the next load report.
 
-    Until then the host takes the new life for the old one. It answers other requests, and so the
-    old one seemed never to have ended; its request ended one endpoint after the other.
+    Until that report the host treats the new incarnation as the old one. Answers of the new one
+    voided the crash, and the request crashed one endpoint after the other.
     """
     scenario = CrashScenario()
     for _ in range(8):
@@ -146,10 +146,11 @@
     assert len(scenario.crashed) == MAX_CRASHES
 
 
-def test_an_endpoint_that_is_reported_after_its_connection_broke_has_not_ended():
-    """A link resets connections; the endpoint lives on, and its next report says so.
+def test_connection_reset_of_a_live_endpoint_is_not_a_crash():
+    """A network link resets connections; the next report shows that the endpoint is still alive.
 
-    It is replaced now and then as planned. After three of its lives the request would be refused.
+    The endpoint is restarted as planned from time to time. Guards against quarantine of the request
+    after three such incarnations.
     """
     scenario = CrashScenario()
     for life in range(5):
@@ -167,8 +168,8 @@
         scenario.report(name, f"life-{life}")
 
 
-def test_the_report_of_the_next_life_says_nothing_of_the_one_before():
-    """An answer of the old life is finished when the new one is known already."""
+def test_report_of_the_next_incarnation_does_not_void_the_crash():
+    """An answer of the old incarnation completes when the new one is already known."""
     scenario = CrashScenario()
     for number in range(8):
         verdict = scenario.arrive(CRASHING)
--- a/cloverway/tests/test_dispatcher.py
+++ b/cloverway/tests/test_dispatcher.py
@@ -28,11 +28,11 @@
 
 
 def wait_for(condition):
-    """Wait until something holds, up to a bound."""
+    """Wait until a condition holds, at most TIMEOUT_S."""
     pause = threading.Event()
     until = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < until, "it never came to hold"
+        assert time.monotonic() < until, "the condition did not hold in time"
         pause.wait(0.002)
 
 
@@ -65,14 +65,14 @@
 
 
 def fill_and_queue(dispatcher, pool, lasts=30.0):
-    """Take both slots, and let a third request wait in another thread."""
+    """Take both slots and submit a third request, which waits in another thread."""
     admitted = [submit(dispatcher, number) for number in (1, 2)]
     waiting = pool.submit(submit, dispatcher, 3, lasts)
     wait_for(lambda: dispatcher.queued() == 1)
     return admitted, waiting
 
 
-def test_a_request_is_admitted_and_finished(dispatcher, clock):
+def test_request_is_admitted_and_finished(dispatcher, clock):
     verdict = submit(dispatcher, 1)
     assert isinstance(verdict, Admitted)
     assert verdict.route == Local(E0, PUBLISHED.endpoints[E0].url)
@@ -83,14 +83,14 @@
     wait_for(lambda: dispatcher.in_flight() == 0)
 
 
-def test_a_freed_slot_goes_to_the_request_that_waits(dispatcher, pool, clock):
+def test_freed_slot_goes_to_a_waiting_request(dispatcher, pool, clock):
     admitted, waiting = fill_and_queue(dispatcher, pool)
     assert not waiting.done()
     dispatcher.finished(admitted[0].ticket, Outcome.DONE, clock.now)
     assert isinstance(waiting.result(TIMEOUT_S), Admitted)
 
 
-def test_a_caller_that_leaves_the_queue_is_answered_not_run(dispatcher, pool):
+def test_cancelled_request_is_not_run(dispatcher, pool):
     _, waiting = fill_and_queue(dispatcher, pool)
     dispatcher.cancel("r3")
     verdict = waiting.result(TIMEOUT_S)
@@ -98,10 +98,10 @@
     assert verdict.ran is Ran.NO
 
 
-def test_the_deadline_ends_the_wait_with_a_time_to_come_back(dispatcher, pool, clock):
-    """A caller waits past its deadline, because nothing arrives or ends that would wake the queue.
+def test_deadline_ends_the_wait_with_a_retry_time(dispatcher, pool, clock):
+    """Guard against a caller that waits past its deadline because no event triggers the queue.
 
-    Both slots are held by answers that never end; only time passes.
+    Both slots are occupied by answers that never end; only time passes.
     """
     _, waiting = fill_and_queue(dispatcher, pool, lasts=4.0)
     clock.now += 4.0
@@ -111,20 +111,20 @@
     assert verdict.retry_after > 0
 
 
-def test_a_changed_view_wakes_the_queue(dispatcher, pool, holder):
+def test_changed_view_admits_waiting_requests(dispatcher, pool, holder):
     _, waiting = fill_and_queue(dispatcher, pool)
     wider = make_published(endpoints=2, slots=2, stay=STAY)
     holder.current = make_view(wider, now=100.0)
     assert isinstance(waiting.result(TIMEOUT_S), Admitted)
 
 
-def test_a_stopped_dispatcher_leaves_no_caller_without_an_answer(dispatcher, pool):
+def test_stopped_dispatcher_answers_waiting_callers(dispatcher, pool):
     _, waiting = fill_and_queue(dispatcher, pool)
     dispatcher.stop()
     assert waiting.result(TIMEOUT_S).kind is Kind.LEAVING
 
 
-def test_a_failed_attempt_gets_another_route_or_an_answer(dispatcher, clock):
+def test_failed_attempt_gets_another_route_or_a_refusal(dispatcher, clock):
     verdict = submit(dispatcher, 1)
     again = dispatcher.finished(verdict.ticket, Outcome.NOT_SENT, clock.now, retry=True)
     assert isinstance(again, Refused)
@@ -133,8 +133,8 @@
     assert dispatcher.in_flight() == 0
 
 
-def test_a_request_id_that_is_open_is_not_taken_twice(dispatcher):
-    """Two requests with one id: cancelling one of them would end the other."""
+def test_duplicate_request_id_is_refused(dispatcher):
+    """Two requests with the same ID: cancelling one of them would end the other."""
     assert isinstance(submit(dispatcher, 1), Admitted)
     assert submit(dispatcher, 1).kind is Kind.MALFORMED
 
@@ -143,9 +143,7 @@
     ("change", "kind"),
     [({"published": None}, Kind.STARTING), ({"leaving": True}, Kind.LEAVING)],
 )
-def test_a_host_that_is_not_ready_refuses_with_a_time_to_come_back(
-    dispatcher, holder, change, kind
-):
+def test_host_that_is_not_ready_refuses_with_a_retry_time(dispatcher, holder, change, kind):
     holder.current = holder.current._replace(**change)
     verdict = submit(dispatcher, 1)
     assert isinstance(verdict, Refused)
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""Hosts of the own interface that tell each other which requests end endpoints, in virtual time."""
+"""Broadcast of crashes and quarantined requests between hosts, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Caller:
-    """Sends one request to one host after the other; each endpoint that runs it ends."""
+    """Sends one request to one host after another; each endpoint that runs it crashes."""
 
     def __init__(self, world: GossipSimulation) -> None:
         self.world = world
@@ -27,7 +27,7 @@
         self.crashed = 0
 
     def ask(self, name: str, digest: int = CRASHING) -> bool:
-        """Send the request to a host; tell whether an endpoint ran it."""
+        """Send the request to a host and return whether an endpoint ran it."""
         ends = self.world.hosts[name].gossip.ends
         if ends.find_hold(digest, self.world.now) is not None:
             return False
@@ -36,7 +36,7 @@
         return True
 
     def ask_all(self, names, pause_s: float) -> None:
-        """Ask each host once, with pauses."""
+        """Send the request to each host once, with pauses."""
         for name in names:
             self.ask(name)
             self.world.run(pause_s)
@@ -49,11 +49,11 @@
     return world
 
 
-def test_a_request_that_ends_endpoints_ends_no_more_of_them_at_other_hosts():
-    """A caller is refused at one host and asks the next one; three endpoints end for each host.
+def test_quarantine_applies_at_all_hosts():
+    """A caller that is refused at one host tries the next one.
 
-    Each host counted the ends that it had seen itself: none of them at a host that was asked for
-    the first time.
+    Guards against three crashes for each host: a host counted only the crashes that it had observed
+    itself, and so none when it got the request for the first time.
     """
     world = make_world(hosts=8)
     caller = Caller(world)
@@ -61,10 +61,10 @@
     assert caller.crashed == MAX_CRASHES
 
 
-def test_hosts_of_other_failure_domains_hear_of_it_within_some_seconds():
-    """The caller goes on to another region, whose hosts count from zero.
+def test_quarantine_reaches_other_failure_domains_within_seconds():
+    """The caller moves on to another region; its hosts must not count from zero.
 
-    Domains tell each other once a second, by one host each.
+    Failure domains exchange updates once a second, through one host each.
     """
     world = make_world(domains=4, hosts=3, regions=2)
     caller = Caller(world)
@@ -77,8 +77,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_it_is_told_again_where_datagrams_are_lost(seed):
-    """Every fifth datagram is lost: a host that missed the word lets the request run."""
+def test_crashes_are_rebroadcast_after_datagram_loss(seed):
+    """Every fifth datagram is lost; a host that missed an update would run the request."""
     world = GossipSimulation(Shape(hosts=6), seed=seed, loss=0.2)
     world.run_until(world.sees_all)
     caller = Caller(world)
@@ -89,10 +89,10 @@
     assert caller.crashed == crashed <= MAX_CRASHES + 1
 
 
-def test_a_host_that_starts_or_was_cut_off_is_told_what_it_missed():
-    """Long after the ends a host starts again, with nothing known, and another comes back.
+def test_restarted_or_reconnected_host_learns_of_past_crashes():
+    """Long after the crashes, one host restarts without state and another one is reconnected.
 
-    What is told only for some seconds after an end would never reach them.
+    Updates that are broadcast only for some seconds after a crash would never reach them.
     """
     world = make_world(hosts=4)
     restarts, cut, *rest = world.hosts
@@ -109,8 +109,11 @@
     assert caller.crashed == MAX_CRASHES
 
 
-def test_a_request_that_was_served_is_cleared_everywhere():
-    """Endpoints lose power under a sound request; it is served, and refused at other hosts."""
+def test_served_request_is_cleared_at_all_hosts():
+    """Endpoints lose power while they run a harmless request, which is then served elsewhere.
+
+    Guards against refusing it at other hosts.
+    """
     world = make_world(hosts=3)
     caller = Caller(world)
     first, second, third = world.hosts
@@ -122,15 +125,15 @@
     assert world.hosts[third].gossip.ends.find_hold(CRASHING, world.now) is None
 
 
-def test_nothing_is_added_to_heartbeats_while_no_endpoint_ends():
-    """Ends are rare; what tells of them must cost nothing on all other days."""
+def test_heartbeats_stay_the_same_without_crashes():
+    """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
     world = make_world(hosts=4)
     quiet = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
     assert quiet == [CrashNews((), ())] * 4
 
 
-def test_ends_that_nothing_is_refused_for_are_not_told_for_ever():
-    """Endpoints fail now and then over months, each under other requests."""
+def test_crashes_without_quarantine_are_broadcast_for_a_short_time():
+    """Endpoints crash from time to time over months, each while it runs other requests."""
     world = make_world(hosts=3)
     first, *_ = world.hosts
     for number in range(20):
@@ -143,8 +146,8 @@
     assert news == [CrashNews((), ())] * 3
 
 
-def test_many_ends_at_once_fit_into_datagrams():
-    """Engines end with all of their requests; each datagram stays within its bound."""
+def test_many_crashes_at_once_fit_into_datagrams():
+    """Engines crash with all of their requests; each datagram stays within its size limit."""
     world = make_world(hosts=3)
     longest = []
     world.tap = lambda name, to, datagram: longest.append(len(datagram))
@@ -160,7 +163,7 @@
         assert sum(len(crash.digests) for crash in news.crashes) > 32
 
 
-def test_a_host_that_is_told_refuses_with_the_time_that_is_left():
+def test_host_refuses_with_the_remaining_time_after_an_update():
     ends = CrashTracker(make_settings().quarantine)
     request = make_request(1, 0.0, 20.0)
     for number in range(MAX_CRASHES):
@@ -173,8 +176,8 @@
     assert 1_790 < refused.retry_after <= 1_795
 
 
-def test_what_is_heard_and_who_is_refused_can_be_read_in_the_log(caplog):
-    """An operator sees refusals at a host that has seen no endpoint end."""
+def test_received_crashes_and_refused_requests_are_logged(caplog):
+    """An operator needs to see why a host refuses requests when it observed no crash itself."""
     ends = CrashTracker(make_settings().quarantine)
     with caplog.at_level("INFO", logger="cloverway.dispatch.ends"):
         for number in range(MAX_CRASHES):
@@ -185,10 +188,10 @@
     assert [(record.request_digest, record.ends) for record in held] == [(f"{CRASHING:016x}", 3)]
 
 
-def test_an_end_counts_from_when_it_happened_wherever_it_is_heard_of():
-    """Told on from host to host, an end would seem to have happened just now, and so for ever.
+def test_quarantine_counts_from_the_time_of_the_crash_at_all_hosts():
+    """Guard against crashes that appear as new each time a host forwards them.
 
-    The request would be refused to all callers for as long as hosts tell each other of it.
+    The request would be refused for as long as hosts broadcast the crash.
     """
     world = make_world(domains=2, hosts=3)
     caller = Caller(world)
@@ -206,10 +209,10 @@
         assert world.now + hold.left_s <= begun_at + hold_s * 2 ** (hold.ends - MAX_CRASHES) + 5.0
 
 
-def test_a_request_that_was_cleared_once_and_turns_deadly_is_found_out_at_all_hosts():
-    """New versions of engines end under a request that was served an hour ago.
+def test_request_cleared_once_is_quarantined_when_it_crashes_endpoints_later():
+    """New versions of engines crash on a request that was served an hour ago.
 
-    A host that goes on telling that it was served would keep it from being suspected for ever.
+    A host that kept broadcasting that it was served would prevent it from ever being suspected.
     """
     world = make_world(hosts=3)
     caller = Caller(world)
--- a/cloverway/tests/test_keys.py
+++ b/cloverway/tests/test_keys.py
@@ -21,11 +21,11 @@
     return result.kind, result.ran
 
 
-def test_repeat_while_the_first_runs():
-    """The caller sends the same request to two hosts at once.
+def test_repeat_while_the_first_run_is_in_progress():
+    """The caller sends the same request to two hosts at the same time.
 
-    One claim is granted; the other caller's connection gets key_in_use with a time to come back,
-    because the first run has not ended and only one may ever go on.
+    One claim is granted. The other connection gets key_in_use with a retry time, because the first
+    run has not ended and only one run is ever allowed.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -36,9 +36,9 @@
 
 
 def test_lost_answer_to_a_claim():
-    """The answer to a claim is lost and the claimant asks again on a new connection.
+    """The answer to a claim is lost and the claimant repeats the claim on a new connection.
 
-    It gets the same grant; it has sent nothing yet, so it is still the only one that runs.
+    It gets the same grant: it has sent nothing yet, so it is still the only one that runs.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -46,9 +46,9 @@
 
 
 def test_repeat_after_the_answer_was_lost():
-    """The run is done, but its answer never reached the caller, who repeats at another host.
+    """The run is done, but its answer was lost, and the caller repeats the request at another host.
 
-    The issuer gives the recorded answer; nothing runs again.
+    The issuer returns the recorded answer; nothing runs again.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -57,10 +57,10 @@
     assert ledger.claim(make_claim(key, "b"), 50.0) == ANSWER
 
 
-def test_repeat_after_unknown():
-    """The endpoint's connection broke after the send; the caller repeats.
+def test_repeat_after_unknown_outcome():
+    """The connection to the endpoint broke after the request was sent, and the caller repeats it.
 
-    The first run may have happened, so the key is spent for good.
+    The first run may have happened, so the key can never be granted again.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -70,10 +70,10 @@
 
 
 def test_grantee_killed():
-    """The host that held the grant is gone; nobody knows whether it had sent.
+    """The host with the grant crashed; whether it had sent the request is unknown.
 
-    A repeat is told to wait until the request's deadline and the margin, then that the outcome is
-    unknown. It is never granted on the word of a clock.
+    A repeat is told to wait until the request's deadline plus the margin, and then that the outcome
+    is unknown. An expired time limit alone never frees the key.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -83,9 +83,9 @@
 
 
 def test_grantee_wakes_late_and_has_not_run():
-    """The grantee was paused past the deadline, wakes, finds its grant ended and settles.
+    """The grantee was paused past the deadline; it then finds its grant expired and settles.
 
-    No byte had left, so the repeat that was told "unknown" may now run.
+    No byte was sent, so the repeat that was answered with "unknown" may now run.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -96,9 +96,9 @@
 
 
 def test_late_settlement_of_an_earlier_claimant():
-    """A delayed copy of "not run" arrives after the key was granted to somebody else.
+    """A delayed duplicate of "not run" arrives after the key was granted to another claimant.
 
-    It names the earlier claimant, so it can't free the key under the one that runs now.
+    It names the earlier claimant, so it must not free the key while the other one runs.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -109,10 +109,10 @@
     assert kind_of(ledger.claim(make_claim(key, "c"), 5.0))[0] is Kind.KEY_IN_USE
 
 
-def test_late_copy_of_a_claim_that_was_given_up():
+def test_delayed_duplicate_of_an_abandoned_claim():
     """A claim arrives twice, the second time after its sender settled "not run".
 
-    Granting it again would hand the key to nobody and spend it.
+    Granting it again would make the key unusable, because no one waits for that grant.
     """
     ledger = make_ledger()
     key = issue(ledger)
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("later", list(Settlement))
 @pytest.mark.parametrize("first", [Settlement.DONE, Settlement.UNKNOWN])
-def test_first_settlement_stands(first, later):
+def test_first_settlement_is_final(first, later):
     ledger = make_ledger()
     key = issue(ledger)
     ledger.claim(make_claim(key), 1.0)
@@ -136,7 +136,7 @@
 def test_replaced_issuer():
     """The issuer is replaced by a new process with the same name and address.
 
-    The new one has no memory of the old one's grants and says so: the outcome is unknown.
+    The new process does not know the grants of the old one, so it reports an unknown outcome.
     """
     key = issue(make_ledger("i1"))
     result = make_ledger("i2").claim(make_claim(key), 1.0)
@@ -178,13 +178,13 @@
 
 
 @given(st.text(max_size=300))
-def test_any_text_is_parsed_or_not(text):
+def test_parsed_text_is_canonical(text):
     name = ParsedKey.parse(text)
     assert name is None or name.text == text
 
 
-def test_second_spelling_of_a_key():
-    """The same bytes in capitals are not the key that the host issued."""
+def test_non_canonical_spelling_of_a_key():
+    """The same bytes in upper case are not the key that the host issued."""
     ledger = make_ledger()
     signed, _, mac = issue(ledger).rpartition("_")
     assert mac.upper() != mac
@@ -193,7 +193,7 @@
 
 
 def test_expired_keys():
-    """A key that was never used is too old to claim; one that was used is held a lifetime more."""
+    """An unused key expires a lifetime after issue, a used one a lifetime after its first claim."""
     ledger = make_ledger()
     old, used = ledger.issue([b"a" * 12, b"b" * 12], 0.0)
     ledger.claim(make_claim(used), 99.0)
@@ -204,7 +204,7 @@
     assert (len(ledger), ledger.recorded_bytes) == (0, 0)
 
 
-def test_clock_that_steps_back():
+def test_clock_going_backwards():
     ledger = make_ledger()
     key = issue(ledger)
     ledger.claim(make_claim(key), 10.0)
@@ -212,11 +212,11 @@
     assert kind_of(ledger.claim(make_claim(key, "b"), 11.0))[0] is Kind.KEY_EXPIRED
 
 
-def test_full_table_refuses_new_keys_and_keeps_used_ones():
-    """More keys are used than the table holds.
+def test_full_table_refuses_unused_keys_and_keeps_used_ones():
+    """More keys are used than fit into the table.
 
-    New ones are refused with a time to come back, and the request has certainly not run. A used
-    key is never dropped to make room: its repeat would run a second time.
+    Unused keys are refused with a retry time, and the request has certainly not run. A used key is
+    never evicted, because a repeat with it would run a second time.
     """
     ledger = make_ledger()
     keys = ledger.issue([bytes([n]) * 12 for n in range(5)], 0.0)
@@ -228,8 +228,8 @@
     assert kind_of(ledger.claim(make_claim(keys[0], "b", team="t0"), 1.0))[0] is Kind.KEY_IN_USE
 
 
-def test_team_that_uses_many_keys():
-    """One team's script uses keys without end; the other teams still get their grants."""
+def test_team_share_of_the_table_is_bounded():
+    """One team uses an unlimited number of keys; other teams must still get their grants."""
     ledger = make_ledger()
     keys = ledger.issue([bytes([n]) * 12 for n in range(4)], 0.0)
     for key in keys[:2]:
@@ -243,7 +243,7 @@
     assert isinstance(ledger.claim(make_claim(key), 102.0), Grant)
 
 
-def test_recorded_answers_make_room():
+def test_old_recorded_answers_are_evicted():
     ledger = make_ledger(bounds=BOUNDS._replace(keys=8))
     keys = ledger.issue([bytes([n]) * 12 for n in range(3)], 0.0)
     for key in keys:
@@ -274,7 +274,7 @@
 
 
 def test_leaving_issuer():
-    """A leaving host issues no keys, and still answers for those that callers hold."""
+    """A leaving host issues no keys, but still answers claims of keys that callers have."""
     ledger = make_ledger()
     key = issue(ledger)
     ledger.leaving = True
@@ -282,15 +282,15 @@
     assert isinstance(ledger.claim(make_claim(key), 1.0), Grant)
 
 
-def test_digest_tells_parts_apart():
+def test_digest_separates_its_parts():
     assert compute_digest("POST", "/a", b"b") != compute_digest("POST", "/", b"ab")
 
 
-def test_leaving_issuer_stays_for_the_keys_that_callers_hold():
-    """A host that leaves issued a key a moment ago, and one of its grants is in use elsewhere.
+def test_leaving_issuer_stays_for_unused_keys_and_grants():
+    """A leaving host has just issued a key, and one of its grants is in use elsewhere.
 
-    Were it gone at once, the key's first send would be told "unknown", and so would a repeat of
-    the run. A grantee that was killed keeps it no longer than its request's deadline.
+    If it stopped at once, the first request with the key would be answered with "unknown", and so
+    would a repeat of the granted run. A killed grantee delays it until its request's deadline only.
     """
     ledger = make_ledger()
     assert not ledger.is_needed(0.0, 30.0)
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -28,7 +28,7 @@
 
 
 class KeyHost:
-    """A host with a ledger that its peers reach over TCP."""
+    """A host whose ledger peers can reach over TCP."""
 
     def __init__(self, name, incarnation, addresses, peer_bounds=BOUNDS):
         bounds = Bounds(100, 100.0, 10_000, 1_000)
@@ -53,10 +53,10 @@
 
 
 def test_keys_between_hosts():
-    """The caller's answer from h1 is lost; it repeats at h2, and again when h1 was replaced.
+    """The answer from h1 is lost; the caller repeats at h2, and again after h1 was replaced.
 
-    h2 first gives the recorded answer of h1. The new process at h1's address can't know, so the
-    outcome is then unknown, and nothing is run a second time.
+    h2 first returns the recorded answer of h1. The new process at the address of h1 does not know
+    the key, so then the outcome is unknown, and nothing runs a second time.
     """
     addresses = {}
     first, second = KeyHost("h1", "i1", addresses), KeyHost("h2", "i1", addresses)
@@ -81,19 +81,19 @@
     link.close()
 
 
-def test_repeats_all_at_once():
-    """An impatient caller sends one request twelve times at the same moment, to two hosts.
+def test_concurrent_repeats():
+    """A caller sends one request twelve times at the same moment, to two hosts.
 
-    One of them is granted; every other is told to come back, and none that it was not run.
+    One of them is granted. All others are told to retry, and none that the request did not run.
     """
     addresses = {}
     hosts = [KeyHost(name, "i1", addresses) for name in ("h1", "h2")]
     (key,) = hosts[0].keys.issue(1)
-    together = threading.Barrier(12)
+    barrier = threading.Barrier(12)
     results = []
 
     def send(claims):
-        together.wait(PATIENCE_S)
+        barrier.wait(PATIENCE_S)
         try:
             results.append(claims.claim(make_request(key=key)))
         except RequestError as error:
@@ -113,7 +113,7 @@
 
 
 def serve_issuer(pipe):
-    """Be the issuing host, in a process of its own, until the pipe is closed."""
+    """Run the issuing host in this process until the pipe is closed."""
     host = KeyHost("h1", "i1", {})
     pipe.send((host.server.address, host.keys.issue(2)))
     pipe.poll(None)
@@ -122,7 +122,7 @@
 
 @pytest.fixture
 def issuer():
-    """Give a process that issues keys, its address and two keys."""
+    """Yield a process that issues keys, its address and two keys."""
     context = multiprocessing.get_context("spawn")
     ours, theirs = context.Pipe()
     process = context.Process(target=serve_issuer, args=(theirs,), daemon=True)
@@ -133,19 +133,19 @@
     process.join(PATIENCE_S)
 
 
-def test_issuer_that_is_paused_and_wakes_late(issuer):
-    """The issuer is stopped while h2 claims a key of its; h2 tells its caller "unknown" in time.
+def test_issuer_paused_during_a_claim(issuer):
+    """The issuer is paused while h2 claims one of its keys; h2 answers "unknown" in time.
 
-    The issuer wakes with the claim in its socket, long after h2 gave up. It must not grant it: the
-    caller's repeat, at h3, then finds the key free and runs, for the first and only time.
+    The issuer resumes with the claim in its socket, long after h2 gave up. It must not grant it, so
+    that a repeat at h3 finds the key free and runs, for the first and only time.
     """
     process, address, (warm_up, key) = issuer
-    quick = BOUNDS._replace(reused_answer_s=0.1, connect_s=0.3)
+    short_bounds = BOUNDS._replace(reused_answer_s=0.1, connect_s=0.3)
     addresses = {"h1": address}
-    second = KeyHost("h2", "i1", addresses, quick._replace(connect_s=PATIENCE_S))
+    second = KeyHost("h2", "i1", addresses, short_bounds._replace(connect_s=PATIENCE_S))
     third = KeyHost("h3", "i1", addresses)
     second.claims.claim(make_request(key=warm_up))
-    second.client._bounds = quick
+    second.client._bounds = short_bounds
     os.kill(process.pid, signal.SIGSTOP)
     try:
         os.waitpid(process.pid, os.WUNTRACED)
--- a/cloverway/tests/test_residency.py
+++ b/cloverway/tests/test_residency.py
@@ -23,13 +23,13 @@
         },
     }
 )
-EVERY = frozenset({"port-louis", "curepipe", "rodrigues"})
+ALL_REGIONS = frozenset({"port-louis", "curepipe", "rodrigues"})
 
 
 @pytest.mark.parametrize(
     ("team", "profile", "regions"),
     [
-        ("free", "stock", EVERY),
+        ("free", "stock", ALL_REGIONS),
         ("free", "south", {"curepipe", "rodrigues"}),
         ("bound", "stock", {"curepipe"}),
         ("bound", "south", {"curepipe"}),
@@ -49,7 +49,7 @@
         PUBLISHED._replace(regions={}),
     ],
 )
-def test_an_unknown_region_allows_nothing(broken):
+def test_unknown_region_allows_nothing(broken):
     assert not allowed_regions(broken, "bound", "stock")
     assert not allowed_regions(broken, "free", "south")
 
@@ -71,11 +71,11 @@
 
 
 @pytest.mark.parametrize("origin", [1, 2, 3])
-def test_the_stricter_of_two_revisions_holds(origin):
-    """A host with an older or newer revision passes a request on; the receiver must refuse it.
+def test_stricter_of_two_revisions_applies(origin):
+    """A host with an older or newer revision passes a request on, and the receiver must refuse it.
 
-    The origin's revision left the team free, so it chose Rodrigues. The receiver's revision binds
-    the team to Curepipe. Whichever revision is the later one, running it would break residency.
+    The origin's revision does not bind the team, so it chose Rodrigues. The receiver's revision
+    binds the team to Curepipe. Whichever revision is newer, running it would violate residency.
     """
     free = PUBLISHED.teams["free"]
     own = PUBLISHED._replace(
@@ -87,7 +87,7 @@
     check_region_allowed(own, make_request("free", "stock", origin), "curepipe")
 
 
-def test_a_host_without_configuration_runs_nothing():
+def test_host_without_configuration_runs_nothing():
     with pytest.raises(RequestError) as caught:
         check_region_allowed(None, make_request("free", "stock", 1), "curepipe")
     assert caught.value.kind is Kind.STARTING
--- a/cloverway/tests/test_routing.py
+++ b/cloverway/tests/test_routing.py
@@ -26,7 +26,7 @@
 
 
 class Host:
-    """One core with its view, and short ways to drive it."""
+    """One core with its view, and shortcuts to use it."""
 
     def __init__(self, published=None, seed=1, policy="cloverway", **more):
         self.published = published or make_published()
@@ -55,10 +55,10 @@
         return getattr(verdict, "route", verdict)
 
 
-def test_a_leaving_endpoint_gets_no_new_work():
-    """A caller's request is cut off when the endpoint that was given it stops.
+def test_leaving_endpoint_gets_no_new_work():
+    """Guard against requests that are cut off because their endpoint is shutting down.
 
-    The list says live, the report says leaving, and the endpoint is the idlest of all.
+    The list says live, the load report says leaving, and the endpoint is the least loaded one.
     """
     host = Host()
     host.view = change_endpoint(host.view, E0, leaving=True)
@@ -67,17 +67,17 @@
 
 
 @pytest.mark.parametrize("change", [{"ready": False}, {"models": ()}])
-def test_an_endpoint_without_the_model_or_not_ready_is_not_chosen(change):
+def test_endpoint_without_the_model_or_not_ready_is_not_chosen(change):
     host = Host()
     host.view = change_endpoint(host.view, E0, **change)
     assert host.place().endpoint == E1
 
 
-def test_sibling_hosts_do_not_herd_onto_an_idle_endpoint():
-    """Callers of four hosts all wait at one endpoint while the others have free slots.
+def test_hosts_do_not_herd_onto_an_idle_endpoint():
+    """Guard against requests of four hosts queueing at one endpoint while others have free slots.
 
-    Every host reads the same report: one endpoint idle, the others half full. Each sends its
-    next requests there before a new report comes, unless it expects the others to do so too.
+    All hosts read the same reports: one endpoint is idle, the others are half full. Each would send
+    its next requests there before a new report arrives, unless it assumes that the others do too.
     """
     published = make_published(endpoints=4, hosts=4, slots=8)
     names = [f"cu-1-h{number}" for number in range(4)]
@@ -93,10 +93,10 @@
     assert sent["cu-1-e0"] <= 8, "the idle endpoint has eight slots"
 
 
-def test_a_returning_endpoint_is_given_little_at_first():
-    """Answers become slow after an endpoint restarts: its cache is cold, and all work goes to it.
+def test_restarted_endpoint_gets_a_slow_start():
+    """Guard against slow answers after an endpoint restarts with a cold cache.
 
-    It is the idlest of all, so that it would be filled at once.
+    It is the least loaded endpoint, so without a slow start it would be filled at once.
     """
     host = Host(make_published(endpoints=2, slots=8))
     host.finish(host.arrive())
@@ -109,10 +109,10 @@
     assert sent[E0] >= 7
 
 
-def test_the_last_endpoint_is_never_ejected():
-    """Every request is refused for ten seconds though the only endpoint works again.
+def test_last_endpoint_is_never_ejected():
+    """Guard against refusing every request for ten seconds after the only endpoint recovered.
 
-    It failed a few times in a row; leaving it alone helps no one, as there is no other.
+    It failed a few times in a row, but ejecting it does not help because there is no other.
     """
     host = Host(make_published(endpoints=1))
     for _ in range(5):
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize("endpoints", [1, 2])
-def test_an_endpoint_that_asked_for_a_pause_gets_nothing_until_it_is_over(endpoints):
-    """Guards against requests to a full endpoint that has said when it takes the next one."""
+def test_requested_pause_is_respected(endpoints):
+    """Guard against requests to a full endpoint that has announced when it accepts the next one."""
     host = Host(make_published(endpoints=endpoints))
     verdict = host.arrive()
     full = verdict.route.endpoint
@@ -135,15 +135,15 @@
     assert full in [getattr(host.place(), "endpoint", None) for _ in range(4)]
 
 
-def test_a_pause_that_an_endpoint_asked_for_has_a_bound():
-    """Guards against a number that is wrong by a factor and takes an endpoint out for good."""
+def test_requested_pause_is_bounded():
+    """Guard against a pause in the wrong unit that would disable an endpoint permanently."""
     outliers = OutlierDetector()
     outliers.record_requested_pause("e", 1e9, 0.0)
     assert outliers.is_paused("e", MAX_REQUESTED_PAUSE_S - 1)
     assert not outliers.is_paused("e", MAX_REQUESTED_PAUSE_S + 1)
 
 
-def test_pauses_of_a_flapping_endpoint_double_up_to_a_bound():
+def test_ejection_time_doubles_up_to_a_bound():
     outliers = OutlierDetector()
     now, pauses = 0.0, []
     for _ in range(8):
@@ -157,8 +157,8 @@
     assert MAX_EJECTION_S <= pauses[-1] < MAX_EJECTION_S + 0.1
 
 
-def test_a_poisonous_request_does_not_eject_an_endpoint_alone():
-    """One request makes every engine that runs it fail; others are refused for lack of engines."""
+def test_single_failure_does_not_eject_an_endpoint():
+    """Guard against one request that fails at every engine and gets all engines ejected."""
     host = Host()
     verdict = host.arrive()
     host.finish(verdict, Outcome.FAILED)
@@ -166,22 +166,22 @@
     assert {host.place().endpoint for _ in range(4)} == {E0, E1}
 
 
-def test_a_restarted_endpoint_counts_as_cold():
-    """A conversation is sent to the endpoint that held its prefix before it restarted."""
+def test_restarted_endpoint_has_a_cold_cache():
+    """Guard against prefix affinity to an endpoint that lost its cache in a restart."""
     host = Host()
     body = b'{"messages": "' + b"x" * 20_000
     first = host.arrive(body=body, stream=True)
     held = first.route.endpoint
     host.finish(first)
-    again = host.arrive(body=body, stream=True)
-    assert again.route.endpoint == held
-    host.finish(again)
+    retried = host.arrive(body=body, stream=True)
+    assert retried.route.endpoint == held
+    host.finish(retried)
     prefixes = host.core._learned.prefixes
     assert prefixes.count_matching_blocks(held, "e1", Prefix.from_body(body), -1.0) > 0
     assert prefixes.count_matching_blocks(held, "e2", Prefix.from_body(body), -1.0) == 0
 
 
-def test_hosts_agree_on_the_place_of_a_prefix():
+def test_hosts_agree_on_the_endpoint_of_a_prefix():
     names = [f"e{number}" for number in range(10)]
     assert rank_destinations(b"key", names) == rank_destinations(b"key", reversed(names))
     moved = rank_destinations(b"key", names[:-1])
@@ -193,7 +193,7 @@
 
 
 def fill(host, **more):
-    """Fill the slots of home and let a queue build up."""
+    """Fill the slots at home and build up a queue."""
     return [host.arrive(**more) for _ in range(16)]
 
 
@@ -203,8 +203,8 @@
 }
 
 
-def test_weights_decide_how_long_a_request_waits_at_home():
-    """Both organisations send away, Caroni only after a longer queue than Rivière."""
+def test_objective_weights_decide_how_long_a_request_waits_at_home():
+    """Both organisations send requests away, Caroni only at a longer queue than Rivière."""
     queued = {}
     for who, objective in WEIGHTS.items():
         verdicts = fill(Host(make_published(objective=objective), free=8), lasts=60.0)
@@ -212,15 +212,15 @@
     assert queued["riviere"] < queued["caroni"]
 
 
-def test_home_is_kept_while_it_has_free_slots():
+def test_requests_stay_at_home_while_it_has_free_slots():
     host = Host(free=8)
     assert all(isinstance(host.place(), Local) for _ in range(8))
 
 
-def test_a_cut_off_domain_is_no_candidate():
-    """Callers wait for a connection into a region that is cut off, until their deadline.
+def test_unreachable_domain_is_not_a_candidate():
+    """Guard against requests that wait until their deadline for a connection to a cut-off region.
 
-    Its last summary said that it had free slots; since then nothing was heard from there.
+    Its last summary reported free slots; nothing was received from there since.
     """
     host = Host(free=8)
     host.now = 60.0
@@ -231,22 +231,24 @@
 
 
 @pytest.mark.parametrize("change", [{"leaving": True}, {"overloaded": True}, {"heard_at": -9.0}])
-def test_a_leaving_overloaded_or_silent_host_is_not_asked(change):
+def test_leaving_overloaded_or_silent_host_is_not_used(change):
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
-    heard = [
+    host_states = [
         HostState(f"{domain}-h{number}", domain, heard_at=0.0)
         for domain in ("pl-1", "ro-1")
         for number in range(2)
     ]
-    shunned = {state.name for state in heard if state.name.endswith("h0")}
-    states = [state._replace(**change) if state.name in shunned else state for state in heard]
+    excluded = {state.name for state in host_states if state.name.endswith("h0")}
+    states = [
+        state._replace(**change) if state.name in excluded else state for state in host_states
+    ]
     host.view = host.view._replace(hosts={state.name: state for state in states})
-    asked = {verdict.route.host for verdict in fill(host, lasts=60.0) if is_away(verdict)}
-    assert asked
-    assert not asked & shunned
+    used_hosts = {verdict.route.host for verdict in fill(host, lasts=60.0) if is_away(verdict)}
+    assert used_hosts
+    assert not used_hosts & excluded
 
 
-def test_a_bound_team_is_served_in_its_region_or_refused():
+def test_bound_team_is_served_in_its_region_or_refused():
     host = Host(free=8)
     route = host.place(team="bound")
     assert isinstance(route, Away) and route.domain == "ro-1"
@@ -254,8 +256,8 @@
     assert refused == Refused(Kind.RESIDENCY)
 
 
-def test_a_passed_on_request_is_run_or_refused_but_never_passed_on():
-    """Two regions that are both full send one request to and fro until its deadline."""
+def test_passed_on_request_is_never_passed_on_again():
+    """Guard against two full regions that pass a request back and forth until its deadline."""
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
     verdicts = [host.arrive(passed_on=True, lasts=60.0) for _ in range(12)]
     assert all(isinstance(v.route, Local) for v in verdicts[:8])
@@ -263,7 +265,7 @@
     assert isinstance(verdicts[-1], Refused)
 
 
-def test_a_refusal_of_another_domain_comes_back_and_is_not_repeated():
+def test_domain_that_refused_is_not_tried_again():
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
     sent = next(v for v in fill(host, lasts=60.0) if is_away(v))
     verdict = host.finish(sent, Outcome.REFUSED, retry=True)
@@ -273,7 +275,7 @@
 @pytest.mark.parametrize(
     "policy", ["random", "round_robin", "least_outstanding", "home_only", "global_least_loaded"]
 )
-def test_baselines_choose_only_what_may_be_chosen(policy):
+def test_baseline_policies_obey_the_rules(policy):
     host = Host(policy=policy, free=8)
     host.view = change_endpoint(host.view, E0, leaving=True)
     routes = [host.place() for _ in range(4)]
@@ -282,12 +284,12 @@
     assert isinstance(bound, Away) and bound.domain == "ro-1"
 
 
-def test_the_baseline_of_all_regions_leaves_home_for_an_idler_place():
+def test_global_least_loaded_leaves_home_for_a_less_loaded_region():
     host = Host(policy="global_least_loaded", free=8)
     assert any(is_away(host.arrive()) for _ in range(4))
 
 
-def test_an_explanation_names_every_place_and_why():
+def test_explanation_names_every_destination_and_why():
     host = Host(free=8)
     host.view = change_endpoint(host.view, E0, leaving=True)
     explanation = host.core.explain("desk", "stock", host.view, host.now)
--- a/cloverway/tests/test_tenants.py
+++ b/cloverway/tests/test_tenants.py
@@ -15,7 +15,7 @@
     }
 
 
-def test_labels_stay_bounded_at_9000_teams():
+def test_labels_are_bounded_with_9000_teams():
     labels = TenantLabels(0.0, tracked=96)
     seen = feed(labels, [(f"team-{n}", 1 + 3000 // (n + 1)) for n in range(300)])
     seen |= feed(labels, [(f"team-{n}", 1) for n in range(9000)])
@@ -25,7 +25,7 @@
     assert {f"team-{n}" for n in range(40)} <= seen
 
 
-def test_a_team_that_grows_takes_over_the_label_of_a_quiet_one():
+def test_growing_team_takes_over_the_label_of_a_quiet_one():
     labels = TenantLabels(0.0, named=2)
     feed(labels, [("a", 100), ("b", 20), ("c", 30)])
     assert labels.get("c").startswith("_other_")
@@ -39,8 +39,8 @@
 
 @settings(max_examples=50)
 @given(st.lists(st.integers(0, 12), max_size=400))
-def test_a_frequent_team_is_never_lost_by_the_count(teams):
-    """Any team with more than one in `tracked` of the requests is in the table."""
+def test_frequent_team_is_always_counted(teams):
+    """Any team with more than 1/`tracked` of the requests is in the table."""
     labels = TenantLabels(0.0, named=2, tracked=4)
     for team in teams:
         labels.choose(str(team))
