--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -50,7 +50,7 @@
         async with run_fleet(hosts=3) as fleet:
             await teach(fleet)
             for old in list(fleet.hosts):
-                await wait_for(lambda: all(len(h.gossip._alive) == 2 for h in fleet.hosts))
+                await wait_for(lambda: all(len(h.gossip._alive_names) == 2 for h in fleet.hosts))
                 began_at = read_clock()
                 new = await restart(fleet, old)
                 await wait_for(lambda new=new: new.context.quarantine.count_held(read_clock()), 1)
@@ -83,7 +83,7 @@
 
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
-            await wait_for(lambda: all(len(h.gossip._alive) == 1 for h in fleet.hosts))
+            await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
             digest = compute_digest(("POST", "shop.example", "/safe/a"), b"deadly")
             for host in fleet.hosts:
                 for number in range(3):
@@ -105,7 +105,7 @@
 
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
-            await wait_for(lambda: all(len(h.gossip._alive) == 1 for h in fleet.hosts))
+            await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
             old, sibling = fleet.hosts
             delay_words(sibling, 3600.0)
             new = await restart(fleet, old)
