--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -1,4 +1,4 @@
-"""Keeps the directory up by reading the store, or a peer where the store can't be read."""
+"""Keeps the directory current from the store, or from another host if the store is unreachable."""
 
 from __future__ import annotations
 
@@ -17,33 +17,34 @@
 from cloverway.serving.telemetry import Figures, tell
 
 WATCH_TIMEOUT_S = 1.0
-"""How long one read waits for changes. A connection that has gone silent is noticed this much
-later, and a change must be in force within four seconds."""
+"""How long one read of the store waits for changes. A connection that went silent is noticed this
+much later, and a change must be in force within four seconds."""
 MIN_READ_INTERVAL_S = 0.9
-"""Least time between two reads. Endpoints write all the time, so each read would return at once;
-each read is paid for. With this an endpoint that has started is in use within the second; with 1 s
-it took up to 1.01 s."""
+"""Minimum interval between two reads. Endpoints write all the time, so each read would return at
+once, and each read is billed. With this interval an endpoint that has started is in use within one
+second; with 1 s it took up to 1.01 s."""
 READ_BUDGET_SHARE = 0.5
-"""Part of the store's reads that all hosts together take; the rest is for starts and repairs."""
+"""Share of the store's read budget used by all hosts together. The rest is left for starts and full
+reads."""
 READERS_PER_DOMAIN = 2
-"""Hosts of a failure domain that read the store for all of it: each read is paid for. With two, one
-that dies or is cut off from the store delays nothing."""
+"""Hosts of a failure domain that read the store for all of it, since each read is billed. With two
+readers, one that crashes or cannot reach the store delays nothing."""
 MAX_FOLLOWER_AGE_S = 2.4
-"""A host that doesn't read for others reads the store itself when what it knows is older than this:
-a read by a reader, its pace, and one heartbeat of a large region. A change is then still in force
-within the four seconds that the strictest deployments give it."""
+"""Age of its documents above which a host reads the store itself though it is no reader: one read
+by a reader, its interval, and one heartbeat in a large region. A change is then still in force
+within the four seconds that the strictest deployments allow."""
 POLL_PERIOD_S = 0.2
-"""How often such a host looks how old its documents are, and whether it is to read for others."""
+"""How often such a host checks the age of its documents and whether it has become a reader."""
 RANK_TTL_S = 0.4
-"""How long a host goes by its rank among the readers. It is asked for with each heartbeat and each
-look at the documents, and looks at all hosts that are known."""
+"""How long a host's rank among the readers is cached. It is needed for each heartbeat and each
+check of the documents' age, and computing it goes through all known hosts."""
 MIN_RETRY_S = 0.3
 MAX_RETRY_S = 1.0
 FORGET_PERIOD_S = 0.4
 
 
 class Catalogue:
-    """The published documents that this host knows, and the directory made of them."""
+    """The published documents that this host knows, and the directory built from them."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self.directory = directory
         self.table = DocumentTable(dialect.decode_documents)
         self.read_at = float("-inf")
-        """When the store, or a peer that had read it, was read last."""
+        """When the store was last read, by this host or by the one that its documents came from."""
         self._store = store
         self._members = members
         self._figures = figures
@@ -69,40 +70,40 @@
         self._was_reader = False
         self.on_change: Callable[[list[Change]], None] = lambda changes: None
         self.on_documents_changed: Callable[[], None] = lambda: None
-        """Called when the store had something that means anything new."""
+        """Called when a read of the store changed the meaning of the documents."""
 
     async def run(self) -> None:
-        """Read the store for ever."""
-        whole = True
+        """Read the store forever."""
+        full = True
         retry_s = MIN_RETRY_S
         while True:
             began_at = read_clock()
-            if not whole and not self._is_read_due(began_at):
+            if not full and not self._is_read_due(began_at):
                 await wait_for_tick(POLL_PERIOD_S)
                 continue
             try:
-                whole = not await self._read(whole)
+                full = not await self._read(full)
                 retry_s = MIN_RETRY_S
-                pace_s = began_at + self._choose_interval() - read_clock()
+                delay_s = began_at + self._choose_interval() - read_clock()
             except HistoryGoneError:
                 self._figures.note_read("history_gone")
                 tell("store_history_gone", revision=self.table.revision)
-                whole = True
-                pace_s = 0.0
+                full = True
+                delay_s = 0.0
             except PlatformError as error:
                 self._note_store_lost(error)
-                pace_s = retry_s * random.uniform(0.8, 1.2)
+                delay_s = retry_s * random.uniform(0.8, 1.2)
                 retry_s = min(MAX_RETRY_S, retry_s * 2)
-            await asyncio.sleep(max(0.0, pace_s))
+            await asyncio.sleep(max(0.0, delay_s))
 
     async def forget(self) -> None:
-        """Drop endpoints that stayed away, for ever."""
+        """Drop endpoints that stayed missing, forever."""
         while True:
             await wait_for_tick(FORGET_PERIOD_S)
             self._tell(self.directory.forget_missing(read_clock()))
 
     def apply(self, snapshot: Snapshot, source: str, now: float) -> None:
-        """Take over documents, from the store or from a peer; older ones change nothing."""
+        """Apply documents from the store or another host; an older revision changes nothing."""
         if snapshot.revision < self.table.revision:
             own = self.table.revision
             tell("snapshot_is_older", source=source, revision=snapshot.revision, own=own)
@@ -110,13 +111,14 @@
         self._tell(self.directory.apply(self.table.apply(snapshot), now))
 
     def note_restart(self, name: str, born_ms: int) -> None:
-        """Take over that an endpoint has started again, by its own word, before its entry tells."""
+        """Record that an endpoint has restarted, as it stated itself, before its entry shows it."""
         self._tell(self.directory.note_born(name, born_ms, read_clock()))
 
     def is_reader(self, now: float) -> bool:
-        """Tell whether this host reads the store for the others of its failure domain.
+        """Return whether this host reads the store for the others of its failure domain.
 
-        Hosts may disagree for a moment: then one more reads, or none until its documents are old.
+        Hosts may disagree for a moment. Then one host more reads, or none does until the documents
+        are too old.
         """
         if now - self._ranked_at >= RANK_TTL_S:
             self._is_reader = self._rank_as_reader(now)
@@ -135,13 +137,13 @@
         ranked = sorted([own.name, *names], key=lambda name: rank_for(own.domain, name))
         return own.name in ranked[:READERS_PER_DOMAIN]
 
-    async def _read(self, whole: bool) -> bool:
-        if whole:
+    async def _read(self, full: bool) -> bool:
+        if full:
             snapshot = await self._store.read_all()
         else:
             snapshot = await self._store.watch(self.table.revision, WATCH_TIMEOUT_S)
         now = read_clock()
-        self._figures.note_read("whole" if whole else "changes")
+        self._figures.note_read("whole" if full else "changes")
         if self._is_store_lost:
             self._is_store_lost = False
             tell("store_regained", revision=snapshot.revision, age_s=round(now - self.read_at, 3))
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -1,4 +1,4 @@
-"""Documents from other hosts: most hosts of a failure domain get theirs from those that read."""
+"""Fetches documents from other hosts; most hosts of a failure domain get theirs this way."""
 
 from __future__ import annotations
 
@@ -19,19 +19,21 @@
 from cloverway.serving.telemetry import tell
 
 STALE_S = 1.6
-"""A host whose documents are older than this asks any host that knows more, also one that is far:
-one whole read that was missed, and a little."""
+"""Age of its documents above which a host fetches them from any host with newer ones, also from a
+remote region: one full read of the store that was missed, and a margin."""
 POLL_PERIOD_S = 0.2
-"""How often that is looked at, besides whenever a host of the domain has news."""
+"""How often the age is checked, besides whenever a host of the failure domain has newer
+documents."""
 ONE_WAY_LATENCY_S = 0.1
-"""Added to the age of what another host tells: one way to the farthest region, and a little."""
+"""Added to the age of what another host knows: the one-way latency to the farthest region, and a
+margin."""
 FETCH_TIMEOUT_S = 1.0
 MAX_FETCH_BYTES = 64 * 1024 * 1024
 SNAPSHOT_PATH = "/snapshot"
 
 
 class DocumentSync:
-    """Follows hosts that read the store, and fetches from them what they know more."""
+    """Follows hosts that read the store, and fetches newer documents from them."""
 
     def __init__(self, members: Members, catalogue: Catalogue, pool: ConnectionPool) -> None:
         self._members = members
@@ -40,7 +42,7 @@
         self._newer_available = asyncio.Event()
 
     def note_peer(self, peer: Peer, now: float) -> None:
-        """Compare with what another host has just said that it knows."""
+        """Compare the documents with those that another host has just reported."""
         table = self._catalogue.table
         if table.follow(peer.revision, peer.digest):
             read_at = now - peer.read_age_s - ONE_WAY_LATENCY_S
@@ -49,7 +51,7 @@
             self._newer_available.set()
 
     async def run(self) -> None:
-        """Fetch documents whenever another host knows more, for ever."""
+        """Fetch documents whenever another host has newer ones, forever."""
         while True:
             try:
                 async with asyncio.timeout(count_to_tick(POLL_PERIOD_S)):
@@ -72,8 +74,8 @@
         return now - self._catalogue.read_at > STALE_S
 
     def _choose_source(self, now: float) -> Peer | None:
-        """Choose a host that knows more: of this domain, or any when the documents here are old."""
-        known = [
+        """Choose a host with newer documents: of this domain, or any if these are stale."""
+        candidates = [
             peer
             for peer in self._members.peers.values()
             if self._has_newer(peer)
@@ -81,29 +83,30 @@
             and self._members.is_alive(peer, now)
         ]
         own = self._members.own
-        near = [peer for peer in known if peer.member.domain == own.domain]
-        stale = self._is_stale(now)
-        if near and (stale or not self._catalogue.is_reader(now)):
-            return random.choice(near)
-        if not stale:
+        same_domain = [peer for peer in candidates if peer.member.domain == own.domain]
+        is_stale = self._is_stale(now)
+        if same_domain and (is_stale or not self._catalogue.is_reader(now)):
+            return random.choice(same_domain)
+        if not is_stale:
             return None
-        region = [peer for peer in known if peer.member.region == own.region]
-        return random.choice(region or known) if known else None
+        same_region = [peer for peer in candidates if peer.member.region == own.region]
+        return random.choice(same_region or candidates) if candidates else None
 
     async def _fetch_from(self, peer: Peer) -> None:
-        asked_at = read_clock()
+        sent_at = read_clock()
         try:
             snapshot = await self._fetch(peer, self._catalogue.table.revision)
             self._apply(snapshot)
             if self._catalogue.table.digest != snapshot.digest:
-                # The two held different documents at the same revision: only all of them mend that.
+                # The two hosts had different documents at the same revision, which only a full
+                # fetch repairs.
                 snapshot = await self._fetch(peer, None)
                 self._apply(snapshot)
         except (ConnectError, ResponseError, PeerError) as error:
             peer.failed_until = read_clock() + FETCH_TIMEOUT_S
             tell("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
-        read_at = asked_at - peer.read_age_s - ONE_WAY_LATENCY_S
+        read_at = sent_at - peer.read_age_s - ONE_WAY_LATENCY_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         tell(
             "documents_fetched",
@@ -111,7 +114,7 @@
             revision=snapshot.revision,
             documents=len(snapshot.documents),
             whole=snapshot.whole,
-            age_s=round(asked_at - self._catalogue.read_at, 3),
+            age_s=round(sent_at - self._catalogue.read_at, 3),
         )
 
     async def _fetch(self, peer: Peer, after: int | None) -> StoredSnapshot:
@@ -129,7 +132,7 @@
             raise ResponseError(f"status {head.status}")
         snapshot = CODEC.decode(body)
         if not isinstance(snapshot, StoredSnapshot):
-            raise PeerError("the answer holds no documents")
+            raise PeerError("the response is not a snapshot of documents")
         return snapshot
 
     def _apply(self, snapshot: StoredSnapshot) -> None:
@@ -137,12 +140,12 @@
             Document(item.key, item.revision, None if item.removed else item.value)
             for item in snapshot.documents
         )
-        known = Snapshot(snapshot.revision, documents, snapshot.whole)
-        self._catalogue.apply(known, "peer", read_clock())
+        fetched = Snapshot(snapshot.revision, documents, snapshot.whole)
+        self._catalogue.apply(fetched, "peer", read_clock())
 
 
 def export_snapshot(table: DocumentTable, target: str) -> bytes | None:
-    """Give the documents that another host asks for; None when it asks for something else."""
+    """Return the documents that another host fetches; None if the path is another one."""
     parts = urlsplit(target)
     if parts.path != SNAPSHOT_PATH:
         return None
