--- a/cloverway/structs.py
+++ b/cloverway/structs.py
@@ -1,4 +1,4 @@
-"""Typed messages to bytes and back, by thrift's binary protocol and a committed interface file."""
+"""Codec for typed messages: Thrift's binary protocol with a committed interface file."""
 
 from __future__ import annotations
 
@@ -34,29 +34,30 @@
         self.kinds = {kind.__name__: kind for kind in kinds}
 
     def encode(self, message: Any) -> bytes:
-        """Give the bytes of a message; raise PeerError for text that UTF-8 can't hold."""
-        outer = load_idl(self._idl_name).Message()
-        setattr(outer, type(message).__name__, self._pack(message))
+        """Return the bytes of a message; raise PeerError for text that UTF-8 cannot encode."""
+        envelope = load_idl(self._idl_name).Message()
+        setattr(envelope, type(message).__name__, self._pack(message))
         try:
-            data: bytes = serialize(outer, CODEC)
+            data: bytes = serialize(envelope, CODEC)
         except (UnicodeError, OverflowError, TDecodeException) as error:
-            raise PeerError("a message can't be encoded") from error
+            raise PeerError("a message could not be encoded") from error
         return data
 
     def decode(self, data: bytes) -> Any:
-        """Read a message; raise PeerError for bytes that are not one whole message."""
+        """Return the message; raise PeerError unless the bytes are exactly one complete message."""
         try:
             check_struct(data)
-            outer = deserialize(load_idl(self._idl_name).Message(), data, CODEC)
-            present = [name for name in self.kinds if getattr(outer, name) is not None]
+            envelope = deserialize(load_idl(self._idl_name).Message(), data, CODEC)
+            present = [name for name in self.kinds if getattr(envelope, name) is not None]
             if len(present) != 1:
-                raise PeerError("a frame must hold one message")
-            return _unpack(self.kinds[present[0]], getattr(outer, present[0]))
+                raise PeerError("a frame must contain exactly one message")
+            return _unpack(self.kinds[present[0]], getattr(envelope, present[0]))
         except PeerError:
             raise
         except Exception as error:
-            # The decoder raises whatever it stumbles over; for the reader all of it is one case.
-            raise PeerError(f"a frame can't be read: {type(error).__name__}") from error
+            # The decoder raises many kinds of exceptions for malformed input; callers need only
+            # one.
+            raise PeerError(f"a frame could not be decoded: {type(error).__name__}") from error
 
     def _pack(self, value: Any) -> Any:
         if hasattr(value, "_fields"):
@@ -78,14 +79,14 @@
 
 
 class _Field(NamedTuple):
-    """How one field of a message is read."""
+    """How one field of a message is decoded."""
 
     name: str
     plain: Any
-    """The type of a value that is taken as it is; None where each is converted."""
+    """The type of a value that needs no conversion; None if every value is converted."""
     convert: Convert
     default: Any
-    """What stands for a field that isn't there; the field itself is missing without one."""
+    """Value of an absent field; _MISSING if the field is required."""
 
 
 _MISSING = object()
@@ -93,16 +94,16 @@
 
 
 def _unpack(kind: Any, packed: Any) -> Any:
-    """Give the message of a struct.
+    """Return the message of a struct.
 
-    Where all of its fields are there and are to be taken as they are, as with the hosts that a
-    heartbeat tells of, they are read and checked in two steps for all of them.
+    If all fields are present and need no conversion, as for the hosts described in a heartbeat,
+    they are read and checked together in two steps.
     """
-    read_all, types = _plan_direct_read(kind)
+    read_fields, types = _plan_direct_read(kind)
     if types is not None:
-        found = read_all(packed)
-        if tuple(map(type, found)) == types:
-            return kind(*found)
+        direct = read_fields(packed)
+        if tuple(map(type, direct)) == types:
+            return kind(*direct)
     values = []
     for name, plain, convert, default in _list_fields(kind):
         value = getattr(packed, name, None)
@@ -117,10 +118,10 @@
 
 @cache
 def _plan_direct_read(kind: Any) -> tuple[Callable[[Any], tuple[Any, ...]], tuple[Any, ...] | None]:
-    """Give what reads all fields of a struct, and their types where each is taken as it is."""
+    """Return a reader of all fields of a struct, and their types if none needs conversion."""
     types = tuple(field.plain for field in _list_fields(kind))
-    is_whole = len(types) > 1 and None not in types
-    return attrgetter(*kind._fields) if is_whole else tuple, types if is_whole else None
+    is_direct = len(types) > 1 and None not in types
+    return attrgetter(*kind._fields) if is_direct else tuple, types if is_direct else None
 
 
 @cache
@@ -139,7 +140,7 @@
 
 
 def _choose_convert(hint: Any) -> Convert:
-    """Give the function that checks and converts one field."""
+    """Return the function that checks and converts one field."""
     if isinstance(hint, types.UnionType):
         (inner,) = [part for part in get_args(hint) if part is not type(None)]
         convert = _choose_convert(inner)
@@ -160,7 +161,7 @@
 
     def convert_fixed(value: Any) -> tuple[Any, ...]:
         if len(value) != len(parts):
-            raise PeerError("a field has the wrong length")
+            raise PeerError("a tuple field has the wrong length")
         return tuple(convert(item) for item in value)
 
     return convert_fixed
@@ -168,5 +169,5 @@
 
 def _check_plain(value: Any, kind: type[Any]) -> Any:
     if type(value) is not kind or (kind is float and not math.isfinite(value)):
-        raise PeerError(f"a field is not {kind.__name__}")
+        raise PeerError(f"a field is not of type {kind.__name__}")
     return value
--- a/cloverway/thrift_check.py
+++ b/cloverway/thrift_check.py
@@ -1,8 +1,8 @@
-"""Check that bytes are one whole struct of the Thrift binary protocol, before they are decoded.
+"""Checks that bytes are one complete struct of the Thrift binary protocol before decoding.
 
 The compiled decoder of thriftpy2 0.7.1 skips a list of an unknown element type without reading a
-byte: a list that claims 2**31 elements holds the process, and all its threads, for minutes.
-After this check every element takes at least one byte that is there, so decoding ends.
+byte: a list that claims 2**31 elements blocks the process, with all its threads, for minutes. After
+this check every element takes at least one existing byte, so decoding ends.
 """
 
 from __future__ import annotations
@@ -20,77 +20,77 @@
 _MAP = struct.Struct("!bbi")
 _SIZE = struct.Struct("!i")
 _FIELD_BYTES = 3
-"""The type and the number of a field."""
+"""Size of the type and number of a field."""
 
 
 def check_struct(body: bytes) -> None:
-    """Raise PeerError unless the bytes are one struct whose every part is there.
+    """Raise PeerError unless the bytes are exactly one complete struct.
 
-    A part that claims more than is there leads beyond the end, where the next one isn't found: so
-    one look at each type is enough, and no part needs a check of its own. Half of what a host that
-    serves nobody does is to decode what others tell it.
+    A part that claims more bytes than there are leads beyond the end, where the next part is not
+    found. So one check of each type suffices, and no part needs a bounds check of its own. Speed
+    matters: half of the work of a host that serves no callers is decoding messages of other hosts.
     """
     try:
         end = _skip_struct(body, 0, MAX_DEPTH)
     except (struct.error, IndexError) as error:
-        raise PeerError("a message ends too early") from error
+        raise PeerError("a message is truncated") from error
     if end != len(body):
-        raise PeerError("a message goes on after its end")
+        raise PeerError("a message has bytes after its end")
 
 
-def _skip_struct(body: bytes, at: int, depth: int) -> int:
-    if depth <= 0 and body[at]:
+def _skip_struct(body: bytes, offset: int, depth: int) -> int:
+    if depth <= 0 and body[offset]:
         raise PeerError("a message is nested too deeply")
-    while kind := body[at]:
-        at += _FIELD_BYTES
+    while kind := body[offset]:
+        offset += _FIELD_BYTES
         width = WIDTHS.get(kind)
         if width is not None:
-            at += width
+            offset += width
         elif kind == STRING:
-            at = _skip_string(body, at)
+            offset = _skip_string(body, offset)
         else:
-            at = _skip_nested(body, at, kind, depth - 1)
-    return at + 1
+            offset = _skip_nested(body, offset, kind, depth - 1)
+    return offset + 1
 
 
-def _skip_string(body: bytes, at: int) -> int:
-    (size,) = _SIZE.unpack_from(body, at)
+def _skip_string(body: bytes, offset: int) -> int:
+    (size,) = _SIZE.unpack_from(body, offset)
     if size < 0:
-        raise PeerError("a message has a text of a negative length")
-    return at + _SIZE.size + int(size)
+        raise PeerError("a message has a string of negative length")
+    return offset + _SIZE.size + int(size)
 
 
-def _skip_nested(body: bytes, at: int, kind: int, depth: int) -> int:
+def _skip_nested(body: bytes, offset: int, kind: int, depth: int) -> int:
     if depth < 0:
         raise PeerError("a message is nested too deeply")
     if kind == STRUCT:
-        return _skip_struct(body, at, depth)
+        return _skip_struct(body, offset, depth)
     if kind in (LIST, SET):
-        element, size = _LIST.unpack_from(body, at)
-        return _skip_elements(body, at + _LIST.size, (element,), size, depth)
+        element, size = _LIST.unpack_from(body, offset)
+        return _skip_elements(body, offset + _LIST.size, (element,), size, depth)
     if kind == MAP:
-        key, value, size = _MAP.unpack_from(body, at)
-        return _skip_elements(body, at + _MAP.size, (key, value), size, depth)
-    raise PeerError(f"a message has a value of the unknown type {kind}")
+        key, value, size = _MAP.unpack_from(body, offset)
+        return _skip_elements(body, offset + _MAP.size, (key, value), size, depth)
+    raise PeerError(f"a message has a value of unknown type {kind}")
 
 
-def _skip_elements(body: bytes, at: int, kinds: tuple[int, ...], size: int, depth: int) -> int:
+def _skip_elements(body: bytes, offset: int, kinds: tuple[int, ...], size: int, depth: int) -> int:
     if not 0 <= size <= len(body):
-        raise PeerError("a message has a list that is longer than itself")
+        raise PeerError("a list claims more elements than the message has bytes")
     if all(kind in WIDTHS for kind in kinds):
-        return at + size * sum(WIDTHS[kind] for kind in kinds)
+        return offset + size * sum(WIDTHS[kind] for kind in kinds)
     for _ in range(size):
         for kind in kinds:
-            at = _skip_value(body, at, kind, depth - 1)
-    return at
+            offset = _skip_value(body, offset, kind, depth - 1)
+    return offset
 
 
-def _skip_value(body: bytes, at: int, kind: int, depth: int) -> int:
+def _skip_value(body: bytes, offset: int, kind: int, depth: int) -> int:
     if depth < 0:
         raise PeerError("a message is nested too deeply")
     width = WIDTHS.get(kind)
     if width is not None:
-        return at + width
+        return offset + width
     if kind == STRING:
-        return _skip_string(body, at)
-    return _skip_nested(body, at, kind, depth)
+        return _skip_string(body, offset)
+    return _skip_nested(body, offset, kind, depth)
