--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -86,7 +86,7 @@
             async def open_slowly(place, timeout_s):
                 connection = await open_connection(place, timeout_s)
                 if place.address == leaving.endpoint.address:
-                    host.directory.note_statement(place.life, Statement(leaving=True))
+                    host.directory.note_statement(place.incarnation, Statement(leaving=True))
                 return connection
 
             pool.acquire = open_slowly
