--- a/cloverway/core/documents.py
+++ b/cloverway/core/documents.py
@@ -40,7 +40,7 @@
 class _KnownDocument(NamedTuple):
     document: Document
     content_hash: int
-    """Hash of the decoded content."""
+    """Hash of the content, without the counters of endpoint entries."""
     changed_revision: int
     """The revision at which this host first saw this content."""
 
--- a/cloverway/core/lookup.py
+++ b/cloverway/core/lookup.py
@@ -73,13 +73,13 @@
     ready = [own] if own.ready else []
     ready += [peer.member for peer in members.list_alive(now) if peer.member.ready]
     leaving = members.list_leaving(now)
-    most = max((home_regions.get(member.region, 0) for member in ready), default=0)
-    near = [member for member in ready if member.domain == domain]
+    max_home_routes = max((home_regions.get(member.region, 0) for member in ready), default=0)
+    in_domain = [member for member in ready if member.domain == domain]
     choices: Iterable[Sequence[Member]] = (
-        select_largest_hosts(near, members.sum_request_rates(domain, now)),
+        select_largest_hosts(in_domain, members.sum_request_rates(domain, now)),
         [member for member in ready if member.region == region],
         [member for member in leaving if member.region == region],
-        [member for member in ready if home_regions.get(member.region, 0) == most],
+        [member for member in ready if home_regions.get(member.region, 0) == max_home_routes],
         ready,
         leaving,
     )
