--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -107,7 +107,9 @@
         """
         with self._lock:
             recent = self._quarantine.list_updates(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
-            held = self._quarantine.list_blocked_crashes(now, MAX_BROADCAST_REQUESTS) if full else ()
+            held = (
+                self._quarantine.list_blocked_crashes(now, MAX_BROADCAST_REQUESTS) if full else ()
+            )
         return recent._replace(crashes=recent.crashes + held)
 
     def _log_crashes(
@@ -120,7 +122,8 @@
                 extra={
                     "life": crash.incarnation,
                     "requests": len(crash.digests),
-                    "heard": is_remote},
+                    "heard": is_remote,
+                },
             )
             for digest in crash.digests:
                 hold = self.find_hold(digest, now)
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -80,9 +80,7 @@
 
     def take_pending(self, now: float) -> UpdateBatch:
         """Return the pending updates and clear them."""
-        detected = CrashUpdate(
-            tuple(map(_merge, self._detected.values())), tuple(self._served)
-        )
+        detected = CrashUpdate(tuple(map(_merge, self._detected.values())), tuple(self._served))
         forwarded = CrashUpdate(tuple(self._forwarded), ())
         self._detected, self._served, self._forwarded = (
             defaultdict(list),
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -167,7 +167,8 @@
     ends = CrashTracker(make_settings().quarantine)
     request = make_request(1, 0.0, 20.0)
     for number in range(MAX_CRASHES):
-        ends.apply_update(CrashUpdate((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0
+        ends.apply_update(
+            CrashUpdate((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0
         )
     refused = ends.find_refusal(request, 10.0)
     assert refused is not None
