--- a/cloverway/core/calls.py
+++ b/cloverway/core/calls.py
@@ -16,7 +16,7 @@
     return int.from_bytes(digest.digest(), "big") >> 1
 
 
-class PromptPart(NamedTuple):
+class PromptSegment(NamedTuple):
     """One part of a prompt; parts with the same id are shared between prompts."""
 
     id: int
@@ -26,11 +26,11 @@
 class Prompt(NamedTuple):
     """What is known of the work for a model engine."""
 
-    tokens_in: int
-    tokens_out: int
+    input_tokens: int
+    max_output_tokens: int
     """The most tokens that may be generated."""
-    parts: tuple[PromptPart, ...] = ()
-    likely_out: int | None = None
+    segments: tuple[PromptSegment, ...] = ()
+    expected_output_tokens: int | None = None
     """The caller's estimate of the tokens that will be generated."""
 
 
@@ -50,7 +50,7 @@
     """When the caller stops waiting."""
     prompt: Prompt | None = None
     last_event_id: str = ""
-    passed_on: PassedOn | None = None
+    passed_on: ForwardingContext | None = None
 
     @property
     def path(self) -> str:
@@ -66,7 +66,7 @@
         return compute_digest((self.method, self.host, self.target), self.body)
 
 
-class PassedOn(NamedTuple):
+class ForwardingContext(NamedTuple):
     """What the host that a caller is connected to tells the one it passes the request on to."""
 
     version: int
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -28,22 +28,22 @@
 """How long an endpoint whose entry was removed is still used. Entries lapse together while the
 store is away and are back within two seconds; without the wait a host would have no endpoint at
 all just then. An endpoint that leaves without a word works on for longer than this."""
-RETURN_COLD_S = 2.0
+POST_EVACUATION_COLD_S = 2.0
 """How long the endpoints of a domain that was evacuated are taken for cold after it is taken back,
 unless their entries say so themselves: a heartbeat of theirs is on its way for less than this."""
-MISDIRECTED_S = 3.0
+MISDIRECTED_BACKOFF_S = 3.0
 """How long an endpoint gets nothing after another one has answered at its address: by then its own
 entry has lapsed, or says where it is now. Each request that is led there would lose a try."""
-REFUSED_S = 0.5
+REFUSED_BACKOFF_S = 0.5
 """How long an endpoint gets nothing after nobody listened at its address: it has ended, and its
 entry lapses only after its last heartbeats, or it starts again. One try each half second finds out
 when it is back; requests wait that long for the only one."""
-LONGEST_PAUSE_S = 3_600.0
+MAX_PAUSE_S = 3_600.0
 """The longest time for which an endpoint that asks for a pause is left alone: a number that is
 wrong by a factor of a thousand must not take it out for good."""
-MOST_PAUSES = 4_096
+MAX_PAUSES = 4_096
 """Lives of endpoints whose last pause is remembered."""
-MOST_PAST_LIVES = 2_000
+MAX_PAST_ENTRIES = 2_000
 """Endpoints that are gone whose last entry is remembered, so that an older one of theirs that comes
 late isn't taken for a new endpoint's."""
 
@@ -58,14 +58,14 @@
         self.missing_since: float | None = None
         self.cold_until = 0.0
         self.leaves_at: float | None = None
-        self.last_cold_send = float("-inf")
-        self.is_unreadable = False
+        self.last_cold_send_at = float("-inf")
+        self.has_unreadable_entry = False
         """Whether its entry can't be read any more."""
         self.misdirected_at = float("-inf")
         """When another endpoint answered at its address."""
         self.refused_at = float("-inf")
         """When nobody listened at its address."""
-        self.has_said_leaving = False
+        self.has_announced_leaving = False
         """Whether it has said in an answer that it leaves. Its entry tells later, and not at all
         while the store is away."""
 
@@ -75,15 +75,15 @@
 
     def is_down(self, now: float) -> bool:
         """Tell whether nobody listened at its address just now."""
-        return now - self.refused_at < REFUSED_S
+        return now - self.refused_at < REFUSED_BACKOFF_S
 
     def is_leaving(self, now: float) -> bool:
         """Tell whether the endpoint must get nothing new."""
-        if self.entry.draining or self.leaves_at is not None or self.is_unreadable:
+        if self.entry.draining or self.leaves_at is not None or self.has_unreadable_entry:
             return True
-        if self.has_said_leaving:
+        if self.has_announced_leaving:
             return True
-        if now - self.misdirected_at < MISDIRECTED_S:
+        if now - self.misdirected_at < MISDIRECTED_BACKOFF_S:
             return True
         return self.missing_since is not None and now - self.missing_since >= MISSING_GRACE_S
 
@@ -109,7 +109,7 @@
         """What endpoints say of themselves in their answers."""
         self._paused_until: OrderedDict[str, float] = OrderedDict()
         """Until when each life of an endpoint wants nothing from this host."""
-        self._past_lives: OrderedDict[str, EndpointEntry] = OrderedDict()
+        self._past_entries: OrderedDict[str, EndpointEntry] = OrderedDict()
         """The last entries of endpoints that are gone."""
         self._by_service: dict[str, list[Endpoint]] = {}
 
@@ -134,7 +134,7 @@
         news = self.statements.note(life, statement)
         if News.LEAVING in news:
             for endpoint in self.endpoints.values():
-                endpoint.has_said_leaving |= endpoint.entry.life == life
+                endpoint.has_announced_leaving |= endpoint.entry.life == life
         return news
 
     def list_statements(self, since: float) -> list[tuple[str, Statement]]:
@@ -144,10 +144,10 @@
 
     def note_pause(self, life: str, seconds: float, now: float) -> None:
         """Note that a life of an endpoint wants nothing from this host for some time."""
-        until = now + min(seconds, LONGEST_PAUSE_S)
+        until = now + min(seconds, MAX_PAUSE_S)
         self._paused_until[life] = max(until, self._paused_until.get(life, until))
         self._paused_until.move_to_end(life)
-        if len(self._paused_until) > MOST_PAUSES:
+        if len(self._paused_until) > MAX_PAUSES:
             self._paused_until.popitem(last=False)
 
     def get_pause_s(self, endpoint: Endpoint, now: float) -> float:
@@ -162,7 +162,7 @@
         """Count the endpoints that name a limit."""
         return sum(map(self.is_limited, self.endpoints.values()))
 
-    def note_born(self, name: str, born_ms: int, now: float) -> list[Change]:
+    def note_start(self, name: str, born_ms: int, now: float) -> list[Change]:
         """Note when the endpoint at an address started, by its own word; give what changed.
 
         Its entry comes later. Until then the new life is taken to be as cold as its service is
@@ -189,7 +189,7 @@
             if endpoint.missing_since is not None and endpoint.is_leaving(now)
         ]
         for name in gone:
-            self._note_past_life(self.endpoints.pop(name).entry)
+            self._note_past_entry(self.endpoints.pop(name).entry)
         if gone:
             self._index()
         return [Change("endpoint_gone", name) for name in gone]
@@ -211,8 +211,8 @@
                 return self._apply_entry(entry, now)
 
     def _apply_configuration(self, configuration: Configuration) -> list[Change]:
-        held = self.configuration
-        if held is not None and configuration.version <= held.version:
+        current = self.configuration
+        if current is not None and configuration.version <= current.version:
             # A stale read must never bring an older version back: callers would see routes vanish
             # that they have already used.
             return []
@@ -231,7 +231,7 @@
         self.evacuated.discard(domain)
         for endpoint in self.endpoints.values():
             if endpoint.entry.domain == domain:
-                endpoint.cold_until = max(endpoint.cold_until, now + RETURN_COLD_S)
+                endpoint.cold_until = max(endpoint.cold_until, now + POST_EVACUATION_COLD_S)
         return [Change("taken_back", domain)]
 
     def _apply_removal(self, name: str, now: float) -> list[Change]:
@@ -249,12 +249,12 @@
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            endpoint.is_unreadable = True
+            endpoint.has_unreadable_entry = True
         return [Change("endpoint_unreadable", name, why)]
 
     def _apply_entry(self, entry: EndpointEntry, now: float) -> list[Change]:
         endpoint = self.endpoints.get(entry.id)
-        known = endpoint.entry if endpoint is not None else self._past_lives.get(entry.id)
+        known = endpoint.entry if endpoint is not None else self._past_entries.get(entry.id)
         if known is not None and known.born_ms is not None:
             if entry.born_ms is None:
                 return self._apply_unreadable(entry.id, "the start is missing")
@@ -271,7 +271,7 @@
             change = Change("endpoint_reborn", entry.id, entry.life)
         elif entry.draining and not endpoint.entry.draining:
             change = Change("endpoint_draining", entry.id)
-        elif endpoint.missing_since is not None or endpoint.is_unreadable:
+        elif endpoint.missing_since is not None or endpoint.has_unreadable_entry:
             change = Change("endpoint_back", entry.id)
         else:
             change = None
@@ -280,11 +280,11 @@
 
     def _add(self, entry: EndpointEntry) -> Endpoint:
         region = self.topology.region_of(entry.domain)
-        past = self._past_lives.pop(entry.id, None)
+        past = self._past_entries.pop(entry.id, None)
         if past is not None and past.born_ms == entry.born_ms:
             entry = entry._replace(draining=entry.draining or past.draining)
         endpoint = self.endpoints[entry.id] = Endpoint(entry, region)
-        endpoint.has_said_leaving = self.statements.get(entry.life).leaving
+        endpoint.has_announced_leaving = self.statements.get(entry.life).leaving
         return endpoint
 
     def _update(self, endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
@@ -296,7 +296,7 @@
         draining = entry.draining or endpoint.entry.draining
         endpoint.entry = entry._replace(draining=draining)
         endpoint.missing_since = None
-        endpoint.is_unreadable = False
+        endpoint.has_unreadable_entry = False
         endpoint.cold_until = (
             now + entry.cold_s if entry.cold_s > 0 else min(endpoint.cold_until, now)
         )
@@ -308,10 +308,10 @@
         found = configuration.services.get(service) if configuration is not None else None
         return found.cold_s if found is not None else 0.0
 
-    def _note_past_life(self, entry: EndpointEntry) -> None:
-        self._past_lives[entry.id] = entry
-        if len(self._past_lives) > MOST_PAST_LIVES:
-            self._past_lives.popitem(last=False)
+    def _note_past_entry(self, entry: EndpointEntry) -> None:
+        self._past_entries[entry.id] = entry
+        if len(self._past_entries) > MAX_PAST_ENTRIES:
+            self._past_entries.popitem(last=False)
 
     def _index(self) -> None:
         self._by_service = {}
--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -12,30 +12,30 @@
 
 from cloverway.core.decay import DecayingSum
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.kv_fetch import SOUND_FAILURES
+from cloverway.core.kv_fetch import MAX_HEALTHY_FAILURES
 from cloverway.core.members import rank_for
-from cloverway.core.prediction import DEFAULT_GAP_S, STALL_PART, Candidate, Wanted
+from cloverway.core.prediction import DEFAULT_GAP_OBJECTIVE_S, STALL_FRACTION, Candidate, RoutedCall
 
-SEEN_HALF_S = 6.0
+OBSERVATION_HALF_LIFE_S = 6.0
 """Age at which answers and prompts count half: about as long as the answers of one engine take, so
 that a change of the traffic is followed within some of them."""
-LATE_PART = 0.03
+MIN_LATE_FRACTION = 0.03
 """Part of the answers that paused too long from which on prompts are kept apart. Engines that keep
 to the wanted pause however much they read would lose by it: each prompt has fewer of them."""
-LEAST_ANSWERS = 8.0
+MIN_ANSWERS = 8.0
 """Answers, older ones counting less, before that part says anything."""
-CHOOSE_EVERY_S = 0.5
+SELECTION_TTL_S = 0.5
 """How long a choice of engines holds. The order of the engines is hashed, 20 us for 18 of them, and
 an engine that joins or leaves moves one place."""
-AVOID_S = 0.8
+AVOIDANCE_COST_S = 0.8
 """Time that an answer counts at an engine that large prompts are kept to, if one will meet it: some
 late answer there, or one of its own behind others elsewhere. With 2.0 worth was the same."""
-MET_AFTER_S = 2.0
+LARGE_PROMPT_INTERVAL_S = 2.0
 """Time after which an answer has met a large prompt at such an engine. At 1.2 to 2 times what its
 engines bear, one was sent to each of them every two to three seconds."""
 
 
-class Isolation:
+class LargePromptIsolation:
     """What a host has seen of prompts and pauses at a service, and the engines it chose by that.
 
     All hosts of a region order its engines alike and see about the same traffic, so they choose
@@ -44,10 +44,10 @@
 
     def __init__(self, service: str) -> None:
         self._service = service
-        self._answers = DecayingSum(SEEN_HALF_S)
-        self._late = DecayingSum(SEEN_HALF_S)
-        self._read = DecayingSum(SEEN_HALF_S)
-        self._large = DecayingSum(SEEN_HALF_S)
+        self._answers = DecayingSum(OBSERVATION_HALF_LIFE_S)
+        self._late = DecayingSum(OBSERVATION_HALF_LIFE_S)
+        self._prefill = DecayingSum(OBSERVATION_HALF_LIFE_S)
+        self._large = DecayingSum(OBSERVATION_HALF_LIFE_S)
         self._chosen: frozenset[str] = frozenset()
         self._chosen_at = float("-inf")
 
@@ -56,44 +56,44 @@
         self._answers.add(1.0, now)
         self._late.add(float(longest_gap_s > objective_s), now)
 
-    def note_prompt(self, wanted: Wanted, candidate: Candidate, now: float) -> None:
+    def note_prompt(self, routed: RoutedCall, candidate: Candidate, now: float) -> None:
         """Note a prompt that is sent to an engine."""
-        self._read.add(candidate.read_s, now)
-        if is_large(wanted, candidate):
-            self._large.add(candidate.read_s, now)
+        self._prefill.add(candidate.prefill_s, now)
+        if is_large_prompt(routed, candidate):
+            self._large.add(candidate.prefill_s, now)
 
-    def choose(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
+    def select_engines(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
         """Choose the engines of a region that get its large prompts, by their ids.
 
         None are chosen, and all get them, where answers don't pause too long or there is one engine
         only. An engine that fails is left out: it would get them all the same.
         """
-        if now - self._chosen_at >= CHOOSE_EVERY_S:
-            self._chosen = self._choose(endpoints, now)
+        if now - self._chosen_at >= SELECTION_TTL_S:
+            self._chosen = self._select_engines(endpoints, now)
             self._chosen_at = now
         return self._chosen
 
-    def _choose(self, endpoints: Iterable[Endpoint], now: float) -> frozenset[str]:
+    def _select_engines(self, endpoints: Iterable[Endpoint], now: float) -> frozenset[str]:
         answers = self._answers.get(now)
-        if answers < LEAST_ANSWERS or self._late.get(now) < LATE_PART * answers:
+        if answers < MIN_ANSWERS or self._late.get(now) < MIN_LATE_FRACTION * answers:
             return frozenset()
-        sound = [e.entry.id for e in endpoints if e.load.failures(now) <= SOUND_FAILURES]
-        if len(sound) < 2:
+        healthy = [e.entry.id for e in endpoints if e.load.failures(now) <= MAX_HEALTHY_FAILURES]
+        if len(healthy) < 2:
             return frozenset()
-        sound.sort(key=lambda name: rank_for(self._service, name))
-        share = self._large.get(now) / max(self._read.get(now), 1e-9)
-        count = min(len(sound) - 1, max(1, round(len(sound) * share)))
-        return frozenset(sound[:count])
+        healthy.sort(key=lambda name: rank_for(self._service, name))
+        share = self._large.get(now) / max(self._prefill.get(now), 1e-9)
+        count = min(len(healthy) - 1, max(1, round(len(healthy) * share)))
+        return frozenset(healthy[:count])
 
 
-def is_large(wanted: Wanted, candidate: Candidate) -> bool:
+def is_large_prompt(routed: RoutedCall, candidate: Candidate) -> bool:
     """Tell whether the prompt alone makes answers at an engine pause too long."""
-    pause_s = wanted.route.gap_objective_s or DEFAULT_GAP_S
-    return candidate.read_s > STALL_PART * pause_s
+    pause_s = routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S
+    return candidate.prefill_s > STALL_FRACTION * pause_s
 
 
-def keep_apart(
-    wanted: Wanted, candidates: Sequence[Candidate], chosen: frozenset[str]
+def apply_isolation(
+    routed: RoutedCall, candidates: Sequence[Candidate], chosen: frozenset[str]
 ) -> Sequence[Candidate]:
     """Leave out the engines that a large prompt is kept away from, and weigh answers against it.
 
@@ -102,15 +102,15 @@
     if not chosen:
         return candidates
     kept = [
-        _weigh(wanted, candidate, candidate.endpoint.entry.id in chosen)
+        _add_avoidance_cost(routed, candidate, candidate.endpoint.entry.id in chosen)
         for candidate in candidates
-        if candidate.endpoint.entry.id in chosen or not is_large(wanted, candidate)
+        if candidate.endpoint.entry.id in chosen or not is_large_prompt(routed, candidate)
     ]
     return kept or candidates
 
 
-def _weigh(wanted: Wanted, candidate: Candidate, is_chosen: bool) -> Candidate:
-    if not is_chosen or is_large(wanted, candidate):
+def _add_avoidance_cost(routed: RoutedCall, candidate: Candidate, is_chosen: bool) -> Candidate:
+    if not is_chosen or is_large_prompt(routed, candidate):
         return candidate
-    meets = min(1.0, candidate.answer_s / MET_AFTER_S)
-    return candidate._replace(cost_s=candidate.cost_s + AVOID_S * meets)
+    meets = min(1.0, candidate.decode_s / LARGE_PROMPT_INTERVAL_S)
+    return candidate._replace(cost_s=candidate.cost_s + AVOIDANCE_COST_S * meets)
--- a/cloverway/core/limits.py
+++ b/cloverway/core/limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cloverway.core.cold_start import SETTLED_S
+from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.core.members import rank_for
 
 LEAST_PER_S = 0.2
@@ -38,7 +38,7 @@
     send, those that a hash ranks first for this endpoint. A host that has just started, `age_s`
     ago, doesn't know the others yet and has no share.
     """
-    if age_s < SETTLED_S:
+    if age_s < MIN_HOST_AGE_S:
         return None
     limit_per_s = max(limit_per_s, LEAST_PER_S)
     holders = LEAST_HOLDERS + int(HOLDERS_PER_REQUEST * limit_per_s)
--- a/cloverway/core/prefix_cache.py
+++ b/cloverway/core/prefix_cache.py
@@ -6,39 +6,39 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cloverway.core.calls import Prompt, PromptPart
+from cloverway.core.calls import Prompt, PromptSegment
 
 
-class _Held(NamedTuple):
+class _CachedSegment(NamedTuple):
     tokens: int
     ready_at: float
     """When the part has been read, by prediction."""
 
 
-class HeldParts:
+class CachedSegments:
     """The parts that were sent to an endpoint; the least recently used ones yield."""
 
     def __init__(self) -> None:
-        self._parts: OrderedDict[int, _Held] = OrderedDict()
+        self._segments: OrderedDict[int, _CachedSegment] = OrderedDict()
         self._tokens = 0
 
-    def note(self, parts: Iterable[PromptPart], ready_at: float) -> None:
+    def note(self, segments: Iterable[PromptSegment], ready_at: float) -> None:
         """Note that the endpoint has been sent these parts, and will have read them some time."""
-        for part in parts:
-            held = self._parts.pop(part.id, None)
-            if held is not None:
-                self._tokens -= held.tokens
-                ready_at_part = min(ready_at, held.ready_at)
+        for segment in segments:
+            cached = self._segments.pop(segment.id, None)
+            if cached is not None:
+                self._tokens -= cached.tokens
+                segment_ready_at = min(ready_at, cached.ready_at)
             else:
-                ready_at_part = ready_at
-            self._parts[part.id] = _Held(part.tokens, ready_at_part)
-            self._tokens += part.tokens
+                segment_ready_at = ready_at
+            self._segments[segment.id] = _CachedSegment(segment.tokens, segment_ready_at)
+            self._tokens += segment.tokens
 
     def trim(self, capacity: int) -> None:
         """Forget the least recently used parts until the rest fits into some tokens."""
-        while self._tokens > capacity and self._parts:
-            _, held = self._parts.popitem(last=False)
-            self._tokens -= held.tokens
+        while self._tokens > capacity and self._segments:
+            _, cached = self._segments.popitem(last=False)
+            self._tokens -= cached.tokens
 
     def count_expected(self, prompt: Prompt) -> int:
         """Give the leading tokens of a prompt that the endpoint holds or is about to read."""
@@ -54,9 +54,9 @@
 
     def _count(self, prompt: Prompt, ready_by: float) -> int:
         tokens = 0
-        for part in prompt.parts:
-            held = self._parts.get(part.id)
-            if held is None or held.ready_at > ready_by:
+        for segment in prompt.segments:
+            cached = self._segments.get(segment.id)
+            if cached is None or cached.ready_at > ready_by:
                 break
-            tokens += held.tokens
-        return min(tokens, prompt.tokens_in)
+            tokens += cached.tokens
+        return min(tokens, prompt.input_tokens)
--- a/cloverway/core/retry_budget.py
+++ b/cloverway/core/retry_budget.py
@@ -5,12 +5,12 @@
 from collections import deque
 from typing import NamedTuple
 
-USED_PART = 0.8
+USABLE_FRACTION = 0.8
 """Part of the budget that hosts use, all together: the rest covers the edges of windows, since a
 request may be counted in one window and its retry in the next."""
 
 
-class BudgetTerms(NamedTuple):
+class RetryBudgetTerms(NamedTuple):
     """Extra sends to a service that are allowed in any window of time, over all hosts."""
 
     ratio: float = 0.1
@@ -27,7 +27,7 @@
     hosts then stays within the budget without a word between them, also while they are cut off.
     """
 
-    def __init__(self, terms: BudgetTerms) -> None:
+    def __init__(self, terms: RetryBudgetTerms) -> None:
         self._terms = terms
         self._requests: deque[float] = deque()
         self._extra: deque[float] = deque()
@@ -41,7 +41,7 @@
         """Take one extra send, if this host's share holds one; `hosts` is the size of the fleet."""
         self._forget(now)
         share = self._terms.ratio * len(self._requests) + self._terms.slack / max(1, hosts)
-        if len(self._extra) + 1 > USED_PART * share:
+        if len(self._extra) + 1 > USABLE_FRACTION * share:
             return False
         self._extra.append(now)
         return True
--- a/cloverway/core/selection.py
+++ b/cloverway/core/selection.py
@@ -7,31 +7,31 @@
 
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.load import DUTY, EngineState
+from cloverway.core.load import PREFILL_DUTY, EngineState
 from cloverway.core.members import Offer
 from cloverway.core.prediction import (
-    DEFAULT_GAP_S,
-    FAILURE_S,
+    DEFAULT_GAP_OBJECTIVE_S,
+    FAILURE_PENALTY_S,
     Candidate,
-    RegionOffer,
+    RegionCandidate,
     describe_engine,
 )
-from cloverway.core.token_gaps import START_PART
+from cloverway.core.token_gaps import INITIAL_BURST_RATIO
 
-OFFER_S = 0.05
+OFFERED_PREFILL_S = 0.05
 """Time to read one request that another region is told there is room for: between a small and a
 large one. With 0.13 s, small requests found no region that had room, and a tenth was refused."""
-REGAINED_PART = DUTY / 2
+RECOVERY_FRACTION = PREFILL_DUTY / 2
 """Part of the time since an offer in which its engines are taken to have read what waited there:
 half of what is wanted of them, since their own region sends them prompts meanwhile. Taken as it was
 told, a region that was full at that moment stayed full until it was heard again, and what waits at
 an engine is read within that time: requests of an evacuated region were refused beside engines that
 read 0.4 of the time."""
-ANY_TOKENS = 1_000_000
+UNLIMITED_TOKENS = 1_000_000
 """Prompt tokens that an idle engine takes: it reads a prompt of any size at once."""
 
 
-class Room(NamedTuple):
+class RegionCapacity(NamedTuple):
     """What the endpoints of a region can take of a service."""
 
     wait_s: float
@@ -44,53 +44,53 @@
     """The engine with the shortest queue, for a service that has engines."""
 
 
-def offer_region(
-    service: Service, endpoints: Sequence[Endpoint], line_s: float, now: float
-) -> Room:
+def compute_region_capacity(
+    service: Service, endpoints: Sequence[Endpoint], queued_s: float, now: float
+) -> RegionCapacity:
     """Sum up what the endpoints of this region can take now.
 
     `line_s` is the work of the requests that wait here. They go first, so nothing is free while
     there are any: engines have room for moments also when more comes than they bear, and what was
     passed on for such a moment waited here in vain.
     """
-    rooms = [_offer_endpoint(service, endpoint, now) for endpoint in endpoints]
+    rooms = [_compute_endpoint_capacity(service, endpoint, now) for endpoint in endpoints]
     best = min(rooms, key=lambda room: room.wait_s)
-    free = sum(room.free for room in rooms) if not line_s else 0
-    wait_s = best.wait_s + line_s / (len(rooms) * DUTY)
-    return Room(wait_s, free, max(room.tokens for room in rooms), best.engine)
+    free = sum(room.free for room in rooms) if not queued_s else 0
+    wait_s = best.wait_s + queued_s / (len(rooms) * PREFILL_DUTY)
+    return RegionCapacity(wait_s, free, max(room.tokens for room in rooms), best.engine)
 
 
-def _offer_endpoint(service: Service, endpoint: Endpoint, now: float) -> Room:
+def _compute_endpoint_capacity(service: Service, endpoint: Endpoint, now: float) -> RegionCapacity:
     load = endpoint.load
     slots = max(1, endpoint.entry.slots)
-    running = load.sum_all(now).running
+    running = load.sum_region_load(now).running
     places = max(0, slots - running)
-    failed_s = FAILURE_S * load.failures(now)
+    failed_s = FAILURE_PENALTY_S * load.failures(now)
     if service.engine is None:
-        queue_s = load.work_s * max(0, running + 1 - slots) / slots
-        return Room(queue_s + failed_s, places, 0)
+        queue_s = load.service_time_s * max(0, running + 1 - slots) / slots
+        return RegionCapacity(queue_s + failed_s, places, 0)
     engine = describe_engine(endpoint, running, now)
-    left_s = max(0.0, load.burst_part * DEFAULT_GAP_S - engine.queue_s)
-    left = int(left_s / engine.read_s_per_token) if engine.queue_s else ANY_TOKENS
-    places = min(places, int(left_s / OFFER_S))
-    return Room(engine.queue_s + failed_s, places, left if places else 0, engine)
+    left_s = max(0.0, load.burst_ratio * DEFAULT_GAP_OBJECTIVE_S - engine.queue_s)
+    left = int(left_s / engine.prefill_s_per_token) if engine.queue_s else UNLIMITED_TOKENS
+    places = min(places, int(left_s / OFFERED_PREFILL_S))
+    return RegionCapacity(engine.queue_s + failed_s, places, left if places else 0, engine)
 
 
-def update_offer(offer: Offer, age_s: float) -> Offer:
+def extrapolate_offer(offer: Offer, age_s: float) -> Offer:
     """Give what a region has offered as it will stand some time later.
 
     What waits there beyond what may wait at engines is read first.
     """
-    read_s_per_token = offer.engine.read_s_per_token
-    burst_s = START_PART * DEFAULT_GAP_S
-    over_s = max(0.0, offer.wait_s - burst_s)
-    regained_s = min(REGAINED_PART * age_s - over_s, burst_s)
-    if not read_s_per_token or regained_s <= 0:
+    prefill_s_per_token = offer.engine.prefill_s_per_token
+    burst_s = INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
+    excess_s = max(0.0, offer.wait_s - burst_s)
+    recovered_s = min(RECOVERY_FRACTION * age_s - excess_s, burst_s)
+    if not prefill_s_per_token or recovered_s <= 0:
         return offer
     return offer._replace(
-        wait_s=max(0.0, offer.wait_s - REGAINED_PART * age_s),
-        free=offer.free + int(regained_s / OFFER_S),
-        room=offer.room + int(regained_s / read_s_per_token),
+        wait_s=max(0.0, offer.wait_s - RECOVERY_FRACTION * age_s),
+        free=offer.free + int(recovered_s / OFFERED_PREFILL_S),
+        room=offer.room + int(recovered_s / prefill_s_per_token),
     )
 
 
@@ -107,8 +107,8 @@
     """
     if not candidates:
         return None
-    line_s = ahead_s / (len(candidates) * DUTY)
-    return line_s + min(candidate.free_s for candidate in candidates)
+    queued_s = ahead_s / (len(candidates) * PREFILL_DUTY)
+    return queued_s + min(candidate.available_in_s for candidate in candidates)
 
 
 def estimate_wait(candidates: Sequence[Candidate], ahead_s: float) -> float:
@@ -118,16 +118,16 @@
     """
     if not candidates:
         return float("inf")
-    line_s = ahead_s / (len(candidates) * DUTY)
-    return line_s + min(candidate.cost_s + candidate.free_s for candidate in candidates)
+    queued_s = ahead_s / (len(candidates) * PREFILL_DUTY)
+    return queued_s + min(candidate.cost_s + candidate.available_in_s for candidate in candidates)
 
 
 def choose_region(
-    stay_s: float, offers: Sequence[RegionOffer], margin_s: float
-) -> RegionOffer | None:
+    local_cost_s: float, offers: Sequence[RegionCandidate], margin_s: float
+) -> RegionCandidate | None:
     """Give the region to pass a request on to, or None to keep it here, where it costs `stay_s`.
 
     A region far away must be better by a margin: what is known of it is older.
     """
     best = min(offers, key=lambda offer: offer.cost_s, default=None)
-    return best if best is not None and best.cost_s + margin_s < stay_s else None
+    return best if best is not None and best.cost_s + margin_s < local_cost_s else None
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -19,7 +19,7 @@
 COMPANY_S = 0.03
 """Time that each request counts which runs at an endpoint that a suspect is sent to: it is lost
 with the endpoint."""
-AVOID_S = 0.3
+AVOIDANCE_COST_S = 0.3
 """Time that an endpoint counts more for other requests while a suspect runs there."""
 
 
@@ -77,8 +77,8 @@
 def _weigh(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
     """Add what it costs that suspects meet at an endpoint; None where they must not."""
     if level is Level.NONE:
-        return candidate.add_cost(AVOID_S * (there is not Level.NONE))
+        return candidate.with_added_cost(AVOIDANCE_COST_S * (there is not Level.NONE))
     if Level.ALONE in (level, there) and there is not Level.NONE:
         return None
     apart_s = APART_S * (there is not Level.NONE)
-    return candidate.add_cost(apart_s + COMPANY_S * candidate.running)
+    return candidate.with_added_cost(apart_s + COMPANY_S * candidate.running)
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Sequence
 from urllib.parse import parse_qs
 
-from cloverway.core.calls import Call, Header, Prompt, PromptPart
+from cloverway.core.calls import Call, Header, Prompt, PromptSegment
 from cloverway.core.deployment import Document, Publication
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.platform import names
@@ -180,12 +180,12 @@
     return Prompt(int(counts[0]), int(counts[1]), parts, likely)
 
 
-def _decode_parts(value: bytes) -> Iterable[PromptPart]:
+def _decode_parts(value: bytes) -> Iterable[PromptSegment]:
     for item in filter(None, value.split(b",")):
         name, _, tokens = item.strip().partition(b":")
         try:
             # Cut to 63 bits: what hosts tell each other of parts has signed numbers.
-            yield PromptPart(int(name, 16) & (1 << 63) - 1, int(tokens))
+            yield PromptSegment(int(name, 16) & (1 << 63) - 1, int(tokens))
         except ValueError:
             raise RequestError(Kind.MALFORMED, "the parts of the prompt can't be read") from None
 
--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -111,7 +111,7 @@
 
     def note_born(self, name: str, born_ms: int) -> None:
         """Take over that an endpoint has started again, by its own word, before its entry tells."""
-        self._tell(self.directory.note_born(name, born_ms, read_clock()))
+        self._tell(self.directory.note_start(name, born_ms, read_clock()))
 
     def is_reader(self, now: float) -> bool:
         """Tell whether this host reads the store for the others of its failure domain.
--- a/cloverway/serving/hosts/offers.py
+++ b/cloverway/serving/hosts/offers.py
@@ -7,7 +7,7 @@
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import EngineState
 from cloverway.core.members import Offer
-from cloverway.core.selection import Room, offer_region
+from cloverway.core.selection import RegionCapacity, compute_region_capacity
 from cloverway.serving.hosts.peerwire import RegionOffer
 
 MOST_FREE = 1000
@@ -37,7 +37,7 @@
             and not directory.get_pause_s(endpoint, now)
         ]
         if endpoints:
-            room = offer_region(service, endpoints, sum_waiting(service.name), now)
+            room = compute_region_capacity(service, endpoints, sum_waiting(service.name), now)
             offers.append(_encode_room(service.name, room))
         else:
             # Left out, what was offered last would hold on, and grow with its age.
@@ -52,13 +52,13 @@
     return Offer(offer.service_name, wait_s, offer.free, offer.room, engine)
 
 
-def _encode_room(service: str, room: Room) -> RegionOffer:
+def _encode_room(service: str, room: RegionCapacity) -> RegionOffer:
     free = min(room.free, MOST_FREE)
     offer = RegionOffer(service, int(room.wait_s * 1000), free, room.tokens)
     if room.engine is None:
         return offer
     return offer._replace(
-        read_ns=int(room.engine.read_s_per_token * 1e9),
-        token_us=int(room.engine.token_s * 1e6),
+        read_ns=int(room.engine.prefill_s_per_token * 1e9),
+        token_us=int(room.engine.decode_s_per_token * 1e6),
         running=room.engine.running,
     )
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from cloverway.core.prediction import Candidate, Wanted
+from cloverway.core.prediction import Candidate, RoutedCall
 from cloverway.core.quarantine import Level, Quarantine
 from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
 from cloverway.serving.hosts.news import FreshNews
@@ -32,25 +32,25 @@
         self.tell_soon: Callable[[float], None] = lambda delay_s: None
 
     def keep_apart(
-        self, wanted: Wanted, candidates: Sequence[Candidate], now: float
+        self, routed: RoutedCall, candidates: Sequence[Candidate], now: float
     ) -> Sequence[Candidate]:
         """Weigh the endpoints that may run a request by the suspects that run there."""
-        level = self._quarantine.get_level(wanted.digest, now)
-        return keep_apart(wanted.digest, level, candidates, self._runs.list_running(now))
+        level = self._quarantine.get_level(routed.digest, now)
+        return keep_apart(routed.digest, level, candidates, self._runs.list_running(now))
 
-    def begin(self, number: int, wanted: Wanted, life: str, until: float, now: float) -> None:
+    def begin(self, number: int, routed: RoutedCall, life: str, until: float, now: float) -> None:
         """Note that a request is sent to an endpoint."""
-        level = self._quarantine.get_level(wanted.digest, now)
+        level = self._quarantine.get_level(routed.digest, now)
         if level is Level.NONE:
             return
-        self._own[number] = SuspectRun(wanted.digest, life, level, until)
+        self._own[number] = SuspectRun(routed.digest, life, level, until)
         self._note_own()
         tell(
             "suspect_sent",
-            request_id=wanted.call.id,
-            request_digest=f"{wanted.digest:016x}",
+            request_id=routed.call.id,
+            request_digest=f"{routed.digest:016x}",
             to=life,
-            ends=self._quarantine.count_ends(wanted.digest),
+            ends=self._quarantine.count_ends(routed.digest),
             beside=sum(run.life == life for run in self._runs.list_running(now)) - 1,
         )
 
--- a/cloverway/serving/hosts/uses.py
+++ b/cloverway/serving/hosts/uses.py
@@ -5,9 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
-from cloverway.core.calls import PromptPart
+from cloverway.core.calls import PromptSegment
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.load import SiblingLoad
+from cloverway.core.load import HostLoad
 from cloverway.core.members import Members, Peer
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.hosts.peerwire import CODEC, EndpointUse, EndpointUses
@@ -65,10 +65,10 @@
             endpoint = self._directory.endpoints.get(use.endpoint)
             if endpoint is not None and (endpoint.entry.born_ms or 0) == use.born_ms:
                 # What was sent to another life of it is neither at work nor in memory there.
-                parts = [PromptPart(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
-                load = SiblingLoad(use.running, use.unread, use.held, now)
+                parts = [PromptSegment(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
+                load = HostLoad(use.running, use.unread, use.held, now)
                 endpoint.load.note_sibling(message.host, load, parts)
-                endpoint.load.note_read(use.read, now)
+                endpoint.load.note_prefill(use.read, now)
 
     def _tell_now(self) -> None:
         self._is_telling = False
@@ -86,21 +86,21 @@
 
     def _list_news(self, is_refresh: bool) -> list[Endpoint]:
         endpoints = self._directory.endpoints.values()
-        return [endpoint for endpoint in endpoints if endpoint.load.has_news(is_refresh)]
+        return [endpoint for endpoint in endpoints if endpoint.load.has_update(is_refresh)]
 
     def _list_listeners(self) -> list[Peer]:
         return self._members.list_serving(self._members.own.region)
 
 
 def _take_use(endpoint: Endpoint) -> EndpointUse:
-    news = endpoint.load.take_news(MOST_PARTS)
+    news = endpoint.load.take_update(MOST_PARTS)
     return EndpointUse(
         endpoint.entry.id,
         news.own.running,
-        news.own.unread,
-        news.own.held,
-        tuple(part.id for part in news.parts),
-        tuple(part.tokens for part in news.parts),
-        news.read,
+        news.own.prefill_tokens,
+        news.own.reserved_kv_tokens,
+        tuple(part.id for part in news.segments),
+        tuple(part.tokens for part in news.segments),
+        news.sent_prefill_tokens,
         endpoint.entry.born_ms or 0,
     )
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -9,9 +9,9 @@
 
 import h11
 
-from cloverway.core.calls import PassedOn
+from cloverway.core.calls import ForwardingContext
 from cloverway.core.deployment import CallKind
-from cloverway.core.prediction import Wanted
+from cloverway.core.prediction import RoutedCall
 from cloverway.errors import Kind
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
@@ -112,13 +112,13 @@
     def __init__(
         self,
         context: Context,
-        wanted: Wanted,
+        routed: RoutedCall,
         target: Target,
         terms: AttemptTerms,
         on_written: Callable[[], None],
     ) -> None:
         self._context = context
-        self._wanted = wanted
+        self._routed = routed
         self._target = target
         self._terms = terms
         self._on_written = on_written
@@ -142,7 +142,7 @@
         if request is None:
             connection.abort()
             return Declined("no time is left", blames_host=False, arrived=False)
-        sending = Sending(connection, request, self._wanted.call.body)
+        sending = Sending(connection, request, self._routed.call.body)
         kept = False
         try:
             sent_at = read_clock()
@@ -175,7 +175,7 @@
         caller may have left: nothing was sent yet, so it is given up truthfully.
         """
         target = self._target
-        call, route = self._wanted.call, self._wanted.route
+        call, route = self._routed.call, self._routed.route
         left_s = self._terms.limit_at - read_clock()
         if left_s < LEAST_S:
             return None
@@ -198,12 +198,12 @@
     def _encode_pass(self) -> bytes:
         version = self._context.get_configuration().version
         region = self._context.settings.region
-        return f"{version};{self._wanted.service.name};{region}".encode()
+        return f"{version};{self._routed.service.name};{region}".encode()
 
     async def _read_answer(self, sending: Sending, sent_at: float) -> Outcome:
         dialect = self._context.dialect
         target = self._target
-        call, route = self._wanted.call, self._wanted.route
+        call, route = self._routed.call, self._routed.route
         async with bear_silence(self._terms.patience_s):
             head = await sending.read_head(lambda head: dialect.is_answer_to(head, call))
         facts = dialect.decode_reply(head)
@@ -224,7 +224,7 @@
             return Answered(sending, head, None)
         body = await sending.read_body(BODY_LIMIT)
         if target.candidate is not None and head.status < RETRY_STATUS:
-            target.candidate.endpoint.load.learn_work(read_clock() - sent_at)
+            target.candidate.endpoint.load.note_service_time(read_clock() - sent_at)
         return Answered(sending, head, body)
 
     def _note_statement(self, facts: ReplyFacts, sent_at: float) -> None:
@@ -232,7 +232,7 @@
         target, now = self._target, read_clock()
         if target.candidate is None or facts.elsewhere:
             return
-        call_id = self._wanted.call.id
+        call_id = self._routed.call.id
         self._context.statements.note_answer(
             target.name, facts, request_id=call_id, sent_at=sent_at, now=now
         )
@@ -248,7 +248,7 @@
         if head.get(KIND_HEADER) == Kind.QUARANTINED.encode():
             # That says nothing of the room in its region, which stays offered to other requests.
             return Declined(why, blames_host=False, arrived=arrived, is_quarantined=True)
-        service = self._wanted.service.name
+        service = self._routed.service.name
         self._context.targeting.withdraw_offer(target.region, service, sent_at)
         return Declined(why, blames_host=False, arrived=arrived)
 
@@ -270,9 +270,9 @@
     return PEER_IDLE_S if target.peer is not None else None
 
 
-def decode_pass(value: bytes) -> PassedOn | None:
+def decode_pass(value: bytes) -> ForwardingContext | None:
     """Decode what the host says that passed a request on; None when it can't be read."""
     parts = value.decode("latin-1").split(";")
     if len(parts) != 3 or not parts[0].isdigit():
         return None
-    return PassedOn(int(parts[0]), parts[1], parts[2])
+    return ForwardingContext(int(parts[0]), parts[1], parts[2])
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -13,7 +13,7 @@
 
 from cloverway.core.calls import Call
 from cloverway.core.deployment import Route, Service
-from cloverway.core.prediction import Wanted
+from cloverway.core.prediction import RoutedCall
 from cloverway.errors import Kind, Ran, RequestError, take_worse
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
@@ -63,10 +63,10 @@
         self.sent_at = call.arrived_at
         """When the last send began."""
         self.tried: Counter[str] = Counter()
-        self.wanted = Wanted(call, route, self.service, self.tried, call.compute_digest())
-        self.placement = Placement(context, self.wanted, self.limit_at)
-        self.relay = EventRelay(exchange, self.wanted)
-        self.suspicion = Suspicion(context, self.wanted, self.relay.timing)
+        self.routed = RoutedCall(call, route, self.service, self.tried, call.compute_digest())
+        self.placement = Placement(context, self.routed, self.limit_at)
+        self.relay = EventRelay(exchange, self.routed)
+        self.suspicion = Suspicion(context, self.routed, self.relay.timing)
 
     async def run(self) -> None:
         """Run the request to the end of its answer; raise RequestError."""
@@ -132,7 +132,7 @@
         self.suspicion.note_sent(target, now)
         self.sends += 1
         self._tell_choice(target, now)
-        attempt = Attempt(self.context, self.wanted, target, self._make_terms(), self._note_written)
+        attempt = Attempt(self.context, self.routed, target, self._make_terms(), self._note_written)
         ran_before = self.ran
         outcome: Outcome = Broken("cancelled")
         try:
@@ -273,7 +273,7 @@
         now = read_clock()
         if self.limit_at - now < self.route.objective_s * 0.3:
             return False
-        return self.context.targeting.has_place(self.wanted, now)
+        return self.context.targeting.has_place(self.routed, now)
 
     def _check_repeatable(self, reason: str) -> None:
         """Raise RequestError unless a request that may have run may be sent again."""
@@ -301,10 +301,12 @@
             region=target.region,
             wait_s=round(candidate.wait_s, 3) if candidate else None,
             cost_s=round(candidate.cost_s, 3) if candidate else None,
-            answer_s=round(candidate.answer_s, 3) if candidate else None,
-            unread=candidate.work.unread if candidate else None,
-            fetched=candidate.work.fetched if candidate else None,
-            fetch_from=candidate.source.entry.id if candidate and candidate.source else None,
+            answer_s=round(candidate.decode_s, 3) if candidate else None,
+            unread=candidate.work.prefill_tokens if candidate else None,
+            fetched=candidate.work.fetched_tokens if candidate else None,
+            fetch_from=(
+                candidate.fetch_source.entry.id if candidate and candidate.fetch_source else None
+            ),
             limit_per_s=self.context.directory.statements.get(target.name).limit_per_s,
             waited_s=round(now - self.call.arrived_at, 3),
             left_s=round(self.limit_at - now, 3),
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverway.core.calls import Call, PassedOn
+from cloverway.core.calls import Call, ForwardingContext
 from cloverway.core.deployment import Route
 from cloverway.errors import Kind, RequestError
 from cloverway.serving.clock import read_clock
@@ -41,7 +41,7 @@
         exchange.headers = [item for item in exchange.headers if item[0] != PASS_HEADER]
         await self._run(exchange, passed)
 
-    async def _run(self, exchange: Exchange, passed: PassedOn | None) -> None:
+    async def _run(self, exchange: Exchange, passed: ForwardingContext | None) -> None:
         call: Call | None = None
         course: Course | None = None
         try:
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -4,7 +4,7 @@
 
 import random
 
-from cloverway.core.prediction import Wanted, estimate_read
+from cloverway.core.prediction import RoutedCall, estimate_prefill_s
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
@@ -31,9 +31,9 @@
 class Placement:
     """Finds the places of one request."""
 
-    def __init__(self, context: Context, wanted: Wanted, limit_at: float) -> None:
+    def __init__(self, context: Context, routed: RoutedCall, limit_at: float) -> None:
         self._context = context
-        self._wanted = wanted
+        self._routed = routed
         self._limit_at = limit_at
         """When the answer is no longer wanted."""
 
@@ -48,33 +48,33 @@
             raise RequestError(Kind.DEADLINE, "no time is left", ran=ran)
         if is_repeat and not self._may_send_again(now):
             raise self._refuse("the retry budget is spent", ran)
-        line = targeting.get_line(self._wanted.service.name)
+        line = targeting.get_line(self._routed.service.name)
         ask = self._make_ask()
         target = line.try_now(ask, self._take, now)
         if target is not None:
             return target
-        expected_s = targeting.estimate_start(self._wanted, line.sum_ahead(ask, now), now)
+        expected_s = targeting.estimate_start(self._routed, line.sum_ahead(ask, now), now)
         patience_s = self._choose_patience(now)
         if expected_s is not None and expected_s > patience_s:
-            why = targeting.explain(self._wanted, now)
+            why = targeting.explain(self._routed, now)
             raise self._refuse(why, ran, expected_s - patience_s)
         target = await line.wait(ask, self._take, now + patience_s, targeting.release)
         if target is None:
-            raise self._refuse(targeting.explain(self._wanted, read_clock()), ran)
+            raise self._refuse(targeting.explain(self._routed, read_clock()), ran)
         return target
 
     def _take(self, ahead_s: float) -> Target | None:
-        return self._context.targeting.take(self._wanted, ahead_s, read_clock())
+        return self._context.targeting.take(self._routed, ahead_s, read_clock())
 
     def _make_ask(self) -> Ask:
-        call, route = self._wanted.call, self._wanted.route
-        read_s = estimate_read(self._wanted)
+        call, route = self._routed.call, self._routed.route
+        read_s = estimate_prefill_s(self._routed)
         late_at = call.arrived_at + route.objective_s - read_s
         return Ask(Rank(route.priority, call.arrived_at), read_s, late_at)
 
     def _choose_patience(self, now: float) -> float:
         """Give the time that the request may wait for a place."""
-        call, objective_s = self._wanted.call, self._wanted.route.objective_s
+        call, objective_s = self._routed.call, self._routed.route.objective_s
         if call.passed_on is not None:
             return PASSED_WAIT_PART * objective_s
         may_wait_s = WAIT_PART * (self._limit_at - call.arrived_at)
@@ -85,10 +85,10 @@
         """Refuse the request; `over_s` is how much longer it would wait than it may."""
         if ran is not Ran.NO:
             return RequestError(Kind.ENDPOINT_FAILED, why, ran=ran)
-        part_s = random.uniform(*RETRY_PARTS) * self._wanted.route.objective_s
+        part_s = random.uniform(*RETRY_PARTS) * self._routed.route.objective_s
         retry_s = max(LEAST_RETRY_S, part_s, min(over_s, MOST_RETRY_S))
         return RequestError(Kind.NO_CAPACITY, why, ran=Ran.NO, retry_after=retry_s)
 
     def _may_send_again(self, now: float) -> bool:
         hosts = self._context.members.count_fleet()
-        return self._context.get_budget(self._wanted.service.name).take(hosts, now)
+        return self._context.get_budget(self._routed.service.name).take(hosts, now)
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from cloverway.core.calls import Header
-from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
-from cloverway.core.token_gaps import Gap
+from cloverway.core.prediction import DEFAULT_GAP_OBJECTIVE_S, RoutedCall
+from cloverway.core.token_gaps import TokenGap
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.client import ReplyHead, Sending
 from cloverway.serving.http.events import EventSplitter
@@ -39,10 +39,10 @@
 class EventRelay:
     """Copies the events of one stream to its caller, from one endpoint after the other."""
 
-    def __init__(self, exchange: Exchange, wanted: Wanted) -> None:
+    def __init__(self, exchange: Exchange, routed: RoutedCall) -> None:
         self._exchange = exchange
-        self._wanted = wanted
-        self._events = EventSplitter(wanted.call.last_event_id)
+        self._routed = routed
+        self._events = EventSplitter(routed.call.last_event_id)
         self.timing = Timing()
 
     @property
@@ -59,7 +59,7 @@
 
         `may_go_on` tells whether the stream may go on elsewhere when the endpoint falls silent.
         """
-        gap_s = max(LEAST_GAP_PATIENCE_S, GAP_PATIENCE * self._wanted.route.gap_objective_s)
+        gap_s = max(LEAST_GAP_PATIENCE_S, GAP_PATIENCE * self._routed.route.gap_objective_s)
         patience_s = gap_s if may_go_on else None
         waiting_since: float | None = None
         while part := await self._read(answered.sending, patience_s):
@@ -92,15 +92,17 @@
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
-        load.note_first(target.number, now)
+        load.note_first_event(target.number, now)
         if waiting_since is not None:
             # A slow caller, or the change to another endpoint, is no pause of this engine.
             load.note_gap(self._make_gap(now - waiting_since, events), now)
 
-    def _make_gap(self, seconds: float, events: int) -> Gap:
-        shape = self._wanted.service.engine
+    def _make_gap(self, seconds: float, events: int) -> TokenGap:
+        shape = self._routed.service.engine
         tokens = events * shape.event_tokens if shape is not None else 0
-        return Gap(seconds, self._wanted.route.gap_objective_s or DEFAULT_GAP_S, tokens)
+        return TokenGap(
+            seconds, self._routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S, tokens
+        )
 
 
 HOP_BY_HOP = frozenset(
--- a/cloverway/serving/requests/suspicion.py
+++ b/cloverway/serving/requests/suspicion.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverway.core.prediction import STALLED_AFTER_S, Wanted
+from cloverway.core.prediction import STALLED_AFTER_S, RoutedCall
 from cloverway.core.quarantine import Crash
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
@@ -15,13 +15,13 @@
 class Suspicion:
     """Notes the ends of endpoints under one request, and stops it where there were too many."""
 
-    def __init__(self, context: Context, wanted: Wanted, timing: Timing) -> None:
+    def __init__(self, context: Context, routed: RoutedCall, timing: Timing) -> None:
         self._context = context
-        self._digest = wanted.digest
+        self._digest = routed.digest
         self._timing = timing
         self._awaited: Target | None = None
         """Where the answer to it is awaited from."""
-        self._sent_at = wanted.call.arrived_at
+        self._sent_at = routed.call.arrived_at
         """When the last send began."""
         self.ended: list[str] = []
         """The lives of endpoints that ended, by all signs, while they ran it."""
@@ -101,4 +101,4 @@
     """Tell whether an endpoint has served nobody here for longer than a sound one would."""
     if target.candidate is None:
         return False
-    return now - target.candidate.endpoint.load.progress_at > STALLED_AFTER_S
+    return now - target.candidate.endpoint.load.last_progress_at > STALLED_AFTER_S
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import NamedTuple
 
-from cloverway.core.cold_start import compute_cold_spacing
+from cloverway.core.cold_start import compute_cold_send_interval
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.isolation import Isolation, keep_apart
-from cloverway.core.kv_fetch import Source, find_source
+from cloverway.core.isolation import LargePromptIsolation, apply_isolation
+from cloverway.core.kv_fetch import FetchSource, find_source
 from cloverway.core.members import Members, Offer, Peer
 from cloverway.core.prediction import (
     Candidate,
-    Far,
-    RegionOffer,
+    RegionCandidate,
+    RemoteRegion,
+    RoutedCall,
     Sender,
-    Wanted,
-    estimate_far_work,
+    estimate_remote_work,
     predict,
     predict_region,
 )
@@ -28,7 +28,7 @@
     choose_region,
     estimate_start,
     estimate_wait,
-    update_offer,
+    extrapolate_offer,
 )
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.suspects import SuspectWatch
@@ -70,7 +70,7 @@
     @property
     def fetch_from(self) -> str:
         """The address of the endpoint that parts of the prompt are fetched from, or nothing."""
-        source = self.candidate.source if self.candidate is not None else None
+        source = self.candidate.fetch_source if self.candidate is not None else None
         return source.entry.address if source is not None else ""
 
     @property
@@ -96,7 +96,7 @@
         self._started_at = read_clock()
         self._numbers = itertools.count(1)
         self._lines: dict[str, WaitingLine[Target]] = {}
-        self._isolations: dict[str, Isolation] = {}
+        self._isolations: dict[str, LargePromptIsolation] = {}
         self._shares = LimitShares(members, directory, self._started_at)
         self._apart: dict[str, frozenset[str]] = {}
         """The engines that large prompts of each service were last kept to."""
@@ -111,25 +111,25 @@
         """Give the seconds of work of the requests that wait here for a service."""
         return self.get_line(service).sum_work()
 
-    def take(self, wanted: Wanted, ahead_s: float, now: float) -> Target | None:
+    def take(self, routed: RoutedCall, ahead_s: float, now: float) -> Target | None:
         """Take a place for a request, or give None when there is none now.
 
         `ahead_s` is the work of the requests that wait before it.
         """
-        candidates = self.list_candidates(wanted, now)
+        candidates = self.list_candidates(routed, now)
         here = choose_endpoint(candidates)
-        if wanted.call.passed_on is None:
-            offers = self._list_offers(wanted, now)
+        if routed.call.passed_on is None:
+            offers = self._list_offers(routed, now)
             stay_s = here.cost_s if here is not None else estimate_wait(candidates, ahead_s)
             away = choose_region(stay_s, offers, FAR_MARGIN_S)
-            peer = self._choose_peer(wanted, away.region, now) if away is not None else None
+            peer = self._choose_peer(routed, away.region, now) if away is not None else None
             if peer is not None:
-                return self._pass_to(peer, wanted.service)
-        return self._take_here(wanted, here, now) if here is not None else None
+                return self._pass_to(peer, routed.service)
+        return self._take_here(routed, here, now) if here is not None else None
 
-    def estimate_start(self, wanted: Wanted, ahead_s: float, now: float) -> float | None:
+    def estimate_start(self, routed: RoutedCall, ahead_s: float, now: float) -> float | None:
         """Estimate when a request would have a place here, behind others; None where unknown."""
-        return estimate_start(self.list_candidates(wanted, now), ahead_s)
+        return estimate_start(self.list_candidates(routed, now), ahead_s)
 
     def release(self, target: Target) -> None:
         """Give a place back."""
@@ -149,11 +149,11 @@
             if peer.member.region == region and peer.offers_at <= sent_at:
                 peer.offers.pop(service, None)
 
-    def explain(self, wanted: Wanted, now: float) -> str:
+    def explain(self, routed: RoutedCall, now: float) -> str:
         """Say why a request has no place."""
-        if not self._directory.list_usable(wanted.service.name, now):
+        if not self._directory.list_usable(routed.service.name, now):
             return "no endpoint is known that may be used"
-        candidates = self.list_candidates(wanted, now)
+        candidates = self.list_candidates(routed, now)
         if not candidates:
             return "no endpoint that may run it is left in this region"
         full = sum(candidate.full for candidate in candidates)
@@ -161,19 +161,19 @@
         by_limit = f", {limited} name a limit" if limited else ""
         return f"{full} of {len(candidates)} endpoints here are full{by_limit}"
 
-    def has_place(self, wanted: Wanted, now: float) -> bool:
+    def has_place(self, routed: RoutedCall, now: float) -> bool:
         """Tell whether an endpoint here or another region may run a request that has failed once.
 
         A region with one endpoint of a service would otherwise give up where larger ones try again.
         """
-        if self.list_candidates(wanted, now):
+        if self.list_candidates(routed, now):
             return True
-        return wanted.call.passed_on is None and bool(self._list_offers(wanted, now))
+        return routed.call.passed_on is None and bool(self._list_offers(routed, now))
 
-    def list_candidates(self, wanted: Wanted, now: float) -> Sequence[Candidate]:
+    def list_candidates(self, routed: RoutedCall, now: float) -> Sequence[Candidate]:
         """List the endpoints of this region that may run a request."""
         region = self._settings.region
-        if wanted.route.homes and region not in wanted.route.homes:
+        if routed.route.homes and region not in routed.route.homes:
             return []
         sender = Sender(
             self._settings.domain,
@@ -182,21 +182,23 @@
         )
         near = [
             endpoint
-            for endpoint in self._directory.list_usable(wanted.service.name, now)
+            for endpoint in self._directory.list_usable(routed.service.name, now)
             if endpoint.region == region
         ]
-        source = _find_source(wanted, near, now)
+        source = _find_source(routed, near, now)
         predicted = (
-            predict(wanted, endpoint, sender=sender, now=now, source=source)
+            predict(routed, endpoint, sender=sender, now=now, source=source)
             for endpoint in near
-            if not wanted.tried[endpoint.entry.life]
-            and self._may_load(endpoint, wanted.service, now)
+            if not routed.tried[endpoint.entry.life]
+            and self._may_load(endpoint, routed.service, now)
         )
-        wished = list(self._keep_wishes(predicted, wanted.service, now))
-        candidates = self._suspects.keep_apart(wanted, wished, now)
-        if wanted.service.engine is None or wanted.call.prompt is None:
+        wished = list(self._keep_wishes(predicted, routed.service, now))
+        candidates = self._suspects.keep_apart(routed, wished, now)
+        if routed.service.engine is None or routed.call.prompt is None:
             return candidates
-        return keep_apart(wanted, candidates, self._choose_apart(wanted.service.name, near, now))
+        return apply_isolation(
+            routed, candidates, self._choose_apart(routed.service.name, near, now)
+        )
 
     def _keep_wishes(
         self, candidates: Iterable[Candidate], service: Service, now: float
@@ -210,17 +212,17 @@
             wait_s = self._shares.estimate_wait(candidate.endpoint, waiting, now)
             if wait_s is not None:
                 pause_s = self._directory.get_pause_s(candidate.endpoint, now)
-                yield candidate.delay(max(wait_s, pause_s))
+                yield candidate.with_delay(max(wait_s, pause_s))
 
-    def get_isolation(self, service: str) -> Isolation:
+    def get_isolation(self, service: str) -> LargePromptIsolation:
         """Give what was seen of prompts and pauses at a service."""
-        return self._isolations.setdefault(service, Isolation(service))
+        return self._isolations.setdefault(service, LargePromptIsolation(service))
 
     def _choose_apart(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> frozenset[str]:
         """Choose the engines that large prompts are kept to, and log when others are chosen."""
-        chosen = self.get_isolation(service).choose(endpoints, now)
+        chosen = self.get_isolation(service).select_engines(endpoints, now)
         if chosen != self._apart.get(service, frozenset()):
             self._apart[service] = chosen
             tell("large_prompts_kept", service=service, endpoints=sorted(chosen))
@@ -246,27 +248,27 @@
             if peer.member.region == region and offer is not None:
                 peer.offers[service] = offer._replace(free=offer.free + by)
 
-    def _take_here(self, wanted: Wanted, here: Candidate, now: float) -> Target:
+    def _take_here(self, routed: RoutedCall, here: Candidate, now: float) -> Target:
         endpoint = here.endpoint
         number = next(self._numbers)
-        endpoint.load.begin(number, here.work, wanted.call.prompt, now)
-        if here.work.unread:
-            self.get_isolation(wanted.service.name).note_prompt(wanted, here, now)
-        if here.work.unread >= TOLD_TOKENS:
+        endpoint.load.begin(number, here.work, routed.call.prompt, now)
+        if here.work.prefill_tokens:
+            self.get_isolation(routed.service.name).note_prompt(routed, here, now)
+        if here.work.prefill_tokens >= TOLD_TOKENS:
             self.on_prompt()
         if endpoint.is_cold(now):
-            endpoint.last_cold_send = now
+            endpoint.last_cold_send_at = now
         self._shares.take(endpoint, now)
         entry = endpoint.entry
-        until = min(wanted.call.deadline, wanted.call.arrived_at + wanted.route.timeout_s)
-        self._suspects.begin(number, wanted, entry.life, until, now)
+        until = min(routed.call.deadline, routed.call.arrived_at + routed.route.timeout_s)
+        self._suspects.begin(number, routed, entry.life, until, now)
         return Target(entry.address, entry.life, self._settings.region, number, candidate=here)
 
     def _may_load(self, endpoint: Endpoint, service: Service, now: float) -> bool:
         """Tell whether an endpoint may get a request just now, as far as it is cold."""
         if not endpoint.is_cold(now) or not service.cold_per_s:
             return True
-        spacing = compute_cold_spacing(
+        spacing = compute_cold_send_interval(
             service.cold_per_s,
             self._settings.cold,
             endpoint.entry.id,
@@ -274,17 +276,17 @@
             self._members.list_region(),
             age_s=now - self._started_at,
         )
-        return spacing is not None and now - endpoint.last_cold_send >= spacing
+        return spacing is not None and now - endpoint.last_cold_send_at >= spacing
 
-    def _list_offers(self, wanted: Wanted, now: float) -> list[RegionOffer]:
+    def _list_offers(self, routed: RoutedCall, now: float) -> list[RegionCandidate]:
         """Predict how a request would fare in the other regions that may run it and have room."""
         predicted = []
-        work = estimate_far_work(wanted.call)
-        for region, offer in self._find_latest_offers(wanted.service.name, now).items():
-            is_home = not wanted.route.homes or region in wanted.route.homes
-            has_room = offer.free > 0 and offer.room >= work.unread
-            if is_home and has_room and wanted.tried[region] < FAR_TRIES:
-                predicted.append(predict_region(wanted, offer, Far(region, FAR_S), now))
+        work = estimate_remote_work(routed.call)
+        for region, offer in self._find_latest_offers(routed.service.name, now).items():
+            is_home = not routed.route.homes or region in routed.route.homes
+            has_room = offer.free > 0 and offer.room >= work.prefill_tokens
+            if is_home and has_room and routed.tried[region] < FAR_TRIES:
+                predicted.append(predict_region(routed, offer, RemoteRegion(region, FAR_S), now))
         return predicted
 
     def _find_latest_offers(self, service: str, now: float) -> dict[str, Offer]:
@@ -301,19 +303,19 @@
             if region not in latest or peer.offers_at > latest[region].offers_at:
                 latest[region] = peer
         return {
-            region: update_offer(peer.offers[service], now - peer.offers_at)
+            region: extrapolate_offer(peer.offers[service], now - peer.offers_at)
             for region, peer in latest.items()
         }
 
-    def _choose_peer(self, wanted: Wanted, region: str, now: float) -> Peer | None:
+    def _choose_peer(self, routed: RoutedCall, region: str, now: float) -> Peer | None:
         peers = self._members.list_for_passing(region, now)
-        peers = [peer for peer in peers if not wanted.tried[peer.member.name]]
+        peers = [peer for peer in peers if not routed.tried[peer.member.name]]
         return random.choice(peers) if peers else None
 
 
-def _find_source(wanted: Wanted, endpoints: list[Endpoint], now: float) -> Source | None:
+def _find_source(routed: RoutedCall, endpoints: list[Endpoint], now: float) -> FetchSource | None:
     """Find the endpoint that others may fetch parts of a prompt from."""
-    prompt, shape = wanted.call.prompt, wanted.service.engine
+    prompt, shape = routed.call.prompt, routed.service.engine
     if prompt is None or shape is None or not shape.can_fetch:
         return None
     return find_source(prompt, endpoints, now)
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -10,11 +10,11 @@
 from cloverway.addresses import check_address
 from cloverway.config.findings import Findings, read_toml
 from cloverway.config.tables import Check, check_table
-from cloverway.core.cold_start import ColdTerms
+from cloverway.core.cold_start import ColdStartTerms
 from cloverway.core.deployment import Topology
 from cloverway.core.entry import Machine
 from cloverway.core.quarantine import QuarantineTerms
-from cloverway.core.retry_budget import BudgetTerms
+from cloverway.core.retry_budget import RetryBudgetTerms
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
@@ -62,8 +62,8 @@
     listen: Listen
     store: StoreSettings
     peers: Peers = Peers()
-    retries: BudgetTerms = BudgetTerms()
-    cold: ColdTerms = ColdTerms()
+    retries: RetryBudgetTerms = RetryBudgetTerms()
+    cold: ColdStartTerms = ColdStartTerms()
     machine: Machine = Machine()
     quarantine: QuarantineTerms = QuarantineTerms()
     grace_s: Seconds = 8.0
--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from cloverway.core.calls import Call, Prompt, PromptPart
+from cloverway.core.calls import Call, Prompt, PromptSegment
 from cloverway.core.deployment import (
     CallKind,
     Document,
@@ -21,7 +21,7 @@
 )
 from cloverway.core.documents import DocumentTable
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.platform.documents import decode_documents
 from cloverway.serving.hosts.peerwire import (
     CODEC,
@@ -106,14 +106,14 @@
         measure("  decode", lambda data=data: CODEC.decode(data))
 
     service = Service("model", 360, engine=EngineShape(64, 240_000))
-    parts = (PromptPart(1, 2_500), PromptPart(2, 3_800), PromptPart(3, 2_900))
-    call = Call("c", "POST", "/", "h", (), b"", 0.0, 5.0, Prompt(9_200, 50, parts))
+    segments = (PromptSegment(1, 2_500), PromptSegment(2, 3_800), PromptSegment(3, 2_900))
+    call = Call("c", "POST", "/", "h", (), b"", 0.0, 5.0, Prompt(9_200, 50, segments))
     route = Route("r", "h", "/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0)
-    wanted = Wanted(call, route, service, Counter())
+    routed = RoutedCall(call, route, service, Counter())
     endpoint = Endpoint(EndpointEntry("e", "model", "10.0.0.1:1", "d", 64), "north")
     measure(
         "prediction for one endpoint",
-        lambda: predict(wanted, endpoint, sender=Sender("d1", 3), now=1),
+        lambda: predict(routed, endpoint, sender=Sender("d1", 3), now=1),
     )
 
     document = Document("servers/i-99ab12ff", 7, make_value("ready", 7))
--- a/cloverway/tests/simulated_engine.py
+++ b/cloverway/tests/simulated_engine.py
@@ -21,8 +21,8 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.prediction import Candidate, Wanted
-from cloverway.core.token_gaps import Gap
+from cloverway.core.prediction import Candidate, RoutedCall
+from cloverway.core.token_gaps import TokenGap
 
 PAUSE_S = 0.6
 ROUTE = Route(
@@ -34,7 +34,7 @@
 class Speed(NamedTuple):
     """What an engine can do."""
 
-    read_s_per_token: float = 1 / 30_000
+    prefill_s_per_token: float = 1 / 30_000
     step_s: float = 0.006
     chunk: int = 2_048
     event_tokens: int = 9
@@ -43,12 +43,12 @@
 class Run:
     """One request at an engine, and the longest pause in its answer."""
 
-    def __init__(self, number: int, tokens_in: int, tokens_out: int, sent_at: float) -> None:
+    def __init__(self, number: int, input_tokens: int, output_tokens: int, sent_at: float) -> None:
         self.number = number
-        self.unread = tokens_in
-        self.left = tokens_out
+        self.prefill_left = input_tokens
+        self.left = output_tokens
         self.sent_at = sent_at
-        self.made = 0
+        self.tokens_made = 0
         self.event_at: float | None = None
         self.longest_gap_s = 0.0
 
@@ -80,21 +80,21 @@
         read = []
         while self.waiting and room:
             run = self.waiting[0]
-            part = min(room, run.unread)
-            run.unread -= part
+            part = min(room, run.prefill_left)
+            run.prefill_left -= part
             room -= part
-            if not run.unread:
+            if not run.prefill_left:
                 read.append(self.waiting.popleft())
-        took_s = self.speed.step_s + (self.speed.chunk - room) * self.speed.read_s_per_token
+        took_s = self.speed.step_s + (self.speed.chunk - room) * self.speed.prefill_s_per_token
         self.now += took_s
         self.running += read
         for run in list(self.running):
             self._make_token(run)
 
     def _make_token(self, run: Run) -> None:
-        run.made += 1
+        run.tokens_made += 1
         run.left -= 1
-        if run.made % self.speed.event_tokens == 0 or run.left <= 0:
+        if run.tokens_made % self.speed.event_tokens == 0 or run.left <= 0:
             self._send_event(run)
         if run.left <= 0:
             self.running.remove(run)
@@ -103,20 +103,20 @@
 
     def _send_event(self, run: Run) -> None:
         load = self.endpoint.load
-        load.note_first(run.number, self.now)
+        load.note_first_event(run.number, self.now)
         if run.event_at is not None:
             gap_s = self.now - run.event_at
             run.longest_gap_s = max(run.longest_gap_s, gap_s)
-            load.note_gap(Gap(gap_s, PAUSE_S, self.speed.event_tokens), self.now)
+            load.note_gap(TokenGap(gap_s, PAUSE_S, self.speed.event_tokens), self.now)
         run.event_at = self.now
 
 
-class Ask(NamedTuple):
+class Arrival(NamedTuple):
     """One request of a caller."""
 
     at: float
-    tokens_in: int
-    tokens_out: int
+    input_tokens: int
+    output_tokens: int
 
 
 class Region:
@@ -125,51 +125,51 @@
     def __init__(self, engines: int, speed: Speed) -> None:
         self.service = Service("model", 1_000, engine=EngineShape(64, 400_000))
         self.engines = [StepEngine(f"e{n}", speed, self.service) for n in range(engines)]
-        self.line: deque[tuple[Ask, Wanted]] = deque()
-        self.refused: list[Ask] = []
-        self.runs: dict[int, Ask] = {}
+        self.queue: deque[tuple[Arrival, RoutedCall]] = deque()
+        self.refused: list[Arrival] = []
+        self.runs: dict[int, Arrival] = {}
         self._numbers = itertools.count(1)
 
     def play(
         self,
-        asks: list[Ask],
-        take: Callable[[Wanted, float], Candidate | None],
-        patience_s: float = 2.0,
+        arrivals: list[Arrival],
+        take: Callable[[RoutedCall, float], Candidate | None],
+        timeout_s: float = 2.0,
     ) -> None:
         """Play requests; `take` gives where one may run now, or None."""
-        asks = sorted(asks)
-        end = asks[-1].at + 20.0
+        arrivals = sorted(arrivals)
+        end = arrivals[-1].at + 20.0
         now = 0.0
-        pending = deque(asks)
+        pending = deque(arrivals)
         while now < end:
             now += 0.02
             for engine in self.engines:
                 engine.advance(now)
             while pending and pending[0].at <= now:
-                ask = pending.popleft()
-                self.line.append((ask, self._want(ask)))
-            self._serve(take, patience_s, now)
+                arrival = pending.popleft()
+                self.queue.append((arrival, self._want(arrival)))
+            self._serve(take, timeout_s, now)
 
-    def _want(self, ask: Ask) -> Wanted:
-        prompt = Prompt(ask.tokens_in, ask.tokens_out, (), ask.tokens_out)
+    def _want(self, arrival: Arrival) -> RoutedCall:
+        prompt = Prompt(arrival.input_tokens, arrival.output_tokens, (), arrival.output_tokens)
         name = f"c{next(self._numbers)}"
-        call = Call(name, "POST", "/a/", "h", (), b"", ask.at, ask.at + 10.0, prompt)
-        return Wanted(call, ROUTE, self.service, Counter())
+        call = Call(name, "POST", "/a/", "h", (), b"", arrival.at, arrival.at + 10.0, prompt)
+        return RoutedCall(call, ROUTE, self.service, Counter())
 
-    def _serve(self, take: Callable, patience_s: float, now: float) -> None:
-        for item in list(self.line):
-            ask, wanted = item
-            chosen = take(wanted, now)
+    def _serve(self, take: Callable, timeout_s: float, now: float) -> None:
+        for item in list(self.queue):
+            arrival, routed = item
+            chosen = take(routed, now)
             if chosen is not None:
-                self.line.remove(item)
-                self._send(ask, wanted, chosen, now)
-            elif now - ask.at > patience_s:
-                self.line.remove(item)
-                self.refused.append(ask)
+                self.queue.remove(item)
+                self._send(arrival, routed, chosen, now)
+            elif now - arrival.at > timeout_s:
+                self.queue.remove(item)
+                self.refused.append(arrival)
 
-    def _send(self, ask: Ask, wanted: Wanted, chosen: Candidate, now: float) -> None:
+    def _send(self, arrival: Arrival, routed: RoutedCall, chosen: Candidate, now: float) -> None:
         number = next(self._numbers)
-        self.runs[number] = ask
-        chosen.endpoint.load.begin(number, chosen.work, wanted.call.prompt, now)
+        self.runs[number] = arrival
+        chosen.endpoint.load.begin(number, chosen.work, routed.call.prompt, now)
         engine = next(e for e in self.engines if e.endpoint is chosen.endpoint)
-        engine.submit(Run(number, ask.tokens_in, ask.tokens_out, now))
+        engine.submit(Run(number, arrival.input_tokens, arrival.output_tokens, now))
--- a/cloverway/tests/test_ablated.py
+++ b/cloverway/tests/test_ablated.py
@@ -24,11 +24,11 @@
 from cloverway.tests.ablated import switch_off
 from cloverway.core import engine_speed, kv_fetch, prediction, selection, token_gaps
 switch_off("blame")
-assert prediction.FAILURE_S == selection.FAILURE_S == 0.0
+assert prediction.FAILURE_PENALTY_S == selection.FAILURE_PENALTY_S == 0.0
 switch_off("burst")
-assert token_gaps.START_PART == token_gaps.PromptBurst().part == 1e9
+assert token_gaps.INITIAL_BURST_RATIO == token_gaps.PrefillBurstLimit().ratio == 1e9
 switch_off("fetch")
-assert kv_fetch.LEAST_TOKENS == 1e9 and engine_speed.LEAST_TOKENS < 1e9
+assert kv_fetch.MIN_TOKENS == 1e9 and engine_speed.MIN_TOKENS < 1e9
 """
     subprocess.run([sys.executable, "-c", code], check=True)
 
--- a/cloverway/tests/test_core_cold_start.py
+++ b/cloverway/tests/test_core_cold_start.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cloverway.core.cold_start import SETTLED_S, ColdTerms, compute_cold_spacing
+from cloverway.core.cold_start import MIN_HOST_AGE_S, ColdStartTerms, compute_cold_send_interval
 
-TERMS = ColdTerms(overshoot=1.5, slack=3.0)
+TERMS = ColdStartTerms(overshoot=1.5, slack=3.0)
 COLD_PER_S = 1.6
 BOUND = int(COLD_PER_S * TERMS.overshoot + TERMS.slack)
 
@@ -29,7 +29,7 @@
             return False
         known = [name for name, at in self.heard_at.items() if at <= now]
         age_s = now - self.started_at
-        spacing = compute_cold_spacing(COLD_PER_S, TERMS, "e", self.name, known, age_s=age_s)
+        spacing = compute_cold_send_interval(COLD_PER_S, TERMS, "e", self.name, known, age_s=age_s)
         if spacing is None or now - self.last_send < spacing:
             return False
         self.last_send = now
@@ -97,9 +97,9 @@
 
 
 def test_a_host_sends_to_a_cold_endpoint_once_it_has_settled():
-    ages = [SETTLED_S - 0.1, SETTLED_S]
+    ages = [MIN_HOST_AGE_S - 0.1, MIN_HOST_AGE_S]
     spacings = [
-        compute_cold_spacing(COLD_PER_S, TERMS, "e", "host-0", (), age_s=age) for age in ages
+        compute_cold_send_interval(COLD_PER_S, TERMS, "e", "host-0", (), age_s=age) for age in ages
     ]
     assert spacings[0] is None
     assert spacings[1] == pytest.approx(1.1 / BOUND)
@@ -108,6 +108,7 @@
 def test_no_more_hosts_send_than_the_bound_has_sends():
     names = [f"host-{n}" for n in range(24)]
     spacings = [
-        compute_cold_spacing(COLD_PER_S, TERMS, "e", name, names, age_s=SETTLED_S) for name in names
+        compute_cold_send_interval(COLD_PER_S, TERMS, "e", name, names, age_s=MIN_HOST_AGE_S)
+        for name in names
     ]
     assert len(list(itertools.filterfalse(lambda spacing: spacing is None, spacings))) == BOUND
--- a/cloverway/tests/test_core_engine_speed.py
+++ b/cloverway/tests/test_core_engine_speed.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverway.core.engine_speed import ReadPace
+from cloverway.core.engine_speed import PrefillSpeed
 from cloverway.core.load import EndpointLoad, Work
 
 OTHER_S = 0.02
@@ -31,7 +31,7 @@
         elif draw.random() < 0.2:
             # The engine had most of it already.
             took_s = OTHER_S
-        load.note_first(number, now + took_s)
+        load.note_first_event(number, now + took_s)
         load.end(number)
         now += 0.5
     return load
@@ -41,7 +41,7 @@
 def test_the_pace_of_an_engine_is_learnt_within_a_few_prompts(per_ms):
     load = play(EndpointLoad(), per_ms, 40)
     truth = 1 / per_ms / 1000
-    assert truth * 0.85 < load.read_s_per_token < truth * 1.3
+    assert truth * 0.85 < load.prefill_s_per_token < truth * 1.3
 
 
 def test_prompts_that_waited_for_others_say_nothing_of_the_pace():
@@ -49,7 +49,7 @@
 
     Taken for slow by it, the engine would be given half of what it can read.
     """
-    pace = ReadPace()
+    pace = PrefillSpeed()
     before = pace.s_per_token
     for number in range(1, 10):
         pace.learn(3_000, 3_000 * number, 0.1 * (number + 1))
--- a/cloverway/tests/test_core_incarnations.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cloverway.core.calls import Prompt, PromptPart
+from cloverway.core.calls import Prompt, PromptSegment
 from cloverway.core.deployment import EndpointEntry, EndpointPublished, Topology
-from cloverway.core.endpoints import MISDIRECTED_S, MISSING_GRACE_S, Directory
-from cloverway.core.load import SiblingLoad, Work
+from cloverway.core.endpoints import MISDIRECTED_BACKOFF_S, MISSING_GRACE_S, Directory
+from cloverway.core.load import HostLoad, Work
 from cloverway.core.members import Member, Members
 from cloverway.core.statements import Statement
 from cloverway.serving.hosts.peerwire import EndpointUse, EndpointUses
@@ -24,7 +24,7 @@
 
 RUNS = int(os.environ.get("LIVES_RUNS", "60"))
 TOPOLOGY = Topology("d1", "north", {"d1": "north", "d2": "south"})
-PROMPT = Prompt(9_000, 50, (PromptPart(1, 6_000), PromptPart(2, 3_000)))
+PROMPT = Prompt(9_000, 50, (PromptSegment(1, 6_000), PromptSegment(2, 3_000)))
 
 
 def make_entry(born, name="e1", **fields):
@@ -61,17 +61,21 @@
     directory = make_directory(make_entry(1_000))
     before = directory.endpoints["e1"]
     before.load.begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    before.load.note_sibling("host", SiblingLoad(9, 900, 9_000, 0.0), PROMPT.parts)
+    before.load.note_sibling("host", HostLoad(9, 900, 9_000, 0.0), PROMPT.segments)
     before.load.note_failure(0.0)
     publish(directory, 0.1, make_entry(2_000, cold_s=2.0))
     load = directory.endpoints["e1"].load
     assert load.count_ready(PROMPT, 60.0) == 0
-    assert load.count_unread(PROMPT) == PROMPT.tokens_in
-    assert (load.sum_all(0.1).running, load.backlog(0.1), load.failures(0.1)) == (0, 0.0, 0.0)
+    assert load.count_uncached(PROMPT) == PROMPT.input_tokens
+    assert (load.sum_region_load(0.1).running, load.backlog(0.1), load.failures(0.1)) == (
+        0,
+        0.0,
+        0.0,
+    )
     assert directory.endpoints["e1"].is_cold(1.0)
     # The request of the life before ends only now, and takes nothing from the new one.
     before.load.end(1)
-    assert load.sum_own().running == 0
+    assert load.get_own_load().running == 0
 
 
 def test_an_endpoint_that_has_said_it_leaves_stays_left_whatever_its_entry_says():
@@ -162,9 +166,9 @@
     late = EndpointUse("e1", 5, 9_000, 9_050, (1,), (6_000,), 9_000, born_ms=1_000)
     exchange.hear(EndpointUses("b", (late,)), 0.0)
     load = directory.endpoints["e1"].load
-    assert (load.sum_all(0.0).running, load.backlog(0.0)) == (0, 0.0)
+    assert (load.sum_region_load(0.0).running, load.backlog(0.0)) == (0, 0.0)
     exchange.hear(EndpointUses("b", (late._replace(born_ms=2_000),)), 0.0)
-    assert load.sum_all(0.0).running == 5
+    assert load.sum_region_load(0.0).running == 5
 
 
 def test_an_endpoint_whose_address_another_one_has_gets_nothing_for_a_while():
@@ -172,7 +176,7 @@
     directory = make_directory(make_entry(1_000))
     directory.endpoints["e1"].misdirected_at = 1.0
     assert directory.list_usable("desk", 1.5) == []
-    assert len(directory.list_usable("desk", 1.0 + MISDIRECTED_S)) == 1
+    assert len(directory.list_usable("desk", 1.0 + MISDIRECTED_BACKOFF_S)) == 1
     directory.endpoints["e1"].misdirected_at = 1.0
     publish(directory, 1.5, make_entry(1_000)._replace(address="10.0.0.9:80"))
     assert len(directory.list_usable("desk", 1.5)) == 1
@@ -258,9 +262,9 @@
         for endpoint in self.directory.endpoints.values():
             load = endpoint.load
             own = {n for n, (_, counted) in self.requests.items() if counted is load}
-            assert load.sum_own().running <= len(own)
+            assert load.get_own_load().running <= len(own)
             if not own:
-                assert load.count_unread(PROMPT) == PROMPT.tokens_in
+                assert load.count_uncached(PROMPT) == PROMPT.input_tokens
 
 
 TestLives = Lives.TestCase
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -14,17 +14,17 @@
 import pytest
 
 from cloverway.core.isolation import (
-    AVOID_S,
-    CHOOSE_EVERY_S,
-    LEAST_ANSWERS,
-    MET_AFTER_S,
-    Isolation,
-    is_large,
-    keep_apart,
+    AVOIDANCE_COST_S,
+    LARGE_PROMPT_INTERVAL_S,
+    MIN_ANSWERS,
+    SELECTION_TTL_S,
+    LargePromptIsolation,
+    apply_isolation,
+    is_large_prompt,
 )
-from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
-from cloverway.tests.simulated_engine import PAUSE_S, Ask, Region, Speed
+from cloverway.tests.simulated_engine import PAUSE_S, Arrival, Region, Speed
 
 HERE = Sender("d1")
 NOTES_PER_S = 14.0
@@ -33,18 +33,18 @@
 SPEED = Speed()
 
 
-def draw_asks(seed: int) -> list[Ask]:
+def draw_arrivals(seed: int) -> list[Arrival]:
     """Draw notes with long answers, and prompts of very different sizes with short ones."""
     source = random.Random(seed)
-    asks, at = [], 0.0
+    arrivals, at = [], 0.0
     while at < SECONDS:
         at += source.expovariate(NOTES_PER_S + PROMPTS_PER_S)
         if source.random() < NOTES_PER_S / (NOTES_PER_S + PROMPTS_PER_S):
-            asks.append(Ask(at, 700, int(source.uniform(100, 500))))
+            arrivals.append(Arrival(at, 700, int(source.uniform(100, 500))))
         else:
             tokens = min(50_000, int(source.lognormvariate(7.8, 1.4)))
-            asks.append(Ask(at, max(500, tokens), 60))
-    return asks
+            arrivals.append(Arrival(at, max(500, tokens), 60))
+    return arrivals
 
 
 class Played:
@@ -52,33 +52,33 @@
 
     def __init__(self, seed: int, is_kept: bool, speed: Speed = SPEED, engines: int = 4) -> None:
         self.region = Region(engines, speed)
-        self.isolation = Isolation("model")
+        self.isolation = LargePromptIsolation("model")
         self.is_kept = is_kept
         self.notes = self.late = self.large_served = 0
         self.chosen: Counter[frozenset[str]] = Counter()
         for engine in self.region.engines:
             engine.on_end = self.note_end
-        self.region.play(draw_asks(seed), self.take)
+        self.region.play(draw_arrivals(seed), self.take)
 
-    def take(self, wanted, now):
+    def take(self, routed, now):
         engines = [engine.endpoint for engine in self.region.engines]
-        candidates = [predict(wanted, engine, sender=HERE, now=now) for engine in engines]
+        candidates = [predict(routed, engine, sender=HERE, now=now) for engine in engines]
         if self.is_kept:
-            chosen = self.isolation.choose(engines, now)
+            chosen = self.isolation.select_engines(engines, now)
             self.chosen[chosen] += 1
-            candidates = keep_apart(wanted, candidates, chosen)
+            candidates = apply_isolation(routed, candidates, chosen)
         here = choose_endpoint(candidates)
         if here is not None:
-            self.isolation.note_prompt(wanted, here, now)
+            self.isolation.note_prompt(routed, here, now)
         return here
 
     def note_end(self, run, now):
-        ask = self.region.runs[run.number]
+        arrival = self.region.runs[run.number]
         self.isolation.note_answer(run.longest_gap_s, PAUSE_S, now)
-        if ask.tokens_in == 700:
+        if arrival.input_tokens == 700:
             self.notes += 1
             self.late += run.longest_gap_s > PAUSE_S
-        self.large_served += ask.tokens_in > 14_000
+        self.large_served += arrival.input_tokens > 14_000
 
     @property
     def late_part(self):
@@ -111,12 +111,12 @@
     assert set(played.chosen) == {frozenset()}
 
 
-def make_isolation(large_s: float, late: int = 10) -> Isolation:
+def make_isolation(large_s: float, late: int = 10) -> LargePromptIsolation:
     """Give what a host believes that has seen late answers, and large prompts among others."""
-    isolation = Isolation("model")
+    isolation = LargePromptIsolation("model")
     for number in range(20):
         isolation.note_answer(1.0 if number < late else 0.1, PAUSE_S, 1.0)
-    isolation._read.add(1.0, 1.0)
+    isolation._prefill.add(1.0, 1.0)
     isolation._large.add(large_s, 1.0)
     return isolation
 
@@ -127,21 +127,21 @@
 
 @pytest.mark.parametrize(("large_s", "count"), [(0.0, 1), (0.2, 1), (0.5, 2), (0.8, 3), (1.0, 3)])
 def test_as_many_engines_are_chosen_as_large_prompts_take_of_what_is_read(large_s, count):
-    assert len(make_isolation(large_s).choose(list_engines(4), 1.0)) == count
+    assert len(make_isolation(large_s).select_engines(list_engines(4), 1.0)) == count
 
 
 def test_nothing_is_kept_apart_for_single_pauses_or_before_anything_was_seen():
-    assert not make_isolation(0.5, late=0).choose(list_engines(4), 1.0)
-    few = Isolation("model")
-    for _ in range(int(LEAST_ANSWERS) - 1):
+    assert not make_isolation(0.5, late=0).select_engines(list_engines(4), 1.0)
+    few = LargePromptIsolation("model")
+    for _ in range(int(MIN_ANSWERS) - 1):
         few.note_answer(1.0, PAUSE_S, 1.0)
-    assert not few.choose(list_engines(4), 1.0)
+    assert not few.select_engines(list_engines(4), 1.0)
 
 
 def test_hosts_choose_the_same_engines_though_each_sees_its_own_requests():
     engines = list_engines(6)
-    here = make_isolation(0.5).choose(engines, 1.0)
-    there = make_isolation(0.4).choose(list(reversed(engines)), 1.0)
+    here = make_isolation(0.5).select_engines(engines, 1.0)
+    there = make_isolation(0.4).select_engines(list(reversed(engines)), 1.0)
     assert there < here
     assert len(here - there) == 1
 
@@ -150,39 +150,44 @@
     """It would get all large prompts of the region, and lose them."""
     engines = list_engines(4)
     isolation = make_isolation(0.5)
-    first = isolation.choose(engines, 1.0)
+    first = isolation.select_engines(engines, 1.0)
     failing = next(engine for engine in engines if engine.entry.id in first)
     failing.load.note_failure(1.1)
-    assert isolation.choose(engines, 1.1) == first, "a choice holds for a moment"
-    assert failing.entry.id not in isolation.choose(engines, 1.0 + CHOOSE_EVERY_S)
+    assert isolation.select_engines(engines, 1.1) == first, "a choice holds for a moment"
+    assert failing.entry.id not in isolation.select_engines(engines, 1.0 + SELECTION_TTL_S)
 
 
-def want(tokens_in: int, tokens_out: int) -> Wanted:
-    return Region(1, SPEED)._want(Ask(0.0, tokens_in, tokens_out))
+def want(input_tokens: int, output_tokens: int) -> RoutedCall:
+    return Region(1, SPEED)._want(Arrival(0.0, input_tokens, output_tokens))
 
 
-def predict_all(wanted: Wanted, engines):
-    return [predict(wanted, engine, sender=HERE, now=1.0) for engine in engines]
+def predict_all(routed: RoutedCall, engines):
+    return [predict(routed, engine, sender=HERE, now=1.0) for engine in engines]
 
 
 def test_a_large_prompt_goes_elsewhere_where_none_of_the_chosen_engines_may_get_it():
     """The engines that large prompts are kept to were tried, or are cold."""
     engines = list_engines(3)
     candidates = predict_all(want(30_000, 50), engines)
-    assert all(is_large(want(30_000, 50), candidate) for candidate in candidates)
-    kept = keep_apart(want(30_000, 50), candidates, frozenset({"e1"}))
+    assert all(is_large_prompt(want(30_000, 50), candidate) for candidate in candidates)
+    kept = apply_isolation(want(30_000, 50), candidates, frozenset({"e1"}))
     assert [candidate.endpoint.entry.id for candidate in kept] == ["e1"]
-    assert keep_apart(want(30_000, 50), candidates, frozenset({"gone"})) == candidates
+    assert apply_isolation(want(30_000, 50), candidates, frozenset({"gone"})) == candidates
 
 
 def test_long_answers_keep_away_from_these_engines_and_short_ones_do_not():
     """An answer of some events has ended before the next large prompt comes."""
     engines = list_engines(2)
-    for tokens_out, least, most in ((1_000, 0.99 * AVOID_S, 1.01 * AVOID_S), (5, 0.0, 0.05)):
-        wanted = want(700, tokens_out)
-        candidates = predict_all(wanted, engines)
-        weighed = keep_apart(wanted, candidates, frozenset({"e0"}))
+    for output_tokens, least, most in (
+        (1_000, 0.99 * AVOIDANCE_COST_S, 1.01 * AVOIDANCE_COST_S),
+        (5, 0.0, 0.05),
+    ):
+        routed = want(700, output_tokens)
+        candidates = predict_all(routed, engines)
+        weighed = apply_isolation(routed, candidates, frozenset({"e0"}))
         added = weighed[0].cost_s - candidates[0].cost_s
         assert least <= added <= most
-        assert added == pytest.approx(AVOID_S * min(1.0, candidates[0].answer_s / MET_AFTER_S))
+        assert added == pytest.approx(
+            AVOIDANCE_COST_S * min(1.0, candidates[0].decode_s / LARGE_PROMPT_INTERVAL_S)
+        )
         assert weighed[1] == candidates[1]
--- a/cloverway/tests/test_core_kv_fetch.py
+++ b/cloverway/tests/test_core_kv_fetch.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverway.core.calls import Call, Prompt, PromptPart
+from cloverway.core.calls import Call, Prompt, PromptSegment
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -21,15 +21,15 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.kv_fetch import LEAST_TOKENS, estimate_fetch, find_source
-from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.kv_fetch import MIN_TOKENS, estimate_fetch_s, find_source
+from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
 
 SHAPE = EngineShape(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
 MODEL = Service("model", 360, engine=SHAPE)
 HERE = Sender("d1")
 ROUTE = Route("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0)
-DOCUMENT = PromptPart(1, 6_000)
+DOCUMENT = PromptSegment(1, 6_000)
 
 
 def make_endpoint(name, domain="d1"):
@@ -37,20 +37,20 @@
 
 
 def make_call(name="c", own=3_000, shared=(DOCUMENT,)):
-    parts = (*shared, PromptPart(hash(name) & 0xFFFF, own))
-    prompt = Prompt(sum(part.tokens for part in parts), 50, parts)
+    segments = (*shared, PromptSegment(hash(name) & 0xFFFF, own))
+    prompt = Prompt(sum(part.tokens for part in segments), 50, segments)
     return Call(name, "POST", "/a/", "h", (), b"", 0.0, 5.0, prompt)
 
 
 def want(call):
-    return Wanted(call, ROUTE, MODEL, Counter())
+    return RoutedCall(call, ROUTE, MODEL, Counter())
 
 
 def read(endpoint, call, at, took_s=0.3):
     """Let an engine read the prompt of a request to its end."""
     candidate = predict(want(call), endpoint, sender=HERE, now=at)
     endpoint.load.begin(1, candidate.work, call.prompt, at)
-    endpoint.load.note_first(1, at + took_s)
+    endpoint.load.note_first_event(1, at + took_s)
     endpoint.load.end(1)
 
 
@@ -73,9 +73,9 @@
     )
     chosen = choose_endpoint(predict_all([busy, idle], make_call("second"), 1.0))
     assert chosen.endpoint is idle
-    assert chosen.source is busy
-    assert chosen.work.fetched == DOCUMENT.tokens
-    assert chosen.work.unread == 3_000
+    assert chosen.fetch_source is busy
+    assert chosen.work.fetched_tokens == DOCUMENT.tokens
+    assert chosen.work.prefill_tokens == 3_000
     assert chosen.wait_s < 0.15
 
 
@@ -84,7 +84,7 @@
     read(holder, make_call("first"), 0.0)
     chosen = choose_endpoint(predict_all([other, holder], make_call("second"), 2.0))
     assert chosen.endpoint is holder
-    assert chosen.source is None
+    assert chosen.fetch_source is None
 
 
 def test_a_part_that_is_still_being_read_is_not_fetched():
@@ -97,7 +97,7 @@
     call = make_call("first")
     first.load.begin(1, predict(want(call), first, sender=HERE, now=0.0).work, call.prompt, 0.0)
     assert find_source(make_call("second").prompt, [first, second], 0.01) is None
-    first.load.note_first(1, 0.25)
+    first.load.note_first_event(1, 0.25)
     assert find_source(make_call("second").prompt, [first, second], 0.26).endpoint is first
 
 
@@ -120,10 +120,10 @@
 
 def test_few_tokens_are_read_rather_than_fetched():
     holder, other = make_endpoint("holder"), make_endpoint("other")
-    small = (PromptPart(7, LEAST_TOKENS - 1),)
+    small = (PromptSegment(7, MIN_TOKENS - 1),)
     read(holder, make_call("first", shared=small), 0.0)
     candidates = predict_all([holder, other], make_call("second", shared=small), 1.0)
-    assert [candidate.work.fetched for candidate in candidates] == [0, 0]
+    assert [candidate.work.fetched_tokens for candidate in candidates] == [0, 0]
 
 
 def test_what_was_fetched_is_not_counted_as_read():
@@ -134,9 +134,9 @@
     candidate = predict_all([holder, other], call, 1.0)[1]
     other.load.begin(2, candidate.work, call.prompt, 1.0)
     assert other.load.backlog(1.0) == 3_000
-    assert other.load.take_news(8).read == 3_000
+    assert other.load.take_update(8).sent_prefill_tokens == 3_000
 
 
 def test_the_time_of_a_fetch_is_that_of_its_bytes_on_the_link():
-    assert estimate_fetch(0, SHAPE) == 0.0
-    assert estimate_fetch(6_000, SHAPE) == pytest.approx(0.005 + 6_000 * 18_432 * 8 / 180e9)
+    assert estimate_fetch_s(0, SHAPE) == 0.0
+    assert estimate_fetch_s(6_000, SHAPE) == pytest.approx(0.005 + 6_000 * 18_432 * 8 / 180e9)
--- a/cloverway/tests/test_core_limits.py
+++ b/cloverway/tests/test_core_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.core.cold_start import SETTLED_S
+from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.core.limits import Allowance, compute_share
 
 STEP_S = 0.01
@@ -107,7 +107,8 @@
     views = [
         View(
             name,
-            {n: -100.0 for n in old if n != name} | {"new": joins_at + draw.uniform(0, SETTLED_S)},
+            {n: -100.0 for n in old if n != name}
+            | {"new": joins_at + draw.uniform(0, MIN_HOST_AGE_S)},
         )
         for name in old
     ]
@@ -141,5 +142,5 @@
 
 def test_an_allowance_begins_empty():
     """Guards against a burst at the moment at which an endpoint says that it has too much."""
-    share = compute_share(2.0, "e", "host-0", (), age_s=SETTLED_S)
+    share = compute_share(2.0, "e", "host-0", (), age_s=MIN_HOST_AGE_S)
     assert Allowance(5.0).estimate_wait(share, 5.0) == pytest.approx(0.5)
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -4,19 +4,25 @@
 
 import pytest
 
-from cloverway.core.engine_speed import START_S_PER_TOKEN
-from cloverway.core.load import DUTY, EngineState
+from cloverway.core.engine_speed import INITIAL_PREFILL_S_PER_TOKEN
+from cloverway.core.load import PREFILL_DUTY, EngineState
 from cloverway.core.members import Offer
-from cloverway.core.prediction import DEFAULT_GAP_S, Far, RegionOffer, predict, predict_region
+from cloverway.core.prediction import (
+    DEFAULT_GAP_OBJECTIVE_S,
+    RegionCandidate,
+    RemoteRegion,
+    predict,
+    predict_region,
+)
 from cloverway.core.selection import (
-    ANY_TOKENS,
+    UNLIMITED_TOKENS,
     choose_endpoint,
     choose_region,
+    compute_region_capacity,
     estimate_wait,
-    offer_region,
-    update_offer,
+    extrapolate_offer,
 )
-from cloverway.core.token_gaps import START_PART, Gap
+from cloverway.core.token_gaps import INITIAL_BURST_RATIO, TokenGap
 from cloverway.tests.test_core_selection import (
     BURST_TOKENS,
     HERE,
@@ -31,7 +37,7 @@
 HEARTBEAT_S = 1.0 / 3
 """How often one of a region's three hosts is heard."""
 TOKENS = 2_000
-READ_S = TOKENS * START_S_PER_TOKEN
+READ_S = TOKENS * INITIAL_PREFILL_S_PER_TOKEN
 SECONDS = 20.0
 
 
@@ -51,18 +57,20 @@
     for step in range(int(SECONDS / step_s)):
         now = step * step_s
         if step % int(HEARTBEAT_S / step_s) == 0:
-            offers = [(now, make_offer(offer_region(MODEL, [endpoint], 0.0, now)))] * hosts
+            offers = [
+                (now, make_offer(compute_region_capacity(MODEL, [endpoint], 0.0, now)))
+            ] * hosts
         if local_s and step % int(local_s / step_s) == 0:
             number += 1
             send(endpoint, make_call(f"local-{number}", TOKENS), number, now)
         for host, (told_at, told) in enumerate(offers):
-            updated = update_offer(told, now - told_at)
+            updated = extrapolate_offer(told, now - told_at)
             if updated.free > 0 and updated.room >= TOKENS:
                 offers[host] = (told_at, told._replace(free=told.free - 1))
                 number += 1
                 sent += 1
                 send(endpoint, make_call(f"far-{number}", TOKENS), number, now)
-        longest_s = max(longest_s, endpoint.load.backlog(now) * START_S_PER_TOKEN)
+        longest_s = max(longest_s, endpoint.load.backlog(now) * INITIAL_PREFILL_S_PER_TOKEN)
     return sent * READ_S / SECONDS, longest_s
 
 
@@ -75,41 +83,41 @@
     Half of what is wanted of an engine at most is left to what its own region sends.
     """
     part, _ = pass_on(hosts)
-    assert part >= 0.6 * DUTY
+    assert part >= 0.6 * PREFILL_DUTY
 
 
 def test_what_is_passed_on_does_not_pile_up_before_an_engine_that_has_work_of_its_own():
     """Its own region fills half of the engine; three hosts elsewhere believe what it said."""
-    _, longest_s = pass_on(3, local_s=2 * READ_S / DUTY)
+    _, longest_s = pass_on(3, local_s=2 * READ_S / PREFILL_DUTY)
     assert longest_s < 1.5
 
 
 def test_a_region_behind_a_line_has_no_place_until_that_is_read():
     busy = offer(queue_s=2.0)._replace(free=0, room=0)
-    assert update_offer(busy, 1.0) == busy
+    assert extrapolate_offer(busy, 1.0) == busy
 
 
 def test_an_offer_that_nobody_repeats_does_not_grow_for_ever():
     full = offer(queue_s=0.3)._replace(free=0, room=0)
-    assert update_offer(full, 1e6).free <= 10
-    assert update_offer(full, 1e6).room < ANY_TOKENS
+    assert extrapolate_offer(full, 1e6).free <= 10
+    assert extrapolate_offer(full, 1e6).room < UNLIMITED_TOKENS
 
 
 def test_places_of_a_plain_service_do_not_come_back_by_waiting():
     """They are lent one by one, and given back when the request has ended."""
     plain = Offer("desk", 0.1, 0, 0)
-    assert update_offer(plain, 5.0) == plain
+    assert extrapolate_offer(plain, 5.0) == plain
 
 
 def test_a_region_offers_what_its_engines_can_take_at_their_pace():
     endpoint = make_endpoint("a")
-    idle = offer_region(MODEL, [endpoint], 0.0, 0.0)
-    endpoint.load.note_read(BURST_TOKENS, 0.0)
-    busy = offer_region(MODEL, [endpoint], 0.0, 0.0)
+    idle = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
+    endpoint.load.note_prefill(BURST_TOKENS, 0.0)
+    busy = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
     assert idle.free > 0
-    assert idle.tokens == ANY_TOKENS
+    assert idle.tokens == UNLIMITED_TOKENS
     assert (busy.free, busy.tokens) == (0, 0)
-    assert busy.wait_s > 0.9 * START_PART * DEFAULT_GAP_S
+    assert busy.wait_s > 0.9 * INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
 
 
 def test_a_region_with_requests_that_wait_offers_nothing():
@@ -119,14 +127,14 @@
     declined, after half a second and twelve kilobytes between regions.
     """
     endpoint = make_endpoint("a")
-    room = offer_region(MODEL, [endpoint], 0.3, 0.0)
+    room = compute_region_capacity(MODEL, [endpoint], 0.3, 0.0)
     assert room.free == 0
     assert room.wait_s >= 0.3
 
 
 def test_a_request_leaves_its_region_only_for_a_clear_gain():
     here = predict(want(make_call()), make_endpoint("a"), sender=HERE, now=0.0)
-    near, far = [RegionOffer("south", 0.0, here.cost_s - less) for less in (0.1, 0.5)]
+    near, far = [RegionCandidate("south", 0.0, here.cost_s - less) for less in (0.1, 0.5)]
     assert choose_region(here.cost_s, [near], 0.3) is None
     assert choose_region(here.cost_s, [near, far], 0.3) is far
     assert choose_region(estimate_wait([], 0.0), [near], 0.3) is near
@@ -140,18 +148,18 @@
     """
     endpoints = [make_endpoint("a"), make_endpoint("b")]
     for endpoint in endpoints:
-        endpoint.load.note_read(BURST_TOKENS - 1_000, 0.0)
-    wanted = want(make_call(tokens_in=5_000, tokens_out=20))
-    candidates = [predict(wanted, endpoint, sender=HERE, now=0.0) for endpoint in endpoints]
+        endpoint.load.note_prefill(BURST_TOKENS - 1_000, 0.0)
+    routed = want(make_call(input_tokens=5_000, output_tokens=20))
+    candidates = [predict(routed, endpoint, sender=HERE, now=0.0) for endpoint in endpoints]
     assert choose_endpoint(candidates) is None
-    away = predict_region(wanted, offer(), Far("south", 0.2), 0.0)
+    away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
     assert choose_region(estimate_wait(candidates, 0.0), [away], 0.3) is None
     assert choose_region(estimate_wait(candidates, 2.0), [away], 0.3) is away
 
 
-def offer(queue_s=0.0, token_s=0.006, running=0):
-    engine = EngineState(queue_s, START_S_PER_TOKEN, token_s, running)
-    return Offer("model", queue_s, 10, ANY_TOKENS, engine)
+def offer(queue_s=0.0, decode_s_per_token=0.006, running=0):
+    engine = EngineState(queue_s, INITIAL_PREFILL_S_PER_TOKEN, decode_s_per_token, running)
+    return Offer("model", queue_s, 10, UNLIMITED_TOKENS, engine)
 
 
 def test_long_answers_leave_a_region_whose_engines_make_tokens_slowly():
@@ -162,19 +170,19 @@
     """
     busy = make_endpoint("a")
     for step in range(5):
-        busy.load.note_gap(Gap(0.27, PAUSE_S, tokens=9), 1.0 + step * 0.27)
-    far = Far("south", 0.2)
+        busy.load.note_gap(TokenGap(0.27, PAUSE_S, tokens=9), 1.0 + step * 0.27)
+    far = RemoteRegion("south", 0.2)
     now = 2.3
-    for tokens_out, leaves in ((600, True), (20, False)):
-        wanted = want(make_call(tokens_in=700, tokens_out=tokens_out))
-        here = predict(wanted, busy, sender=HERE, now=now)
-        away = predict_region(wanted, offer(), far, now)
+    for output_tokens, leaves in ((600, True), (20, False)):
+        routed = want(make_call(input_tokens=700, output_tokens=output_tokens))
+        here = predict(routed, busy, sender=HERE, now=now)
+        away = predict_region(routed, offer(), far, now)
         assert (choose_region(here.cost_s, [away], 0.3) is not None) is leaves
 
 
 def test_a_request_stays_while_its_region_is_as_calm_as_others():
     endpoint = make_endpoint("a")
-    wanted = want(make_call(tokens_in=9_000, tokens_out=600))
-    here = predict(wanted, endpoint, sender=HERE, now=0.0)
-    away = predict_region(wanted, offer(), Far("south", 0.2), 0.0)
+    routed = want(make_call(input_tokens=9_000, output_tokens=600))
+    here = predict(routed, endpoint, sender=HERE, now=0.0)
+    away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
     assert choose_region(here.cost_s, [away], 0.3) is None
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cloverway.core.calls import Call, Prompt, PromptPart
+from cloverway.core.calls import Call, Prompt, PromptSegment
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -20,20 +20,25 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.engine_speed import START_S_PER_TOKEN
-from cloverway.core.load import DUTY, SiblingLoad, Work
+from cloverway.core.engine_speed import INITIAL_PREFILL_S_PER_TOKEN
+from cloverway.core.load import PREFILL_DUTY, HostLoad, Work
 from cloverway.core.prediction import (
-    DEFAULT_GAP_S,
+    DEFAULT_GAP_OBJECTIVE_S,
+    RoutedCall,
     Sender,
-    Wanted,
     estimate_work,
     predict,
 )
-from cloverway.core.retry_budget import BudgetTerms, RetryBudget
+from cloverway.core.retry_budget import RetryBudget, RetryBudgetTerms
 from cloverway.core.selection import (
     choose_endpoint,
 )
-from cloverway.core.token_gaps import START_PART, STRAINED_PART, STRAINED_S, Gap
+from cloverway.core.token_gaps import (
+    INITIAL_BURST_RATIO,
+    SATURATION_FRACTION,
+    SATURATION_S,
+    TokenGap,
+)
 
 HERE = Sender("d1")
 
@@ -44,7 +49,7 @@
 ROUTE = Route("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0, PAUSE_S)
 
 
-BURST_TOKENS = int(START_PART * DEFAULT_GAP_S / START_S_PER_TOKEN)
+BURST_TOKENS = int(INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S / INITIAL_PREFILL_S_PER_TOKEN)
 
 
 MODEL = Service("model", 360, engine=EngineShape(64, 240_000))
@@ -57,9 +62,11 @@
     return Endpoint(EndpointEntry(name, "model", f"10.0.0.1:{len(name)}", domain, slots), "north")
 
 
-def make_call(name="c", tokens_in=9_000, tokens_out=50, parts=()):
-    parts = tuple(PromptPart(*part) for part in parts)
-    return Call(name, "POST", "/a/", "h", (), b"", 0.0, 5.0, Prompt(tokens_in, tokens_out, parts))
+def make_call(name="c", input_tokens=9_000, output_tokens=50, segments=()):
+    segments = tuple(PromptSegment(*part) for part in segments)
+    return Call(
+        name, "POST", "/a/", "h", (), b"", 0.0, 5.0, Prompt(input_tokens, output_tokens, segments)
+    )
 
 
 def send(endpoint, call, number, now):
@@ -67,7 +74,7 @@
 
 
 def want(call, service=MODEL):
-    return Wanted(call, ROUTE, service, Counter())
+    return RoutedCall(call, ROUTE, service, Counter())
 
 
 def choose(endpoints, call, now, service=MODEL, sender=HERE):
@@ -87,7 +94,7 @@
     chosen = set()
     for number in range(6):
         now = number * 0.5
-        call = make_call(f"c{number}", parts=((1, 6_000), (100 + number, 3_000)))
+        call = make_call(f"c{number}", segments=((1, 6_000), (100 + number, 3_000)))
         name = choose(endpoints, call, now)
         chosen.add(name)
         endpoint = next(e for e in endpoints if e.entry.id == name)
@@ -105,7 +112,7 @@
     endpoints = [make_endpoint("a"), make_endpoint("b")]
     accepted = 0
     for number in range(20):
-        call = make_call(f"c{number}", tokens_in=5_000)
+        call = make_call(f"c{number}", input_tokens=5_000)
         name = choose(endpoints, call, 0.0)
         if name is not None:
             accepted += 1
@@ -119,19 +126,19 @@
     sent = 0
     for step in range(1_000):
         now = step * 0.01
-        call = make_call(f"c{step}", tokens_in=3_000)
+        call = make_call(f"c{step}", input_tokens=3_000)
         if choose([endpoint], call, now) is not None:
             send(endpoint, call, step, now)
             endpoint.load.end(step)
             sent += 3_000
-    allowed = 10.0 * DUTY / endpoint.load.read_s_per_token
+    allowed = 10.0 * PREFILL_DUTY / endpoint.load.prefill_s_per_token
     assert 0.85 * allowed < sent < allowed + BURST_TOKENS
 
 
 def test_a_prompt_larger_than_the_burst_is_served_by_an_idle_engine():
     """A prompt of 40,000 tokens is over every bound; without an exception it would never be run."""
     endpoint = make_endpoint("a")
-    assert choose([endpoint], make_call(tokens_in=40_000), 0.0) == "a"
+    assert choose([endpoint], make_call(input_tokens=40_000), 0.0) == "a"
 
 
 def test_a_very_large_prompt_does_not_wait_until_an_engine_has_nothing_to_read():
@@ -141,18 +148,18 @@
     in ten of those that share a document is that large; they came a second late, or not at all.
     """
     endpoint = make_endpoint("a")
-    large = make_call("large", tokens_in=24_000)
-    send(endpoint, make_call("small", tokens_in=3_000), 1, 0.0)
+    large = make_call("large", input_tokens=24_000)
+    send(endpoint, make_call("small", input_tokens=3_000), 1, 0.0)
     assert choose([endpoint], large, 0.0) == "a"
     send(endpoint, large, 2, 0.0)
-    assert choose([endpoint], make_call("next", tokens_in=3_000), 0.3) is None
+    assert choose([endpoint], make_call("next", input_tokens=3_000), 0.3) is None
 
 
 def test_small_prompts_pass_where_large_ones_wait():
     endpoint = make_endpoint("a")
-    send(endpoint, make_call("x", tokens_in=11_500), 1, 0.0)
-    assert choose([endpoint], make_call(tokens_in=5_000), 0.0) is None
-    assert choose([endpoint], make_call(tokens_in=700, tokens_out=300), 0.0) == "a"
+    send(endpoint, make_call("x", input_tokens=11_500), 1, 0.0)
+    assert choose([endpoint], make_call(input_tokens=5_000), 0.0) is None
+    assert choose([endpoint], make_call(input_tokens=700, output_tokens=300), 0.0) == "a"
 
 
 def test_long_answers_keep_away_from_engines_that_read_much():
@@ -162,9 +169,9 @@
     """
     busy, calm = make_endpoint("busy"), make_endpoint("calm")
     for step in range(20):
-        busy.load.note_read(5_000, step * 0.3)
-        calm.load.note_read(700, step * 0.3)
-    call = make_call(tokens_in=700, tokens_out=400)
+        busy.load.note_prefill(5_000, step * 0.3)
+        calm.load.note_prefill(700, step * 0.3)
+    call = make_call(input_tokens=700, output_tokens=400)
     assert choose([busy, calm], call, 6.5) == "calm"
 
 
@@ -175,9 +182,9 @@
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(Gap(0.36, PAUSE_S, tokens=9), 1.0 + step * 0.36)
-        fast.load.note_gap(Gap(0.09, PAUSE_S, tokens=9), 1.0 + step * 0.36)
-    call = make_call(tokens_in=700, tokens_out=600)
+        slow.load.note_gap(TokenGap(0.36, PAUSE_S, tokens=9), 1.0 + step * 0.36)
+        fast.load.note_gap(TokenGap(0.09, PAUSE_S, tokens=9), 1.0 + step * 0.36)
+    call = make_call(input_tokens=700, output_tokens=600)
     assert choose([slow, fast], call, 2.5) == "fast"
     assert choose([slow], call, 2.5) == "slow"
 
@@ -190,12 +197,12 @@
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(Gap(0.108, PAUSE_S, tokens=9), 1.0 + step * 0.1)
-        fast.load.note_gap(Gap(0.054, PAUSE_S, tokens=9), 1.0 + step * 0.1)
+        slow.load.note_gap(TokenGap(0.108, PAUSE_S, tokens=9), 1.0 + step * 0.1)
+        fast.load.note_gap(TokenGap(0.054, PAUSE_S, tokens=9), 1.0 + step * 0.1)
     fast.load.begin(1, Work(12_000, 12_000), None, 1.5)
-    call = make_call(tokens_in=700, tokens_out=333)._replace(deadline=3.5)
+    call = make_call(input_tokens=700, output_tokens=333)._replace(deadline=3.5)
     assert choose([slow, fast], call, 1.5) == "fast"
-    short = make_call(tokens_in=700, tokens_out=100)._replace(deadline=3.5)
+    short = make_call(input_tokens=700, output_tokens=100)._replace(deadline=3.5)
     assert choose([slow, fast], short, 1.5) == "slow"
 
 
@@ -205,12 +212,12 @@
     Read there it takes a little less time, and each of the four pauses for over 450 ms. The other
     engine has one stream.
     """
-    parts = ((1, 6_000), (2, 14_000))
+    segments = ((1, 6_000), (2, 14_000))
     streams, calm = make_endpoint("streams"), make_endpoint("calm")
-    streams.load.note_parts([PromptPart(1, 6_000)], 0.0)
-    streams.load.note_sibling("other", SiblingLoad(4, 0, 4_000, 0.0), ())
-    calm.load.note_sibling("other", SiblingLoad(1, 0, 1_000, 0.0), ())
-    assert choose([streams, calm], make_call(tokens_in=20_000, parts=parts), 0.0) == "calm"
+    streams.load.note_segments([PromptSegment(1, 6_000)], 0.0)
+    streams.load.note_sibling("other", HostLoad(4, 0, 4_000, 0.0), ())
+    calm.load.note_sibling("other", HostLoad(1, 0, 1_000, 0.0), ())
+    assert choose([streams, calm], make_call(input_tokens=20_000, segments=segments), 0.0) == "calm"
 
 
 def test_an_engine_that_fails_is_used_last_and_never_shut_out():
@@ -223,14 +230,14 @@
 
 def test_memory_bounds_what_runs_at_an_engine():
     endpoint = make_endpoint("a")
-    load = SiblingLoad(running=20, unread=0, held=230_000, at=0.0)
+    load = HostLoad(running=20, prefill_tokens=0, reserved_kv_tokens=230_000, at=0.0)
     endpoint.load.note_sibling("other", load, ())
-    assert choose([endpoint], make_call(tokens_in=9_000), 0.0) is None
+    assert choose([endpoint], make_call(input_tokens=9_000), 0.0) is None
 
 
 def test_loads_of_siblings_that_fell_silent_are_forgotten():
     endpoint = make_endpoint("a")
-    endpoint.load.note_sibling("other", SiblingLoad(64, 0, 0, 0.0), ())
+    endpoint.load.note_sibling("other", HostLoad(64, 0, 0, 0.0), ())
     assert choose([endpoint], make_call(), 1.0) is None
     assert choose([endpoint], make_call(), 3.0) == "a"
 
@@ -251,7 +258,7 @@
 @pytest.mark.parametrize("hosts", [1, 3, 10])
 def test_extra_sends_of_all_hosts_stay_within_the_budget_of_any_window(hosts):
     """All hosts are cut off from each other and each retries as often as it may."""
-    terms = BudgetTerms(ratio=0.2, slack=54.0, window_s=10.0)
+    terms = RetryBudgetTerms(ratio=0.2, slack=54.0, window_s=10.0)
     budgets = [RetryBudget(terms) for _ in range(hosts)]
     sends, requests = [], []
     for step in range(3_000):
@@ -281,9 +288,9 @@
 def test_a_request_crosses_to_another_domain_for_what_was_read_there():
     """To read 6,000 tokens again takes five times as long as the bytes that cross count."""
     far, near = make_endpoint("far", domain="d2"), make_endpoint("near")
-    send(far, make_call("first", parts=((1, 6_000), (2, 3_000))), 1, 0.0)
+    send(far, make_call("first", segments=((1, 6_000), (2, 3_000))), 1, 0.0)
     far.load.end(1)
-    call = make_call("second", parts=((1, 6_000), (3, 3_000)))._replace(body=b"x" * 9_000)
+    call = make_call("second", segments=((1, 6_000), (3, 3_000)))._replace(body=b"x" * 9_000)
     assert choose([far, near], call, 1.0) == "far"
 
 
@@ -296,18 +303,18 @@
     engine = make_endpoint("a")
     for number in range(8):
         now = number * 0.1
-        call = make_call(f"c{number}", parts=((number, 9_000),))
+        call = make_call(f"c{number}", segments=((number, 9_000),))
         assert choose([engine], call, now) == "a"
         send(engine, call, number, now)
-        engine.load.note_first(number, now + 0.03)
-    assert engine.load.take_news(8).read < 8 * 9_000 / 2
+        engine.load.note_first_event(number, now + 0.03)
+    assert engine.load.take_update(8).sent_prefill_tokens < 8 * 9_000 / 2
 
 
 def test_prompts_that_an_engine_did_read_stay_counted():
     engine = make_endpoint("a")
     send(engine, make_call(), 1, 0.0)
-    engine.load.note_first(1, 0.25)
-    assert engine.load.take_news(8).read == 9_000
+    engine.load.note_first_event(1, 0.25)
+    assert engine.load.take_update(8).sent_prefill_tokens == 9_000
 
 
 def test_an_engine_whose_answers_pause_gets_no_more_long_prompts_for_a_moment():
@@ -317,12 +324,12 @@
     answers pause for over 450 ms: that is seen at once, whatever is believed.
     """
     strained, other = make_endpoint("a"), make_endpoint("b")
-    strained.load.note_gap(Gap(STRAINED_PART * PAUSE_S + 0.1, PAUSE_S), 1.0)
+    strained.load.note_gap(TokenGap(SATURATION_FRACTION * PAUSE_S + 0.1, PAUSE_S), 1.0)
     other.load.begin(1, Work(BURST_TOKENS // 2, 9_000), None, 1.0)
-    assert choose([strained, other], make_call(tokens_in=3_000), 1.1) == "b"
-    assert choose([strained], make_call(tokens_in=9_000), 1.1) is None
-    assert choose([strained], make_call(tokens_in=900), 1.1) == "a"
-    assert choose([strained], make_call(tokens_in=9_000), 1.0 + STRAINED_S + 0.1) == "a"
+    assert choose([strained, other], make_call(input_tokens=3_000), 1.1) == "b"
+    assert choose([strained], make_call(input_tokens=9_000), 1.1) is None
+    assert choose([strained], make_call(input_tokens=900), 1.1) == "a"
+    assert choose([strained], make_call(input_tokens=9_000), 1.0 + SATURATION_S + 0.1) == "a"
 
 
 def test_a_host_that_has_just_started_sends_each_engine_one_prompt_at_a_time():
@@ -332,9 +339,9 @@
     a second to engines that read 0.5 million, and answers paused for ten seconds.
     """
     engine = make_endpoint("a")
-    young = Sender("d1", is_young=True)
+    young = Sender("d1", is_recently_started=True)
     assert choose([engine], make_call("first"), 0.0, sender=young) == "a"
-    send(engine, make_call("first", tokens_in=2_500), 1, 0.0)
-    assert choose([engine], make_call("second", tokens_in=4_000), 0.01, sender=young) is None
-    assert choose([engine], make_call("second", tokens_in=4_000), 0.01) == "a"
-    assert choose([engine], make_call("second", tokens_in=4_000), 1.0, sender=young) == "a"
+    send(engine, make_call("first", input_tokens=2_500), 1, 0.0)
+    assert choose([engine], make_call("second", input_tokens=4_000), 0.01, sender=young) is None
+    assert choose([engine], make_call("second", input_tokens=4_000), 0.01) == "a"
+    assert choose([engine], make_call("second", input_tokens=4_000), 1.0, sender=young) == "a"
--- a/cloverway/tests/test_core_token_gaps.py
+++ b/cloverway/tests/test_core_token_gaps.py
@@ -12,7 +12,7 @@
 import itertools
 from collections import Counter, deque
 
-from cloverway.core.calls import Call, Prompt, PromptPart
+from cloverway.core.calls import Call, Prompt, PromptSegment
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
@@ -22,10 +22,16 @@
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.load import SiblingLoad, Work
-from cloverway.core.prediction import Sender, Wanted, predict
+from cloverway.core.load import HostLoad, Work
+from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
-from cloverway.core.token_gaps import LEAST_PART, MOST_PART, START_PART, Gap, PromptBurst
+from cloverway.core.token_gaps import (
+    INITIAL_BURST_RATIO,
+    MAX_BURST_RATIO,
+    MIN_BURST_RATIO,
+    PrefillBurstLimit,
+    TokenGap,
+)
 
 SERVICE = Service("model", 360, engine=EngineShape(64, 240_000, event_tokens=5))
 SHARE = (WeightedService("model", 1.0),)
@@ -71,16 +77,16 @@
         self.name = name
         entry = EndpointEntry("e1", "model", "10.0.0.1:80", "d1", 64)
         self.endpoint = Endpoint(entry, "north")
-        self.endpoint.load._pace.s_per_token = 1 / TOKENS_PER_S
+        self.endpoint.load._prefill_speed.s_per_token = 1 / TOKENS_PER_S
         self.endpoint.load.begin(0, Work(0, 1_000), None, 0.0)
 
     def wants(self, tokens, gap_s, number, now):
         """Send a prompt of some tokens if the engine has room by what is believed here."""
         route = Route("r", "h", "/", CallKind.STREAM, SHARE, 10.0, 1.0, gap_s)
-        prompt = Prompt(tokens, 50, (PromptPart(number, tokens),))
+        prompt = Prompt(tokens, 50, (PromptSegment(number, tokens),))
         call = Call(f"c{number}", "POST", "/", "h", (), b"", now, now + 10.0, prompt)
-        wanted = Wanted(call, route, SERVICE, Counter())
-        candidate = predict(wanted, self.endpoint, sender=Sender("d1", 2), now=now)
+        routed = RoutedCall(call, route, SERVICE, Counter())
+        candidate = predict(routed, self.endpoint, sender=Sender("d1", 2), now=now)
         if choose_endpoint([candidate]) is None:
             return False
         self.endpoint.load.begin(number, candidate.work, prompt, now)
@@ -88,20 +94,20 @@
         return True
 
     def hear(self, other, tokens, now):
-        self.endpoint.load.note_sibling(other, SiblingLoad(1, tokens, tokens, now), ())
-        self.endpoint.load.note_read(tokens, now)
+        self.endpoint.load.note_sibling(other, HostLoad(1, tokens, tokens, now), ())
+        self.endpoint.load.note_prefill(tokens, now)
 
 
 def play(gap_s, part):
     """Give the pauses between the events of an answer, and the part of the time spent reading."""
     hosts = [Host("a"), Host("b")]
     for host in hosts:
-        host.endpoint.load._burst.part = part
+        host.endpoint.load._burst_limit.ratio = part
     numbers = itertools.count(1)
     sizes = itertools.cycle(SIZES)
     waiting = {host.name: deque() for host in hosts}
     heard = []
-    now, event_at, tokens, read_s = 0.0, 0.0, 0, 0.0
+    now, event_at, tokens, prefill_s = 0.0, 0.0, 0, 0.0
     engine = Engine()
     pauses = []
     while now < SECONDS:
@@ -123,15 +129,15 @@
                 else:
                     line.append(size)
         took_s = engine.step()
-        read_s += took_s
+        prefill_s += took_s
         now += STEP_S + took_s
         for host in hosts:
-            host.endpoint.load.progress_at = now
+            host.endpoint.load.last_progress_at = now
         tokens += 1
         if tokens % EVENT_TOKENS == 0:
             pauses.append(now - event_at)
             event_at = now
-    return pauses, read_s / now
+    return pauses, prefill_s / now
 
 
 def test_what_long_pauses_lead_to_keeps_pauses_short():
@@ -141,29 +147,29 @@
     of 0.6 already here, where all else is known: on a day a fifth of the answers had a pause over
     it, and were late for their callers, who lost two thirds of their worth.
     """
-    pauses, duty = play(0.6, LEAST_PART)
+    pauses, duty = play(0.6, MIN_BURST_RATIO)
     pauses.sort()
     assert pauses[int(0.99 * len(pauses))] < 0.8 * 0.6
     # It is no remedy to leave the engine idle.
     assert duty > 0.7
-    longer = sorted(play(0.6, MOST_PART)[0])
+    longer = sorted(play(0.6, MAX_BURST_RATIO)[0])
     assert longer[int(0.99 * len(longer))] > 0.9 * 0.6
 
 
 def test_an_engine_whose_answers_keep_to_the_pause_is_given_more():
     """Its events hold few tokens, or it is fast: it may read without a break."""
-    burst = PromptBurst()
+    burst = PrefillBurstLimit()
     for number in range(24_000):
-        burst.note(Gap(0.3, 0.8), number / 20)
-    assert burst.part == MOST_PART
+        burst.note(TokenGap(0.3, 0.8), number / 20)
+    assert burst.ratio == MAX_BURST_RATIO
 
 
 def test_an_engine_whose_answers_pause_too_long_is_given_less_but_never_nothing():
-    burst = PromptBurst()
+    burst = PrefillBurstLimit()
     for _ in range(10):
         # Ten answers have paused together.
-        burst.note(Gap(0.61, 0.6), 0.0)
-    assert LEAST_PART < burst.part < START_PART
+        burst.note(TokenGap(0.61, 0.6), 0.0)
+    assert MIN_BURST_RATIO < burst.ratio < INITIAL_BURST_RATIO
     for number in range(200):
-        burst.note(Gap(2.0, 0.6), number * 1.0)
-    assert burst.part == LEAST_PART
+        burst.note(TokenGap(2.0, 0.6), number * 1.0)
+    assert burst.ratio == MIN_BURST_RATIO
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -288,8 +288,8 @@
         async with run_deadly_fleet(("d1",)) as deadly:
             (host,) = deadly.fleet.hosts
             await hold(deadly, host)
-            host.context.targeting.take = lambda wanted, ahead_s, now: None
-            host.context.targeting.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.targeting.take = lambda routed, ahead_s, now: None
+            host.context.targeting.estimate_start = lambda routed, ahead_s, now: None
             began = read_clock()
             reply = await deadly.fleet.call("/stream/a", body=DEADLY)
             assert read_clock() - began < 0.3
@@ -333,12 +333,12 @@
             choose, go_on = host.context.targeting.take, asyncio.Event()
             waits = []
 
-            def wait(wanted, ahead_s, now):
-                waits.append(wanted.call.compute_digest())
-                return choose(wanted, ahead_s, now) if go_on.is_set() else None
+            def wait(routed, ahead_s, now):
+                waits.append(routed.call.compute_digest())
+                return choose(routed, ahead_s, now) if go_on.is_set() else None
 
             host.context.targeting.take = wait
-            host.context.targeting.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.targeting.estimate_start = lambda routed, ahead_s, now: None
             sending = await deadly.fleet.begin_call("/stream/a", body=DEADLY)
             await wait_for(lambda: waits)
             for number in range(ALLOWED_ENDS):
@@ -349,7 +349,7 @@
             assert head.status == 503
             assert not deadly.ended
             engines = host.directory.endpoints.values()
-            assert not any(engine.load.sum_own().running for engine in engines)
+            assert not any(engine.load.get_own_load().running for engine in engines)
 
     play(scenario)
 
--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -65,7 +65,7 @@
             await wait_for(lambda: all(len(h.members.peers) == 1 for h in fleet.hosts))
             leaving.is_leaving = True
             await wait_for_word(fleet, first)
-            await wait_for(lambda: second.directory.endpoints["desk-0"].has_said_leaving)
+            await wait_for(lambda: second.directory.endpoints["desk-0"].has_announced_leaving)
             told = len(leaving.arrivals)
             assert await press(fleet, second, 1.0) == {200}
             assert len(leaving.arrivals) == told
@@ -91,7 +91,7 @@
 
             pool.open = open_slowly
             assert await press(fleet, host, 0.5) == {200}
-            assert host.directory.endpoints["desk-0"].has_said_leaving
+            assert host.directory.endpoints["desk-0"].has_announced_leaving
             assert leaving.arrivals == []
 
     play(scenario)
@@ -101,6 +101,6 @@
     """Send requests to a host until it has heard that an endpoint leaves."""
     for _ in range(50):
         await fleet.call("/safe/a", host)
-        if any(endpoint.has_said_leaving for endpoint in host.directory.endpoints.values()):
+        if any(endpoint.has_announced_leaving for endpoint in host.directory.endpoints.values()):
             return
     raise AssertionError("the endpoint was never asked")
--- a/cloverway/tests/test_fleet_limits.py
+++ b/cloverway/tests/test_fleet_limits.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from cloverway.core.cold_start import SETTLED_S
+from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.serving.clock import read_clock
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 
@@ -57,7 +57,7 @@
     """Wait until the hosts know each other for long enough to share a limit."""
     others = len(fleet.hosts) - 1
     await wait_for(lambda: all(len(h.members.peers) == others for h in fleet.hosts))
-    until = max(host.started_at for host in fleet.hosts) + SETTLED_S
+    until = max(host.started_at for host in fleet.hosts) + MIN_HOST_AGE_S
     await wait_for(lambda: read_clock() > until)
 
 
--- a/cloverway/tests/test_fleet_lives.py
+++ b/cloverway/tests/test_fleet_lives.py
@@ -6,7 +6,7 @@
 import math
 from contextlib import asynccontextmanager
 
-from cloverway.core.endpoints import REFUSED_S
+from cloverway.core.endpoints import REFUSED_BACKOFF_S
 from cloverway.serving.clock import read_clock
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service, share_part
@@ -185,7 +185,7 @@
             for count in (2, 8):
                 calls = [asyncio.create_task(fleet.call("/safe/a")) for _ in range(count)]
                 assert {reply.status for reply in await asyncio.gather(*calls)} == {200}
-            tries = 2 + math.ceil((read_clock() - began) / REFUSED_S)
+            tries = 2 + math.ceil((read_clock() - began) / REFUSED_BACKOFF_S)
             assert opened.count(fleet.endpoints["desk-0"].address) <= tries
 
     play(scenario)
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -96,7 +96,7 @@
             assert reply.body.count(b"id: ") == 5
             loads = [endpoint.load for endpoint in host.directory.endpoints.values()]
             last_event_at = read_clock() - pause_s
-            assert any(load.is_strained(last_event_at) for load in loads) == strained
+            assert any(load.is_saturated(last_event_at) for load in loads) == strained
 
     play(scenario)
 
@@ -160,7 +160,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 3000)
-            load.note_read(int(10 / load.read_s_per_token), read_clock())
+            load.note_prefill(int(10 / load.prefill_s_per_token), read_clock())
             asked_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,))
             assert reply.status == 503
@@ -181,7 +181,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 6000)
-            load.note_read(int(0.8 / load.read_s_per_token), read_clock())
+            load.note_prefill(int(0.8 / load.prefill_s_per_token), read_clock())
             asked_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,), deadline_ms=6000)
             assert reply.status == 200
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_welcome.py
@@ -56,7 +56,7 @@
                 await wait_for(lambda new=new: new.context.quarantine.count_held(read_clock()), 1)
                 await wait_for(
                     lambda new=new: "desk-0" in new.directory.endpoints
-                    and new.directory.endpoints["desk-0"].has_said_leaving,
+                    and new.directory.endpoints["desk-0"].has_announced_leaving,
                     1,
                 )
                 assert read_clock() - began_at < NEW_S
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from cloverway.core.members import Member, Members
-from cloverway.core.prediction import Candidate, Wanted
+from cloverway.core.prediction import Candidate, RoutedCall
 from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.news import NewsExchange
@@ -48,7 +48,7 @@
 
 
 def want(digest):
-    return Wanted(SimpleNamespace(id="r"), None, None, Counter(), digest)
+    return RoutedCall(SimpleNamespace(id="r"), None, None, Counter(), digest)
 
 
 def make_candidate(life):
--- a/cloverway/tests/test_uses.py
+++ b/cloverway/tests/test_uses.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from cloverway.core.calls import Prompt, PromptPart
+from cloverway.core.calls import Prompt, PromptSegment
 from cloverway.core.deployment import EndpointEntry, EndpointPublished, Topology
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import Work
@@ -13,7 +13,7 @@
 from cloverway.serving.hosts.uses import MOST_TOLD_AT_ONCE, UseExchange
 
 TOPOLOGY = Topology("d1", "north", {"d1": "north"})
-PROMPT = Prompt(9_000, 50, (PromptPart(1, 6_000), PromptPart(2, 3_000)))
+PROMPT = Prompt(9_000, 50, (PromptSegment(1, 6_000), PromptSegment(2, 3_000)))
 
 
 def make_member(name):
@@ -53,9 +53,9 @@
     [(name, message)] = here.tell()
     assert name == "b"
     there.exchange.hear(message, 0.0)
-    assert there.load().sum_all(0.1).running == 1
+    assert there.load().sum_region_load(0.1).running == 1
     assert there.load().backlog(0.0) == 9_000
-    assert there.load().count_unread(PROMPT) == 0
+    assert there.load().count_uncached(PROMPT) == 0
     assert there.load("e2").backlog(0.0) == 0
 
 
@@ -106,4 +106,4 @@
     here, stranger = Side("a", ["b"]), Side("c", ["a"])
     stranger.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     here.exchange.hear(stranger.tell()[0][1], 0.0)
-    assert here.load().sum_all(0.1).running == 0
+    assert here.load().sum_region_load(0.1).running == 0
