--- a/cloverway/core/__init__.py
+++ b/cloverway/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure code without sockets, clocks or randomness; `now` is always an argument."""
+"""Pure decision logic: no sockets, clocks or randomness; the current time is passed as `now`."""
--- a/cloverway/core/calls.py
+++ b/cloverway/core/calls.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, decoded once."""
+"""Requests of callers, decoded once on arrival."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 def compute_digest(names: Iterable[str], body: bytes) -> int:
-    """Give a number, 63 bits wide, for a request: some names without line breaks, and its body."""
+    """Return a 63-bit digest of a request: names without line breaks, and the body."""
     digest = hashlib.blake2b("\n".join(names).encode() + b"\n\n", digest_size=8)
     digest.update(body)
     return int.from_bytes(digest.digest(), "big") >> 1
 
 
 class PromptSegment(NamedTuple):
-    """One part of a prompt; parts with the same id are shared between prompts."""
+    """One segment of a prompt; prompts that contain a segment with the same id share it."""
 
     id: int
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """What is known of the work for a model engine."""
+    """What is known of the work that a request causes at a model engine."""
 
     input_tokens: int
     max_output_tokens: int
-    """The most tokens that may be generated."""
+    """Upper bound on the tokens to generate."""
     segments: tuple[PromptSegment, ...] = ()
     expected_output_tokens: int | None = None
-    """The caller's estimate of the tokens that will be generated."""
+    """The caller's estimate of the tokens that will be generated; None if it gave none."""
 
 
 class Call(NamedTuple):
@@ -40,10 +40,10 @@
     id: str
     method: str
     target: str
-    """Path and query as the caller sent them."""
+    """Path and query as sent by the caller."""
     host: str
     headers: tuple[Header, ...]
-    """What is passed on: neither of one connection only, nor the system's to set."""
+    """Headers to forward, without hop-by-hop headers and those that only this system sets."""
     body: bytes
     arrived_at: float
     deadline: float
@@ -58,19 +58,19 @@
         return self.target.partition("?")[0]
 
     def compute_digest(self) -> int:
-        """Give a number that all repeats of the request have in common.
+        """Return a digest that is the same for all repeats of the request.
 
-        Each try of a caller has an id of its own, so the id can't tell that a request comes again.
-        Taking it over costs some 20 us for 18 KB, so it is asked for only where it is needed.
+        Each try of a caller has its own id, so the id does not identify repeats. Hashing takes
+        about 20 us for 18 KB, so the digest is computed only where it is needed.
         """
         return compute_digest((self.method, self.host, self.target), self.body)
 
 
 class ForwardingContext(NamedTuple):
-    """What the host that a caller is connected to tells the one it passes the request on to."""
+    """What the entry host of a caller tells the host that it forwards the request to."""
 
     version: int
-    """The version of the configuration by which it chose."""
+    """Version of the configuration that the entry host used."""
     service: str
     region: str
-    """The region of the host that the caller is connected to."""
+    """Region of the entry host."""
--- a/cloverway/core/cold_start.py
+++ b/cloverway/core/cold_start.py
@@ -1,4 +1,4 @@
-"""How often a host may send to an endpoint that is cold."""
+"""Rate limit for requests to cold endpoints, shared by all hosts of a region."""
 
 from __future__ import annotations
 
@@ -8,18 +8,17 @@
 from cloverway.core.members import rank_for
 
 SEND_WINDOW_S = 1.1
-"""The second in which sends are counted, and a tenth more: sends spaced by just a second may
+"""The second in which sends are counted, plus a tenth: sends spaced by exactly one second may
 arrive closer together than they left."""
-
-
 MIN_HOST_AGE_S = 2.0
-"""Age from which a host sends to cold endpoints: by then it has heard of the others of its region
-(their heartbeats come each 0.4 to 1 s), and those have heard of it for a whole window. Hosts that
-started together had each taken the whole bound: six sends in a second where five were borne."""
+"""Minimum age of a host that sends to cold endpoints. By then it has received heartbeats from the
+other hosts of its region, which come every 0.4 to 1 s, and those have known of it for a whole
+window. Without it, hosts that started together each used the whole limit: six sends in a second to
+an endpoint that sustains five."""
 
 
 class ColdStartTerms(NamedTuple):
-    """How far over its stated rate a cold endpoint may be loaded, over all hosts together."""
+    """How far the hosts together may exceed the stated rate of a cold endpoint."""
 
     overshoot: float = 1.0
     slack: float = 0.0
@@ -34,12 +33,12 @@
     *,
     age_s: float,
 ) -> float | None:
-    """Give the seconds between two sends of one host to a cold endpoint; None for no sends.
+    """Return the seconds between two sends of one host to a cold endpoint; None for no sends.
 
-    A cold endpoint crashes when all hosts together send more than it bears within one second. Each
-    host takes an equal part of the bound. Where there are more hosts than the bound has sends,
-    only as many as that send at all, those that a hash ranks first for this endpoint. A host that
-    has just started, `age_s` ago, doesn't know the others yet and sends none.
+    A cold endpoint crashes when all hosts together send more than it sustains within one second.
+    Each host gets an equal share of the limit. If there are more hosts than sends in the limit,
+    only that many hosts send, those that a hash ranks first for this endpoint. A host that started
+    less than `MIN_HOST_AGE_S` ago (`age_s`) doesn't know the others yet and sends nothing.
     """
     if age_s < MIN_HOST_AGE_S:
         return None
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -1,4 +1,4 @@
-"""What a host believes of endpoints: who is there, who is leaving, who is cold or evacuated."""
+"""State of the endpoints as known to a host: present, leaving, cold or evacuated."""
 
 from __future__ import annotations
 
@@ -25,31 +25,33 @@
 log = logging.getLogger(__name__)
 
 MISSING_GRACE_S = 2.0
-"""How long an endpoint whose entry was removed is still used. Entries lapse together while the
-store is away and are back within two seconds; without the wait a host would have no endpoint at
-all just then. An endpoint that leaves without a word works on for longer than this."""
+"""How long an endpoint is still used after its entry was removed. All entries expire together when
+the store is unavailable, and are back within two seconds; without the grace period a host would
+have no endpoints in that time. An endpoint that leaves without announcing it keeps serving for
+longer."""
 POST_EVACUATION_COLD_S = 2.0
-"""How long the endpoints of a domain that was evacuated are taken for cold after it is taken back,
-unless their entries say so themselves: a heartbeat of theirs is on its way for less than this."""
+"""How long the endpoints of an evacuated domain are treated as cold after the end of the
+evacuation, unless their entries say that they are cold: a heartbeat of theirs arrives in less
+time."""
 MISDIRECTED_BACKOFF_S = 3.0
-"""How long an endpoint gets nothing after another one has answered at its address: by then its own
-entry has lapsed, or says where it is now. Each request that is led there would lose a try."""
+"""How long an endpoint gets no requests after another one has answered at its address. By then its
+entry has expired or has its new address. Each request sent there would waste an attempt."""
 REFUSED_BACKOFF_S = 0.5
-"""How long an endpoint gets nothing after nobody listened at its address: it has ended, and its
-entry lapses only after its last heartbeats, or it starts again. One try each half second finds out
-when it is back; requests wait that long for the only one."""
+"""How long an endpoint gets no requests after its address refused a connection. Either it has
+crashed and its entry has not expired yet, or it is restarting. One attempt each half second detects
+when it is back; if it is the only endpoint of a service, requests wait that long for it."""
 MAX_PAUSE_S = 3_600.0
-"""The longest time for which an endpoint that asks for a pause is left alone: a number that is
-wrong by a factor of a thousand must not take it out for good."""
+"""Upper bound of a pause that an endpoint asks for: a value that is wrong by a factor of a thousand
+must not remove it permanently."""
 MAX_PAUSES = 4_096
-"""Lives of endpoints whose last pause is remembered."""
+"""Incarnations of endpoints whose last pause is remembered."""
 MAX_PAST_ENTRIES = 2_000
-"""Endpoints that are gone whose last entry is remembered, so that an older one of theirs that comes
-late isn't taken for a new endpoint's."""
+"""Removed endpoints whose last entry is remembered, so that an older entry that arrives late is not
+treated as that of a new endpoint."""
 
 
 class Endpoint:
-    """One life of an endpoint: its entry, and what this host has learnt of it."""
+    """One incarnation of an endpoint: its entry and the state that this host has observed."""
 
     def __init__(self, entry: EndpointEntry, region: str) -> None:
         self.entry = entry
@@ -60,25 +62,25 @@
         self.leaves_at: float | None = None
         self.last_cold_send_at = float("-inf")
         self.has_unreadable_entry = False
-        """Whether its entry can't be read any more."""
+        """Whether the latest entry could not be decoded."""
         self.misdirected_at = float("-inf")
         """When another endpoint answered at its address."""
         self.refused_at = float("-inf")
-        """When nobody listened at its address."""
+        """When its address last refused a connection."""
         self.has_announced_leaving = False
-        """Whether it has said in an answer that it leaves. Its entry tells later, and not at all
-        while the store is away."""
+        """Whether it has announced in a response that it is leaving. Its entry says so later, and
+        not at all while the store is unavailable."""
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the endpoint must be loaded slowly."""
+        """Return whether the endpoint is cold, so that the rate of its requests is limited."""
         return now < self.cold_until
 
     def is_down(self, now: float) -> bool:
-        """Tell whether nobody listened at its address just now."""
+        """Return whether its address has just refused a connection."""
         return now - self.refused_at < REFUSED_BACKOFF_S
 
     def is_leaving(self, now: float) -> bool:
-        """Tell whether the endpoint must get nothing new."""
+        """Return whether the endpoint must not get new requests."""
         if self.entry.draining or self.leaves_at is not None or self.has_unreadable_entry:
             return True
         if self.has_announced_leaving:
@@ -89,7 +91,7 @@
 
 
 class Change(NamedTuple):
-    """A belief that changed, for the log."""
+    """A change of the directory, for the log."""
 
     what: str
     subject: str
@@ -97,7 +99,7 @@
 
 
 class Directory:
-    """The configuration in force and the endpoints, kept up by what is published."""
+    """The configuration in force and the endpoints, updated by publications."""
 
     def __init__(self, topology: Topology) -> None:
         self.topology = topology
@@ -106,21 +108,21 @@
         self.evacuated: set[str] = set()
         self.endpoints: dict[str, Endpoint] = {}
         self.statements = Statements()
-        """What endpoints say of themselves in their answers."""
+        """Announcements that endpoints make about themselves in responses."""
         self._paused_until: OrderedDict[str, float] = OrderedDict()
-        """Until when each life of an endpoint wants nothing from this host."""
+        """Time until which each incarnation of an endpoint asked this host for no requests."""
         self._past_entries: OrderedDict[str, EndpointEntry] = OrderedDict()
-        """The last entries of endpoints that are gone."""
+        """The last entries of removed endpoints, by id."""
         self._by_service: dict[str, list[Endpoint]] = {}
 
     def apply(self, publications: Iterable[Publication], now: float) -> list[Change]:
-        """Take over what was published; give what changed."""
+        """Apply publications and return the changes."""
         changes = [change for item in publications for change in self._apply(item, now)]
         self._index()
         return changes
 
     def list_usable(self, service: str, now: float) -> list[Endpoint]:
-        """List the endpoints of a service that may get new requests."""
+        """Return the endpoints of a service that may get new requests."""
         return [
             endpoint
             for endpoint in self._by_service.get(service, ())
@@ -129,44 +131,45 @@
             and not endpoint.is_down(now)
         ]
 
-    def note_statement(self, life: str, statement: Statement) -> tuple[News, ...]:
-        """Take over what a life of an endpoint has said of itself; give what is new of that."""
-        news = self.statements.note(life, statement)
+    def note_statement(self, incarnation: str, statement: Statement) -> tuple[News, ...]:
+        """Apply the statement of an incarnation of an endpoint; return what is new in it."""
+        news = self.statements.note(incarnation, statement)
         if News.LEAVING in news:
             for endpoint in self.endpoints.values():
-                endpoint.has_announced_leaving |= endpoint.entry.life == life
+                endpoint.has_announced_leaving |= endpoint.entry.life == incarnation
         return news
 
     def list_statements(self, since: float) -> list[tuple[str, Statement]]:
-        """List what endpoints that are there have said, and the limits that ended after a time."""
-        lives = {endpoint.entry.life for endpoint in self.endpoints.values()}
-        return [item for item in self.statements.list_since(since) if item[0] in lives]
+        """Return the statements of present endpoints and the limits that ended since a time."""
+        incarnations = {endpoint.entry.life for endpoint in self.endpoints.values()}
+        return [item for item in self.statements.list_since(since) if item[0] in incarnations]
 
-    def note_pause(self, life: str, seconds: float, now: float) -> None:
-        """Note that a life of an endpoint wants nothing from this host for some time."""
+    def note_pause(self, incarnation: str, seconds: float, now: float) -> None:
+        """Record that an incarnation of an endpoint asked this host for no requests for a time."""
         until = now + min(seconds, MAX_PAUSE_S)
-        self._paused_until[life] = max(until, self._paused_until.get(life, until))
-        self._paused_until.move_to_end(life)
+        self._paused_until[incarnation] = max(until, self._paused_until.get(incarnation, until))
+        self._paused_until.move_to_end(incarnation)
         if len(self._paused_until) > MAX_PAUSES:
             self._paused_until.popitem(last=False)
 
     def get_pause_s(self, endpoint: Endpoint, now: float) -> float:
-        """Give the seconds for which an endpoint still wants nothing from this host."""
+        """Return the seconds left of the pause that an endpoint asked this host for, or 0."""
         return max(0.0, self._paused_until.get(endpoint.entry.life, 0.0) - now)
 
     def is_limited(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint names a limit for all hosts together."""
+        """Return whether an endpoint has announced a rate limit for all hosts together."""
         return self.statements.get(endpoint.entry.life).limit_per_s is not None
 
     def count_limited(self) -> int:
-        """Count the endpoints that name a limit."""
+        """Return the number of endpoints with a rate limit."""
         return sum(map(self.is_limited, self.endpoints.values()))
 
     def note_start(self, name: str, born_ms: int, now: float) -> list[Change]:
-        """Note when the endpoint at an address started, by its own word; give what changed.
+        """Apply the start time that an endpoint has reported itself; return the changes.
 
-        Its entry comes later. Until then the new life is taken to be as cold as its service is
-        after a start: loaded like the one before, it could end again at once.
+        Its entry arrives later. Until then the new incarnation is treated as cold for as long as
+        its service is after a start: with the load of the previous one, it could crash again at
+        once.
         """
         endpoint = self.endpoints.get(name)
         if endpoint is None or endpoint.entry.born_ms is None or born_ms <= endpoint.entry.born_ms:
@@ -182,7 +185,7 @@
         return changes
 
     def forget_missing(self, now: float) -> list[Change]:
-        """Drop the endpoints whose entries stayed away."""
+        """Remove the endpoints whose entries did not return within the grace period."""
         gone = [
             endpoint.entry.id
             for endpoint in self.endpoints.values()
@@ -213,8 +216,8 @@
     def _apply_configuration(self, configuration: Configuration) -> list[Change]:
         current = self.configuration
         if current is not None and configuration.version <= current.version:
-            # A stale read must never bring an older version back: callers would see routes vanish
-            # that they have already used.
+            # A stale read must not restore an older version: routes that callers have already used
+            # would vanish.
             return []
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
@@ -242,10 +245,10 @@
         return [Change("endpoint_missing", name)]
 
     def _apply_unreadable(self, name: str, why: str) -> list[Change]:
-        """Give an endpoint nothing new while its entry can't be read.
+        """Stop sending new requests to an endpoint while its entry can't be decoded.
 
-        It may be another writer's doing, so what is known of the endpoint is kept: with the next
-        good entry it is back at once.
+        The cause may be another writer, so the state of the endpoint is kept: with the next valid
+        entry it is usable again at once.
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
@@ -257,16 +260,16 @@
         known = endpoint.entry if endpoint is not None else self._past_entries.get(entry.id)
         if known is not None and known.born_ms is not None:
             if entry.born_ms is None:
-                return self._apply_unreadable(entry.id, "the start is missing")
+                return self._apply_unreadable(entry.id, "start time is missing")
             if entry.born_ms < known.born_ms:
-                # Written before the endpoint started again, and come late.
+                # Late entry, written before the endpoint restarted.
                 return []
         if endpoint is None:
             endpoint = self._add(entry)
             change = Change("endpoint_new", entry.id, entry.address)
         elif entry.born_ms != endpoint.entry.born_ms:
-            # It holds and knows nothing of before: not what it was sent, not that it drained.
-            # Taken for the same, others would fetch prompts from its empty memory.
+            # A restarted endpoint has lost its requests, its cache and its draining state. If it
+            # were treated as the same, others would fetch prompts from its empty KV cache.
             endpoint = self._add(entry)
             change = Change("endpoint_reborn", entry.id, entry.life)
         elif entry.draining and not endpoint.entry.draining:
@@ -288,11 +291,11 @@
         return endpoint
 
     def _update(self, endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
-        """Take over a new entry of the same life."""
+        """Apply a new entry of the same incarnation."""
         if entry.address != endpoint.entry.address:
             endpoint.misdirected_at = float("-inf")
             endpoint.refused_at = float("-inf")
-        # Draining is for good in one life: an older entry that arrives late must not revive it.
+        # Draining is final within an incarnation: an older entry that comes late must not undo it.
         draining = entry.draining or endpoint.entry.draining
         endpoint.entry = entry._replace(draining=draining)
         endpoint.missing_since = None
--- a/cloverway/core/engine_speed.py
+++ b/cloverway/core/engine_speed.py
@@ -1,36 +1,36 @@
-"""How fast an engine reads prompts and makes tokens, learnt from the events of its answers."""
+"""Estimates of the prefill and decode speed of an engine, from the events of its answers."""
 
 from __future__ import annotations
 
 from cloverway.core.decay import DecayingSum
 
 INITIAL_PREFILL_S_PER_TOKEN = 1 / 30_000
-"""Time to read a prompt token before anything was measured: between the engines known."""
+"""Prefill time of a token before the first measurement: between those of the known engines."""
 MIN_TOKENS = 2_000
-"""Tokens from which a prompt says something of the pace: the time before the first event has parts
-that don't grow with the prompt, some 20 ms, and these read in about 60."""
+"""Minimum size of a prompt that is used as a sample. The time to first token has a constant part of
+about 20 ms; the prefill of this many tokens takes about 60 ms."""
 MAX_AHEAD_RATIO = 0.5
-"""Tokens of other prompts, against its own, that a prompt may have before it to be measured by: how
-far these were read already isn't known."""
+"""Maximum ratio of the tokens queued ahead of a prompt to its own for it to be used as a sample:
+how far the prefill of those ahead had got isn't known."""
 WARMUP_SAMPLES = 8
 WARMUP_STEP = 0.12
-"""Part by which each of the first samples moves the estimate: with these few an engine that is half
-or twice as fast as the start value is known, within seconds of load."""
+"""Relative step of the estimate for each of the first samples. These few samples reach the speed of
+an engine that is half or twice as fast as the initial value, within seconds of load."""
 STEP = 0.03
-"""The same of later ones. One side of the samples can be wrong by far: a prompt that the engine had
-already, or one behind more urgent prompts. Steps of one size follow the median, which a few wrong
-ones don't move."""
+"""Relative step for later samples. Samples can be far off: the prompt was already cached, or was
+queued behind more urgent prompts. Steps of constant size follow the median, which a few outliers
+don't move."""
 
 
 class PrefillSpeed:
-    """The pace of one engine."""
+    """Estimates the prefill time per token of one engine."""
 
     def __init__(self, s_per_token: float = INITIAL_PREFILL_S_PER_TOKEN) -> None:
         self.s_per_token = s_per_token
         self._samples = 0
 
     def learn(self, tokens: int, ahead: int, took_s: float) -> None:
-        """Learn from a prompt that was read within some seconds, with others ahead of it."""
+        """Update the estimate from a prompt; `ahead` is the number of tokens queued before it."""
         if tokens < MIN_TOKENS or ahead > MAX_AHEAD_RATIO * tokens:
             return
         step = WARMUP_STEP if self._samples < WARMUP_SAMPLES else STEP
@@ -40,18 +40,18 @@
 
 
 DECODE_HALF_LIFE_S = 0.7
-"""Age at which the events of answers count half: long against one pause, short against the time
-that an answer takes, so that an engine which has just got many prompts is seen to be slow."""
+"""Half-life of the events of answers: long compared with one inter-token gap, short compared with
+the time of an answer, so that an engine that has just received many prompts is seen to be slow."""
 MIN_OBSERVED_S = 0.1
-"""Seconds of pauses, older ones counting less, from which on they say something."""
+"""Minimum decayed sum of inter-token gaps for an estimate."""
 INITIAL_DECODE_S_PER_TOKEN = 0.006
-"""Time of one token at an engine that reads no prompts, before anything was seen."""
+"""Decode time of a token, before the first measurement, at an engine without prefill work."""
 
 
 class DecodeSpeed:
-    """The pace at which one engine makes the tokens of its running answers.
+    """Estimates the decode time per token of one engine.
 
-    All answers that run at an engine get one token in each of its steps, so any of them tells.
+    Each engine step produces one token of every running answer, so any answer can be measured.
     """
 
     def __init__(self) -> None:
@@ -59,12 +59,12 @@
         self._tokens = DecayingSum(DECODE_HALF_LIFE_S)
 
     def note(self, gap_s: float, tokens: int, now: float) -> None:
-        """Note that some tokens of an answer took so long."""
+        """Record the time that some tokens of an answer took."""
         self._seconds.add(gap_s, now)
         self._tokens.add(tokens, now)
 
     def get(self, now: float) -> float | None:
-        """Give the seconds that a token takes just now; None where too little was seen."""
+        """Return the current seconds per token, or None if there are too few observations."""
         if self._seconds.get(now) < MIN_OBSERVED_S:
             return None
         return self._seconds.get(now) / max(self._tokens.get(now), 1e-9)
--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -1,9 +1,9 @@
-"""Which engines of a region large prompts are kept to, so that answers at the others don't pause.
+"""Isolate large prompts on some engines of a region, so that answers at the others don't stall.
 
-An engine reads a part of a prompt in each of its steps, and each answer that runs there gets one
-token a step. A prompt that takes longer to read than the wanted pause makes all of them late,
-whatever else waits there. Spread over all engines, such prompts meet nearly every answer in the
-seconds that it runs; kept to few engines, they meet those that run there.
+An engine prefills a chunk of a prompt in each step and produces one token of each running answer
+per step. A prompt with a prefill time above the gap objective stalls all of them, whatever else is
+queued. If such prompts are spread over all engines, nearly every answer is stalled by one while it
+runs; if they are isolated on a few engines, only the answers there are.
 """
 
 from __future__ import annotations
@@ -17,29 +17,31 @@
 from cloverway.core.prediction import DEFAULT_GAP_OBJECTIVE_S, STALL_FRACTION, Candidate, RoutedCall
 
 OBSERVATION_HALF_LIFE_S = 6.0
-"""Age at which answers and prompts count half: about as long as the answers of one engine take, so
-that a change of the traffic is followed within some of them."""
+"""Half-life of observed answers and prompts: about the duration of an answer, so that a change of
+the traffic is followed within a few answers."""
 MIN_LATE_FRACTION = 0.03
-"""Part of the answers that paused too long from which on prompts are kept apart. Engines that keep
-to the wanted pause however much they read would lose by it: each prompt has fewer of them."""
+"""Minimum fraction of answers with a stall for isolation. Engines that keep the gap objective under
+any prefill load would only lose by it, because each prompt has fewer engines to choose from."""
 MIN_ANSWERS = 8.0
-"""Answers, older ones counting less, before that part says anything."""
+"""Minimum decayed number of answers for that fraction to be significant."""
 SELECTION_TTL_S = 0.5
-"""How long a choice of engines holds. The order of the engines is hashed, 20 us for 18 of them, and
-an engine that joins or leaves moves one place."""
+"""How long a selection of engines is reused. Ranking 18 engines by hash takes 20 us, and an engine
+that joins or leaves changes the selection by one."""
 AVOIDANCE_COST_S = 0.8
-"""Time that an answer counts at an engine that large prompts are kept to, if one will meet it: some
-late answer there, or one of its own behind others elsewhere. With 2.0 worth was the same."""
+"""Cost of an answer at an engine selected for large prompts, if one is certain to arrive while it
+runs: either a stall there, or queueing behind others elsewhere. A cost of 2.0 gave the same
+score."""
 LARGE_PROMPT_INTERVAL_S = 2.0
-"""Time after which an answer has met a large prompt at such an engine. At 1.2 to 2 times what its
-engines bear, one was sent to each of them every two to three seconds."""
+"""Decode time after which an answer is certain to be running when a large prompt arrives at a
+selected engine. At 1.2 to 2 times the capacity of the engines, each got one every two to three
+seconds."""
 
 
 class LargePromptIsolation:
-    """What a host has seen of prompts and pauses at a service, and the engines it chose by that.
+    """Observes prompts and stalls of a service and selects the engines for its large prompts.
 
-    All hosts of a region order its engines alike and see about the same traffic, so they choose
-    the same ones, but for one more or less, without a word between them.
+    All hosts of a region rank its engines alike and see about the same traffic, so they select the
+    same ones, give or take one, without communication.
     """
 
     def __init__(self, service: str) -> None:
@@ -52,21 +54,21 @@
         self._chosen_at = float("-inf")
 
     def note_answer(self, longest_gap_s: float, objective_s: float, now: float) -> None:
-        """Note an answer that is whole, and the longest pause in it."""
+        """Record a complete answer and its longest inter-token gap."""
         self._answers.add(1.0, now)
         self._late.add(float(longest_gap_s > objective_s), now)
 
     def note_prompt(self, routed: RoutedCall, candidate: Candidate, now: float) -> None:
-        """Note a prompt that is sent to an engine."""
+        """Record a prompt that is sent to an engine."""
         self._prefill.add(candidate.prefill_s, now)
         if is_large_prompt(routed, candidate):
             self._large.add(candidate.prefill_s, now)
 
     def select_engines(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
-        """Choose the engines of a region that get its large prompts, by their ids.
+        """Return the ids of the engines of a region that get its large prompts.
 
-        None are chosen, and all get them, where answers don't pause too long or there is one engine
-        only. An engine that fails is left out: it would get them all the same.
+        The result is empty, and all engines get large prompts, if answers don't stall or there is
+        only one engine. Failing engines are not selected.
         """
         if now - self._chosen_at >= SELECTION_TTL_S:
             self._chosen = self._select_engines(endpoints, now)
@@ -87,7 +89,7 @@
 
 
 def is_large_prompt(routed: RoutedCall, candidate: Candidate) -> bool:
-    """Tell whether the prompt alone makes answers at an engine pause too long."""
+    """Return whether the prompt alone stalls the running answers of an engine."""
     pause_s = routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S
     return candidate.prefill_s > STALL_FRACTION * pause_s
 
@@ -95,9 +97,9 @@
 def apply_isolation(
     routed: RoutedCall, candidates: Sequence[Candidate], chosen: frozenset[str]
 ) -> Sequence[Candidate]:
-    """Leave out the engines that a large prompt is kept away from, and weigh answers against it.
+    """Remove engines not selected for a large prompt; raise the cost of selected ones for others.
 
-    Where none of the chosen engines may get the prompt, all others stay.
+    If no selected engine is among the candidates of a large prompt, all candidates are kept.
     """
     if not chosen:
         return candidates
--- a/cloverway/core/kv_fetch.py
+++ b/cloverway/core/kv_fetch.py
@@ -1,4 +1,4 @@
-"""Which endpoint another one fetches the parts of a prompt from, instead of reading them again."""
+"""Choose the endpoint that another one fetches KV cache from instead of prefilling again."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from cloverway.core.endpoints import Endpoint
 
 FETCH_SETUP_S = 0.005
-"""Time that a fetch takes whatever its size: two trips within a region and the start of a copy."""
+"""Fixed time of a fetch: two round trips within a region and the start of the copy."""
 MIN_TOKENS = 512
-"""Tokens from which a fetch is worth it: to read fewer takes about as long as its setup, and each
-fetch loads the links of two engines."""
+"""Minimum size of a fetch: prefill of fewer tokens takes about as long as the setup of a fetch, and
+each fetch loads the links of two engines."""
 MAX_HEALTHY_FAILURES = 0.5
-"""Recent failures up to which an endpoint is taken to answer a fetch. One that failed just now may
-hang, and the request would wait there for it."""
+"""Recent failures, decayed, up to which an endpoint counts as healthy enough to serve a fetch. One
+that has just failed may hang, and the request would wait for it."""
 
 
 class FetchSource(NamedTuple):
-    """An endpoint with the leading tokens of a prompt that can be fetched from it."""
+    """An endpoint and the number of leading tokens of a prompt that can be fetched from it."""
 
     endpoint: Endpoint
     tokens: int
 
 
 def find_source(prompt: Prompt, endpoints: Iterable[Endpoint], now: float) -> FetchSource | None:
-    """Find the endpoint that has read most of a prompt; None where none has enough of it.
+    """Return the endpoint that has most of a prompt cached; None if none has enough of it.
 
-    An endpoint that leaves, is cold or has failed lately is left alone.
+    Endpoints that are leaving, cold or have failed recently are not considered.
     """
     healthy = (
         endpoint
@@ -46,7 +46,7 @@
 
 
 def count_fetched_tokens(prompt: Prompt, endpoint: Endpoint, source: FetchSource | None) -> int:
-    """Give the tokens of a prompt that an endpoint should fetch from the source: none, or many."""
+    """Return the tokens to fetch from the source: 0, or at least `MIN_TOKENS`."""
     if source is None or source.endpoint is endpoint:
         return 0
     fetched = source.tokens - (prompt.input_tokens - endpoint.load.count_uncached(prompt))
@@ -54,7 +54,7 @@
 
 
 def estimate_fetch_s(tokens: int, shape: EngineShape) -> float:
-    """Give the seconds that a fetch of some tokens takes."""
+    """Return the seconds that a fetch of some tokens takes."""
     if not tokens:
         return 0.0
     return FETCH_SETUP_S + tokens * shape.token_bytes * 8 / (shape.link_mbps * 1e6)
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -1,4 +1,4 @@
-"""How loaded one endpoint is: what this host sent, what its siblings say, what it answers."""
+"""The load of an endpoint, from own requests, reports of sibling hosts and observed responses."""
 
 from __future__ import annotations
 
@@ -13,40 +13,41 @@
 from cloverway.core.token_gaps import PrefillBurstLimit, PrefillSaturation, TokenGap
 
 SIBLING_LOAD_TTL_S = 2.0
-"""How long a sibling's report counts; four lost datagrams in a row are rarer than a dead host."""
+"""Lifetime of a sibling's report: four datagrams lost in a row are rarer than a dead host."""
 INITIAL_SERVICE_TIME_S = 0.05
-"""Time of one request of a plain service before it was measured."""
+"""Service time of a request to a plain service before the first measurement."""
 SERVICE_TIME_WEIGHT = 0.1
-"""Weight of one measurement in a moving average: half of it is forgotten after seven."""
+"""Weight of a sample in the moving average of service times; the half-life is seven samples."""
 DEFAULT_KV_TOKENS = 150_000
-"""Tokens that fit into an endpoint's memory, where nothing states it."""
+"""KV cache capacity of an endpoint for which none is stated."""
 PREFILL_DUTY = 0.7
-"""Part of its time that an engine is given prompts for. An engine reads a chunk of prompts in each
-step, and each running answer gets one token a step: with prompts in every step, five tokens take
-longer than the pause that callers bear."""
+"""Target fraction of an engine's time spent on prefill. Each engine step prefills a chunk of
+prompts and produces one token of each running answer. With prefill work in every step, five tokens
+take longer than the gap objective."""
 MAX_PREFILL_SPEEDUP = 2.0
-"""An engine is taken to have read at most so many times the tokens that its usual pace gives: only
-what is left beyond that was there already without doubt."""
+"""Maximum factor by which an engine may have exceeded its estimated prefill speed. Only tokens
+beyond that were certainly cached."""
 PREFILL_RATE_HALF_LIFE_S = 1.5
-"""Age at which sent prompt tokens count half in the rate: long against one prompt, short against a
-change of the traffic."""
+"""Half-life of the rate of sent prompt tokens: long compared with the prefill of one prompt, short
+compared with changes of the traffic."""
 MAX_UNSENT_SEGMENTS = 64
-"""Parts that wait to be told to siblings; a host that has none must not keep them for ever."""
+"""Maximum number of segments not yet sent to siblings; a host without siblings must not keep
+all."""
 MAX_PREFILL_BUSY = 0.95
-"""Part of its time that an engine is taken to read prompts at most: its answers go on, slowly."""
+"""Maximum estimated fraction of time spent on prefill: decoding always goes on, if slowly."""
 FAILURE_HALF_LIFE_S = 4.0
-"""After this time a failure counts half."""
+"""Half-life of a failure."""
 
 
 class Work(NamedTuple):
-    """What one request asks of an endpoint, in tokens; zero for plain services."""
+    """The work that one request causes at an endpoint, in tokens; zero for plain services."""
 
     prefill_tokens: int = 0
-    """Prompt tokens that were not read yet."""
+    """Uncached prompt tokens that are not prefilled yet."""
     reserved_kv_tokens: int = 0
-    """Tokens of memory until its end."""
+    """KV cache tokens that the request occupies until it ends."""
     fetched_tokens: int = 0
-    """Prompt tokens that the endpoint fetches from another one instead of reading them."""
+    """Prompt tokens whose KV cache the endpoint fetches from another one."""
 
 
 class _Running(NamedTuple):
@@ -56,11 +57,11 @@
     prompt: Prompt | None
     begun_at: float
     ahead: int
-    """Prompt tokens of others that the endpoint had to read before."""
+    """Prompt tokens of other requests that were queued for prefill before it."""
 
 
 class HostLoad(NamedTuple):
-    """What another host of the region has at an endpoint."""
+    """The load that one host, or all hosts of a region, put on an endpoint."""
 
     running: int
     prefill_tokens: int
@@ -69,29 +70,29 @@
 
 
 class EngineState(NamedTuple):
-    """What decides how a request fares at an engine."""
+    """The state of an engine that latency predictions are based on."""
 
     queue_s: float
-    """Time to read the prompts that wait there, at the pace that is wanted."""
+    """Time to prefill the queued prompts at the target duty."""
     prefill_s_per_token: float
     decode_s_per_token: float
-    """Time that a token of an answer takes."""
+    """Time per output token."""
     running: int
-    """Requests that run there."""
+    """Running requests."""
 
 
 class LoadUpdate(NamedTuple):
-    """What a host tells others of its requests at an endpoint."""
+    """An update that a host sends to its siblings on its requests at an endpoint."""
 
     own: HostLoad
     segments: tuple[PromptSegment, ...]
-    """Parts of prompts that were sent there lately."""
+    """Prompt segments sent to the endpoint recently."""
     sent_prefill_tokens: int
-    """Prompt tokens that were sent there since the last time."""
+    """Uncached prompt tokens sent to the endpoint since the last update."""
 
 
 class EndpointLoad:
-    """The load of one endpoint as far as this host knows it."""
+    """The load of one endpoint as known to this host."""
 
     def __init__(self) -> None:
         self._own: dict[int, _Running] = {}
@@ -99,35 +100,35 @@
         self._siblings: dict[str, HostLoad] = {}
         self._cached_segments = CachedSegments()
         self.kv_capacity = DEFAULT_KV_TOKENS
-        """Tokens that fit into the endpoint's memory."""
+        """Tokens that fit into the endpoint's KV cache."""
         self._prefill_rate = DecayingSum(PREFILL_RATE_HALF_LIFE_S)
         self._backlog_at = 0.0
         self._backlog = 0.0
         self._unsent_prefill_tokens = 0
         self._unsent_segments: deque[PromptSegment] = deque(maxlen=MAX_UNSENT_SEGMENTS)
-        """Parts that were sent, to be told to siblings."""
+        """Segments sent to the endpoint and not yet announced to siblings."""
         self._prefill_speed = PrefillSpeed()
         self._decode_speed = DecodeSpeed()
         self.service_time_s = INITIAL_SERVICE_TIME_S
         self.last_progress_at = 0.0
         self._has_changed = False
-        """Whether something here was not told to the other hosts yet."""
+        """Whether the load has changed since the last update to siblings."""
         self._failures = DecayingSum(FAILURE_HALF_LIFE_S)
         self._saturation = PrefillSaturation()
         self._burst_limit = PrefillBurstLimit()
 
     @property
     def burst_ratio(self) -> float:
-        """The time to read the prompts that may wait there, in longest wanted pauses."""
+        """Prefill time that may be queued at the endpoint, as a multiple of the gap objective."""
         return self._burst_limit.ratio
 
     @property
     def prefill_s_per_token(self) -> float:
-        """The time that the endpoint takes to read a prompt token."""
+        """The estimated prefill time per token."""
         return self._prefill_speed.s_per_token
 
     def begin(self, number: int, work: Work, prompt: Prompt | None, now: float) -> None:
-        """Note a request that is being sent."""
+        """Record a request that is being sent."""
         if not self._own:
             self.last_progress_at = now
         self._own[number] = _Running(work, prompt, now, self.sum_region_load(now).prefill_tokens)
@@ -139,7 +140,7 @@
             self._unsent_segments.extend(prompt.segments)
 
     def note_first_event(self, number: int, now: float) -> None:
-        """Note the first event of a request: its prompt has been read."""
+        """Record the first event of a request: its prefill is finished."""
         self.last_progress_at = now
         running = self._own.get(number)
         if running is None or not running.work.prefill_tokens:
@@ -153,17 +154,17 @@
             self._cached_segments.note(running.prompt.segments, now)
 
     def note_gap(self, gap: TokenGap, now: float) -> None:
-        """Note a pause between two events of an answer."""
+        """Record a gap between two events of an answer."""
         self._saturation.note(gap, now)
         self._burst_limit.note(gap, now)
         if gap.tokens:
             self._decode_speed.note(gap.seconds, gap.tokens, now)
 
     def estimate_decode_s_per_token(self, now: float) -> float:
-        """Give the time that a token of an answer takes just now.
+        """Return the current time per output token.
 
-        Where no answer runs that would tell, engines are taken to make a token in each step, and to
-        read prompts in the steps between.
+        Without recent gaps to measure, it is estimated from the prefill rate: an engine produces a
+        token in each step, and the time left by prefill is the time for these steps.
         """
         seen = self._decode_speed.get(now)
         if seen is not None:
@@ -172,21 +173,20 @@
         return INITIAL_DECODE_S_PER_TOKEN / (1 - busy)
 
     def is_saturated(self, now: float) -> bool:
-        """Tell whether running answers paused too long just now."""
+        """Return whether a recent gap shows that the engine is saturated with prefill."""
         return self._saturation.is_active(now)
 
     def end(self, number: int) -> None:
-        """Note that a request has ended, however."""
+        """Record the end of a request, whatever its outcome."""
         running = self._own.pop(number, None)
         if running is not None:
             self._update_own(-1, -running.work.prefill_tokens, -running.work.reserved_kv_tokens)
 
     def _discount_cached_tokens(self, prefill_tokens: int, took_s: float, now: float) -> None:
-        """Take back tokens that can't have been read in the time that the first event took.
+        """Subtract tokens that can't have been prefilled in the time to first event.
 
-        A host that has just started doesn't know which parts of prompts an endpoint has. It would
-        count all of them as work, and requests would wait at the hosts before engines that are
-        idle.
+        A recently started host doesn't know which prompt segments an endpoint has cached. It would
+        count all of them as prefill work, and queue requests although engines are idle.
         """
         surplus = prefill_tokens - int(MAX_PREFILL_SPEEDUP * took_s / self.prefill_s_per_token)
         if surplus > 0:
@@ -194,33 +194,33 @@
             self._unsent_prefill_tokens -= surplus
 
     def note_service_time(self, seconds: float) -> None:
-        """Learn from the time that a plain request took."""
+        """Update the average service time with a request of a plain service."""
         self.service_time_s += SERVICE_TIME_WEIGHT * (seconds - self.service_time_s)
 
     def note_failure(self, now: float, weight: float = 1.0) -> None:
-        """Note that the endpoint failed a request; less weight for a failure that is usual."""
+        """Record a failed request; failures that are usual for the service get less weight."""
         self._failures.add(weight, now)
 
     def note_success(self, now: float) -> None:
-        """Note that the endpoint served a request."""
+        """Record a successful request."""
         self.last_progress_at = now
         self._failures.scale(0.5, now)
 
     def failures(self, now: float) -> float:
-        """Give the recent failures, each counting less as time passes."""
+        """Return the number of recent failures, exponentially decayed."""
         return self._failures.get(now)
 
     def note_sibling(self, host: str, load: HostLoad, segments: Iterable[PromptSegment]) -> None:
-        """Take over what another host of the region says."""
+        """Apply a load report of a sibling, another host of the region."""
         self._siblings[host] = load
         self.note_segments(segments, load.at)
 
     def get_own_load(self) -> HostLoad:
-        """Give what this host has at the endpoint."""
+        """Return the load of this host's requests."""
         return self._own_load
 
     def _update_own(self, running: int, prefill_tokens: int, reserved_kv_tokens: int) -> None:
-        """Keep the sum up: it is asked for at each endpoint with each choice."""
+        """Update the sum; it is kept because each placement reads it for every endpoint."""
         own = self._own_load
         self._own_load = HostLoad(
             own.running + running,
@@ -231,27 +231,27 @@
         self._has_changed = True
 
     def prefill_rate(self, now: float) -> float:
-        """Give the prompt tokens that all hosts of the region send there in a second."""
+        """Return the uncached prompt tokens per second sent by all hosts of the region."""
         return self._prefill_rate.get_rate(now)
 
     def backlog(self, now: float) -> float:
-        """Give the prompt tokens that were sent and not read yet, at the pace that is wanted."""
+        """Return the tokens that are waiting for prefill, assuming prefill at the target duty."""
         return max(
             0.0, self._backlog - (now - self._backlog_at) * PREFILL_DUTY / self.prefill_s_per_token
         )
 
     def note_prefill(self, tokens: int, now: float) -> None:
-        """Note prompt tokens that this host or another one has sent there."""
+        """Record uncached prompt tokens sent to the endpoint by this host or another one."""
         self._backlog = max(0.0, self.backlog(now) + tokens)
         self._prefill_rate.add(tokens, now)
         self._backlog_at = now
 
     def has_update(self, is_refresh: bool) -> bool:
-        """Tell whether other hosts should hear of this load; a refresh repeats what still holds."""
+        """Return whether there is an update to send; a refresh repeats unchanged load."""
         return self._has_changed or bool(self._unsent_segments) or (is_refresh and bool(self._own))
 
     def take_update(self, max_segments: int) -> LoadUpdate:
-        """Give what other hosts should hear, and note that they were told."""
+        """Return the update for siblings and mark it as sent."""
         count = min(max_segments, len(self._unsent_segments))
         segments = tuple(self._unsent_segments.popleft() for _ in range(count))
         sent_prefill_tokens, self._unsent_prefill_tokens = self._unsent_prefill_tokens, 0
@@ -259,7 +259,7 @@
         return LoadUpdate(self.get_own_load(), segments, sent_prefill_tokens)
 
     def sum_region_load(self, now: float) -> HostLoad:
-        """Give what all hosts of the region have at the endpoint."""
+        """Return the load of the requests of all hosts of the region."""
         running, prefill_tokens, reserved_kv_tokens, _ = self._own_load
         for load in self._siblings.values():
             if now - load.at <= SIBLING_LOAD_TTL_S:
@@ -269,15 +269,15 @@
         return HostLoad(running, prefill_tokens, reserved_kv_tokens, now)
 
     def count_uncached(self, prompt: Prompt) -> int:
-        """Give the tokens of a prompt that the endpoint is taken to have to read."""
+        """Return the tokens of a prompt that are not expected in the endpoint's cache."""
         return prompt.input_tokens - self._cached_segments.count_expected(prompt)
 
     def count_ready(self, prompt: Prompt, now: float) -> int:
-        """Give the leading tokens of a prompt that another endpoint could fetch from here."""
+        """Return the leading tokens of a prompt that another endpoint can fetch from this one."""
         return self._cached_segments.count_ready(prompt, now)
 
     def note_segments(self, segments: Iterable[PromptSegment], now: float) -> None:
-        """Note that the endpoint has been sent these parts; the least recently used ones yield."""
+        """Record segments sent to the endpoint, and evict the least recently used ones."""
         ready_at = now + self.backlog(now) * self.prefill_s_per_token
         self._cached_segments.note(segments, ready_at)
         reserved_kv_tokens = self._own_load.reserved_kv_tokens + sum(
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -1,4 +1,4 @@
-"""What is predicted of a request at an endpoint: its wait, and what it costs others."""
+"""Predict the latency of a request at an endpoint and its cost for other requests."""
 
 from __future__ import annotations
 
@@ -16,124 +16,127 @@
 from cloverway.core.token_gaps import SATURATION_S
 
 FAILURE_PENALTY_S = 0.5
-"""Time that each recent failure of an endpoint adds to its prediction: about what a caller loses
-when a request fails there and is run elsewhere. It orders endpoints and shuts none out, so the
-last one is always used."""
+"""Added to the prediction of an endpoint for each recent failure: about the time that a caller
+loses when a request fails there and is retried elsewhere. It orders endpoints and excludes none, so
+the last one is always used."""
 STALLED_AFTER_S = 1.5
-"""An endpoint with requests that said nothing for this long is taken for stalled."""
+"""An endpoint with running requests and no events for this long is treated as stalled."""
 STALL_PENALTY_S = 3.0
-"""Time that a stall adds: longer than any wait that a sound endpoint is chosen with."""
+"""Added for a stalled endpoint: longer than any wait at which a healthy one is chosen."""
 PREDICTION_SPREAD_S = 0.004
-"""Spread of predictions by the request's id, so that hosts that see the same loads don't all
-choose the same idle endpoint: about the time that one small prompt takes."""
+"""Range of an offset derived from the request id, so that hosts that see the same loads don't all
+choose the same idle endpoint: about the prefill time of one small prompt."""
 STREAM_DELAY_WEIGHT = 0.15
-"""Weight of the time by which a prompt delays the streams that run at an endpoint, each of them by
-the time to read it, against the request's own time."""
+"""Weight of the delay of running streams, relative to the request's own wait. The prefill of a
+prompt delays each stream of the endpoint by the time it takes."""
 STALL_FRACTION = 0.75
-"""Part of the longest wanted pause from which on a prompt, read without a break, makes each running
-stream pause too long: tokens and the work of the hosts take the rest."""
+"""Fraction of the gap objective from which an uninterrupted prefill stalls each running stream: the
+rest of the gap is taken by decoding and by the hosts."""
 DEFAULT_GAP_OBJECTIVE_S = 0.6
-"""The longest wanted pause where a route names none: the least of the deployments known."""
+"""Gap objective for routes without one: the smallest of the known deployments."""
 STALL_COST_S = 0.3
-"""Time that each such pause counts. One large prompt in 25 is that long; sent to the engine with
-the fewest streams, callers had 0.645 of a day's worth instead of 0.611 on one of four days played
-with and without, and the same within 0.01 on the others."""
+"""Cost of each such stall. One large prompt in 25 is that long. Sending it to the engine with the
+fewest streams raised the score of one of four simulated days from 0.611 to 0.645 of the maximum;
+the others stayed the same within 0.01."""
 PREFILL_WEIGHT = 0.5
-"""Weight of the time to read a prompt, on top of the request's own wait: whoever comes next waits
-for it too, so a place that has read a shared part is worth a wait."""
+"""Weight of the prefill time, on top of the request's own wait. The next requests wait for it too,
+so an endpoint that has a shared prefix cached is worth a longer wait."""
 DECODE_WEIGHT = 0.3
-"""Weight of the time that the tokens of an answer take at an endpoint, at the pace of those that
-run there. Long answers then gather where few prompts are read, and long prompts elsewhere."""
+"""Weight of the decode time of the answer at the current speed of the endpoint. It sends long
+answers to endpoints with little prefill work, and long prompts to the others."""
 TRUNCATION_COST_S = 3.0
-"""Time that an answer counts which would not be whole when the time of its route is over: what was
-generated is lost, and the caller gets nothing."""
+"""Cost of an answer that is truncated by the timeout of its route: the generated tokens are lost,
+and the caller gets nothing."""
 TRUNCATION_RISK_START = 0.5
-"""Part of the time left from which on that begins to count: estimates of tokens are off by half."""
+"""Fraction of the remaining time from which a truncation is a risk: token estimates are off by
+half."""
 LARGE_PROMPT_FRACTION = 0.5
-"""Part of the burst that a prompt counts at most against it for its own reading. A larger one would
-wait for an engine that has nothing to read, and each smaller one that comes meanwhile passes it."""
+"""Maximum prefill time that a prompt counts against the burst limit, as a fraction of the limit. A
+larger prompt would otherwise wait for an engine without queue, and be overtaken by each smaller one
+that arrives meanwhile."""
 SMALL_PREFILL_S = 0.065
-"""A prompt that is read within this is small: it adds next to nothing to the pauses of others, for
-engines read in chunks that take about as long."""
+"""Maximum prefill time of a small prompt. It hardly extends the gaps of other answers, because
+engines prefill in chunks that take about as long."""
 SMALL_PROMPT_BURSTS = 2.0
-"""How many bursts a small prompt may wait behind."""
+"""Number of full bursts that a small prompt may be queued behind."""
 AFFINITY_BONUS = 0.3
-"""Part of the time to read a shared part that its own endpoint, by hash, is preferred by, while
-none is known to have it. All hosts then read it at the same one, without a word between them."""
+"""Bonus of the endpoint that a hash assigns to a shared prefix, as a fraction of the prefill time
+of its last segment. It counts while no endpoint is known to have the prefix cached. All hosts then
+send it to the same endpoint without communication."""
 SLOT_WAIT_S = 0.5
-"""Time until an endpoint is free where that isn't a matter of prompts: a stream ends about as often
-at an engine with all of its places taken."""
+"""Time until a full endpoint has a free slot: about the interval at which streams end at an engine
+with all slots in use."""
 FETCH_COST_FRACTION = 0.1
-"""Part of the time to read them that tokens count which an endpoint fetches from another one: the
-links of both carry them, and they fill the memory of two engines."""
+"""Cost of fetched tokens as a fraction of their prefill time: they load the links of both endpoints
+and occupy KV cache at two engines."""
 CROSS_DOMAIN_S_PER_BYTE = 3e-6
-"""Time that each byte counts which goes to an endpoint of another failure domain of the region, and
-back. Bytes between domains are paid for: a body of 9 KB costs as much as a twentieth of what a
-caller gets of a large request, about as much as 30 ms of an engine's time."""
+"""Cost of each byte exchanged with an endpoint of another failure domain of the region. Traffic
+between domains is billed: a body of 9 KB costs a twentieth of the value of a large request, about
+as much as 30 ms of an engine's time."""
 RESPONSE_BYTES_PER_TOKEN = 12
-"""Bytes of an answer for each token: an event of 65 bytes and its frame for six of them."""
+"""Bytes of an answer per token: an event of 65 bytes plus framing holds six tokens."""
 MAX_KV_FILL = 0.92
-"""Part of an engine's memory that is filled; the rest is left for answers longer than expected,
-since an engine that runs out stops a stream midway."""
+"""Fraction of an engine's KV cache that is reserved for requests. The rest is for answers longer
+than estimated, because an engine that runs out aborts a stream."""
 EXPECTED_OUTPUT_FRACTION = 0.6
-"""Part of the most tokens out that an answer is taken to have without an estimate."""
+"""Expected fraction of the maximum output tokens, for requests without an estimate."""
 CRC32_RANGE = 1 << 32
 
 
 class RoutedCall(NamedTuple):
-    """A request that looks for a place."""
+    """A request to be placed: a call with the route and service that it matched."""
 
     call: Call
     route: Route
     service: Service
     tried: Counter[str]
-    """Failed sends by endpoint, host and region."""
+    """Failed attempts by endpoint incarnation, host and region."""
     digest: int = 0
-    """What all repeats of the request have in common; 0 where nothing hangs on it."""
+    """Digest that all repeats of the request share; 0 where it is not needed."""
 
 
 class Candidate(NamedTuple):
-    """One endpoint with what is predicted of a request there. Times are seconds."""
+    """An endpoint with the predictions for a request there. Times are seconds."""
 
     endpoint: Endpoint
     wait_s: float
-    """Until the first event or the answer."""
+    """Time to the first event of a stream, or to a plain answer."""
     cost_s: float
-    """The wait, and what the request costs others and itself later."""
+    """The wait plus later costs for this request and for others."""
     work: Work
     full: bool
-    """Whether it would have to wait for another request to end."""
+    """Whether the request can't be sent there now."""
     available_in_s: float = 0.0
-    """Until it is no longer full, as far as that can be told."""
+    """Estimated time until it is no longer full."""
     fetch_source: Endpoint | None = None
-    """The endpoint that it would fetch parts of the prompt from."""
+    """The endpoint that it would fetch KV cache from."""
     prefill_s: float = 0.0
-    """Time to read its prompt there."""
+    """Prefill time of the prompt."""
     decode_s: float = 0.0
-    """Time from the first event of its answer to the last one."""
+    """Time from the first event of the answer to the last one."""
     running: int = 0
-    """Requests that run there, of all hosts."""
+    """Requests of all hosts that are running there."""
 
     def with_added_cost(self, seconds: float) -> Candidate:
-        """Give the candidate with a higher cost."""
+        """Return the candidate with an added cost."""
         return self._replace(cost_s=self.cost_s + seconds) if seconds else self
 
     def with_delay(self, seconds: float) -> Candidate:
-        """Give the candidate as it is when it may get nothing for some time."""
+        """Return the candidate as full for at least some seconds."""
         if seconds <= 0:
             return self
         return self._replace(full=True, available_in_s=max(self.available_in_s, seconds))
 
 
 class RemoteRegion(NamedTuple):
-    """Another region, and the time of the way there and back."""
+    """Another region and the round-trip time to it."""
 
     region: str
     round_trip_s: float
 
 
 class RegionCandidate(NamedTuple):
-    """Another region with what is predicted of a request there, the way counted in."""
+    """A remote region with the predictions for a request there, including the round trip."""
 
     region: str
     wait_s: float
@@ -145,15 +148,15 @@
 
     domain: str
     hosts: int = 1
-    """Hosts of its region, itself counted."""
+    """Number of hosts in its region, including itself."""
     is_recently_started: bool = False
-    """Whether it has just started, and may not know what others sent. An engine that it believes to
-    be idle then gets one long prompt and no more: with all hosts started at once, each would
+    """Whether it has just started and may not know the load of the other hosts. It then sends one
+    long prompt at a time to an engine that seems idle: when all hosts start together, each would
     otherwise fill every engine by itself."""
 
 
 def estimate_work(call: Call, endpoint: Endpoint, source: FetchSource | None = None) -> Work:
-    """Estimate what a request asks of an endpoint that may fetch from a source."""
+    """Estimate the work of a request at an endpoint that may fetch KV cache from a source."""
     prompt = call.prompt
     if prompt is None:
         return Work()
@@ -165,10 +168,10 @@
 
 
 def estimate_remote_work(call: Call) -> Work:
-    """Estimate what a request asks of an endpoint in another region.
+    """Estimate the work of a request at an endpoint in another region.
 
-    Its own part is to be read, and half of the shared ones, of which nobody here knows whether
-    they lie there.
+    Its own last segment is counted in full, and the shared prefix by half, since it isn't known
+    here whether that is cached there.
     """
     prompt = call.prompt
     if prompt is None:
@@ -179,7 +182,7 @@
 
 
 def estimate_prefill_s(routed: RoutedCall) -> float:
-    """Estimate the seconds that an engine takes to read a prompt, not knowing which one it is."""
+    """Estimate the prefill time of a request at an unspecified engine, in seconds."""
     if routed.service.engine is None:
         return 0.0
     return estimate_remote_work(routed.call).prefill_tokens * INITIAL_PREFILL_S_PER_TOKEN
@@ -193,9 +196,9 @@
     now: float,
     source: FetchSource | None = None,
 ) -> Candidate:
-    """Predict when a request would have its first answer at an endpoint.
+    """Predict the wait and the cost of a request at an endpoint.
 
-    `source` is where the parts of its prompt lie that the endpoint may fetch.
+    `source` is the endpoint that this one may fetch KV cache of the prompt from.
     """
     call, service = routed.call, routed.service
     load = endpoint.load
@@ -262,7 +265,7 @@
 def _estimate_burst_excess(
     queue_s: float, prefill_s: float, burst_s: float, is_recently_started: bool
 ) -> float:
-    """Give by how many seconds of reading an engine would have more than may wait there."""
+    """Return the prefill seconds by which a request would exceed an engine's burst limit."""
     if queue_s <= 0:
         return 0.0
     if prefill_s <= SMALL_PREFILL_S:
@@ -272,7 +275,7 @@
 
 
 def describe_engine(endpoint: Endpoint, running: int, now: float) -> EngineState:
-    """Give what is known of an engine with some requests."""
+    """Return the state of an engine with `running` requests."""
     load = endpoint.load
     prefill_s = load.prefill_s_per_token
     return EngineState(
@@ -283,7 +286,7 @@
 def predict_region(
     routed: RoutedCall, offer: Offer, remote: RemoteRegion, now: float
 ) -> RegionCandidate:
-    """Predict how a request would fare in another region, by what that region offers."""
+    """Predict the wait and the cost of a request in another region from its offer."""
     call = routed.call
     wait_s = offer.wait_s + remote.round_trip_s
     crossing_s = CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
@@ -296,7 +299,7 @@
 
 
 def _estimate_later_cost(routed: RoutedCall, work: Work, state: EngineState, now: float) -> float:
-    """Estimate what a request costs later: streams that wait, and its own answer stretched."""
+    """Estimate the costs after the wait: delayed streams, decode time, risk of truncation."""
     prefill_s = work.prefill_tokens * state.prefill_s_per_token
     stall_s = STALL_FRACTION * (routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S)
     delay_s = prefill_s * (PREFILL_WEIGHT + STREAM_DELAY_WEIGHT * state.running)
@@ -312,14 +315,14 @@
 
 
 def estimate_output_tokens(prompt: Prompt) -> int:
-    """Give the tokens that an answer is taken to have."""
+    """Return the expected output tokens."""
     if prompt.expected_output_tokens is not None:
         return min(prompt.expected_output_tokens, prompt.max_output_tokens)
     return int(prompt.max_output_tokens * EXPECTED_OUTPUT_FRACTION)
 
 
 def _estimate_truncation_risk(routed: RoutedCall, total_s: float, now: float) -> float:
-    """Estimate how likely an answer is cut because the time of its route is over."""
+    """Estimate the probability that the timeout of the route truncates the answer."""
     call, route = routed.call, routed.route
     left_s = min(call.deadline, call.arrived_at + route.timeout_s) - now
     if left_s <= 0:
@@ -330,14 +333,14 @@
 
 
 def _estimate_crossing_cost(call: Call, endpoint: Endpoint, domain: str) -> float:
-    """Give the time that the bytes count which go to another failure domain."""
+    """Return the cost of the bytes sent to another failure domain, in seconds."""
     if endpoint.entry.domain == domain:
         return 0.0
     return CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
 
 
 def _estimate_bytes(call: Call) -> float:
-    """Give the bytes of a request and its answer."""
+    """Return the estimated bytes of a request and its answer."""
     tokens = (
         call.prompt.max_output_tokens * EXPECTED_OUTPUT_FRACTION if call.prompt is not None else 0.0
     )
@@ -345,7 +348,7 @@
 
 
 def _compute_affinity_bonus(call: Call, endpoint: Endpoint) -> float:
-    """Prefer an endpoint for the shared parts that a hash gives to it, a little."""
+    """Return the bonus for an endpoint that a hash assigns to the shared prefix."""
     assert call.prompt is not None
     shared = call.prompt.segments[:-1]
     if not shared:
@@ -356,5 +359,5 @@
 
 
 def _hash_to_fraction(*names: str) -> float:
-    """Give a number from 0 to 1 that all hosts agree on; a checksum is even enough, and fast."""
+    """Hash names to a number from 0 to 1, the same on all hosts; CRC-32 is fast and uniform."""
     return zlib.crc32(" ".join(names).encode()) / CRC32_RANGE
--- a/cloverway/core/prefix_cache.py
+++ b/cloverway/core/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an endpoint holds in its memory, as far as this host can tell."""
+"""Estimate which prompt segments are in the KV cache of an endpoint."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 class _CachedSegment(NamedTuple):
     tokens: int
     ready_at: float
-    """When the part has been read, by prediction."""
+    """Predicted time at which its prefill is finished."""
 
 
 class CachedSegments:
-    """The parts that were sent to an endpoint; the least recently used ones yield."""
+    """Segments that were sent to an endpoint, evicted in least recently used order."""
 
     def __init__(self) -> None:
         self._segments: OrderedDict[int, _CachedSegment] = OrderedDict()
         self._tokens = 0
 
     def note(self, segments: Iterable[PromptSegment], ready_at: float) -> None:
-        """Note that the endpoint has been sent these parts, and will have read them some time."""
+        """Record segments that were sent to the endpoint and the time when they will be cached."""
         for segment in segments:
             cached = self._segments.pop(segment.id, None)
             if cached is not None:
@@ -35,20 +35,20 @@
             self._tokens += segment.tokens
 
     def trim(self, capacity: int) -> None:
-        """Forget the least recently used parts until the rest fits into some tokens."""
+        """Evict the least recently used segments until the rest fits into `capacity` tokens."""
         while self._tokens > capacity and self._segments:
             _, cached = self._segments.popitem(last=False)
             self._tokens -= cached.tokens
 
     def count_expected(self, prompt: Prompt) -> int:
-        """Give the leading tokens of a prompt that the endpoint holds or is about to read."""
+        """Return the leading tokens of a prompt that are cached or about to be prefilled."""
         return self._count(prompt, float("inf"))
 
     def count_ready(self, prompt: Prompt, now: float) -> int:
-        """Give the leading tokens of a prompt that the endpoint has read already.
+        """Return the leading tokens of a prompt whose prefill is finished.
 
-        Another endpoint can fetch only these: asked too early, it would find nothing and read
-        everything itself.
+        Another endpoint can fetch only these: a fetch that comes too early finds nothing, and the
+        other endpoint prefills the whole prompt itself.
         """
         return self._count(prompt, now)
 
--- a/cloverway/core/retry_budget.py
+++ b/cloverway/core/retry_budget.py
@@ -1,4 +1,4 @@
-"""The share of one host in a retry budget that all hosts of the fleet have together."""
+"""The share of one host in the retry budget of the fleet."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from typing import NamedTuple
 
 USABLE_FRACTION = 0.8
-"""Part of the budget that hosts use, all together: the rest covers the edges of windows, since a
+"""Fraction of the budget that the hosts use together. The rest covers the edges of windows: a
 request may be counted in one window and its retry in the next."""
 
 
 class RetryBudgetTerms(NamedTuple):
-    """Extra sends to a service that are allowed in any window of time, over all hosts."""
+    """Retries to a service that all hosts together may send in any time window."""
 
     ratio: float = 0.1
-    """Extra sends for each request."""
+    """Retries for each request."""
     slack: float = 10.0
-    """Extra sends that are allowed whatever the number of requests."""
+    """Retries that are allowed regardless of the number of requests."""
     window_s: float = 10.0
 
 
 class RetryBudget:
-    """Counts the requests and extra sends of this host for one service.
+    """Counts the requests and retries of this host for one service.
 
-    Each host takes the ratio of its own requests, and an equal part of the slack. The sum over any
-    hosts then stays within the budget without a word between them, also while they are cut off.
+    Each host uses the ratio of its own requests and an equal share of the slack. The sum over all
+    hosts then stays within the budget without communication, also during a network partition.
     """
 
     def __init__(self, terms: RetryBudgetTerms) -> None:
@@ -38,7 +38,7 @@
         self._forget(now)
 
     def take(self, hosts: int, now: float) -> bool:
-        """Take one extra send, if this host's share holds one; `hosts` is the size of the fleet."""
+        """Return whether this host may retry, and count the retry; `hosts` is the fleet size."""
         self._forget(now)
         share = self._terms.ratio * len(self._requests) + self._terms.slack / max(1, hosts)
         if len(self._extra) + 1 > USABLE_FRACTION * share:
--- a/cloverway/core/selection.py
+++ b/cloverway/core/selection.py
@@ -1,4 +1,4 @@
-"""Where a request goes: the endpoint or the region with the earliest predicted answer."""
+"""Select the endpoint or region with the lowest predicted cost for a request."""
 
 from __future__ import annotations
 
@@ -19,67 +19,74 @@
 from cloverway.core.token_gaps import INITIAL_BURST_RATIO
 
 OFFERED_PREFILL_S = 0.05
-"""Time to read one request that another region is told there is room for: between a small and a
-large one. With 0.13 s, small requests found no region that had room, and a tenth was refused."""
+"""Prefill time assumed for one request in the capacity advertised to other regions: between that of
+a small request and a large one. With 0.13 s, no region had capacity for small requests, and a tenth
+of them was refused."""
 RECOVERY_FRACTION = PREFILL_DUTY / 2
-"""Part of the time since an offer in which its engines are taken to have read what waited there:
-half of what is wanted of them, since their own region sends them prompts meanwhile. Taken as it was
-told, a region that was full at that moment stayed full until it was heard again, and what waits at
-an engine is read within that time: requests of an evacuated region were refused beside engines that
-read 0.4 of the time."""
+"""Fraction of the age of an offer in which engines are assumed to have worked off their queue: half
+of the prefill duty, since their own region sends them prompts meanwhile. Without this, a region
+that was full when it sent its offer counted as full until the next one, although an engine prefills
+its queue in less time: requests of an evacuated region were refused while engines spent 0.4 of
+their time on prefill."""
 UNLIMITED_TOKENS = 1_000_000
-"""Prompt tokens that an idle engine takes: it reads a prompt of any size at once."""
+"""Prompt tokens that an idle engine accepts: it starts a prompt of any size at once."""
 
 
 class RegionCapacity(NamedTuple):
-    """What the endpoints of a region can take of a service."""
+    """The capacity for a service that a region advertises."""
 
     wait_s: float
-    """Until the first event at the best of them."""
+    """Predicted time to first event at the best endpoint."""
     free: int
-    """Requests that they can take now."""
+    """Requests that the endpoints accept now."""
     tokens: int
-    """Prompt tokens of the largest of these."""
+    """Prompt tokens of the largest of these requests."""
     engine: EngineState | None = None
-    """The engine with the shortest queue, for a service that has engines."""
+    """State of the engine with the shortest queue; None for plain services."""
 
 
 def compute_region_capacity(
     service: Service, endpoints: Sequence[Endpoint], queued_s: float, now: float
 ) -> RegionCapacity:
-    """Sum up what the endpoints of this region can take now.
+    """Return the current capacity of the endpoints of this region.
 
-    `line_s` is the work of the requests that wait here. They go first, so nothing is free while
-    there are any: engines have room for moments also when more comes than they bear, and what was
-    passed on for such a moment waited here in vain.
+    `queued_s` is the work of the requests that are queued here. They go first, so nothing is free
+    while there are any. Overloaded engines have room for moments too, and requests that were
+    forwarded for such a moment were queued here in vain.
     """
-    rooms = [_compute_endpoint_capacity(service, endpoint, now) for endpoint in endpoints]
-    best = min(rooms, key=lambda room: room.wait_s)
-    free = sum(room.free for room in rooms) if not queued_s else 0
-    wait_s = best.wait_s + queued_s / (len(rooms) * PREFILL_DUTY)
-    return RegionCapacity(wait_s, free, max(room.tokens for room in rooms), best.engine)
+    capacities = [_compute_endpoint_capacity(service, endpoint, now) for endpoint in endpoints]
+    best = min(capacities, key=lambda capacity: capacity.wait_s)
+    free = sum(capacity.free for capacity in capacities) if not queued_s else 0
+    wait_s = best.wait_s + queued_s / (len(capacities) * PREFILL_DUTY)
+    return RegionCapacity(
+        wait_s, free, max(capacity.tokens for capacity in capacities), best.engine
+    )
 
 
 def _compute_endpoint_capacity(service: Service, endpoint: Endpoint, now: float) -> RegionCapacity:
     load = endpoint.load
     slots = max(1, endpoint.entry.slots)
     running = load.sum_region_load(now).running
-    places = max(0, slots - running)
-    failed_s = FAILURE_PENALTY_S * load.failures(now)
+    free_slots = max(0, slots - running)
+    penalty_s = FAILURE_PENALTY_S * load.failures(now)
     if service.engine is None:
         queue_s = load.service_time_s * max(0, running + 1 - slots) / slots
-        return RegionCapacity(queue_s + failed_s, places, 0)
+        return RegionCapacity(queue_s + penalty_s, free_slots, 0)
     engine = describe_engine(endpoint, running, now)
-    left_s = max(0.0, load.burst_ratio * DEFAULT_GAP_OBJECTIVE_S - engine.queue_s)
-    left = int(left_s / engine.prefill_s_per_token) if engine.queue_s else UNLIMITED_TOKENS
-    places = min(places, int(left_s / OFFERED_PREFILL_S))
-    return RegionCapacity(engine.queue_s + failed_s, places, left if places else 0, engine)
+    remaining_s = max(0.0, load.burst_ratio * DEFAULT_GAP_OBJECTIVE_S - engine.queue_s)
+    remaining_tokens = (
+        int(remaining_s / engine.prefill_s_per_token) if engine.queue_s else UNLIMITED_TOKENS
+    )
+    free_slots = min(free_slots, int(remaining_s / OFFERED_PREFILL_S))
+    return RegionCapacity(
+        engine.queue_s + penalty_s, free_slots, remaining_tokens if free_slots else 0, engine
+    )
 
 
 def extrapolate_offer(offer: Offer, age_s: float) -> Offer:
-    """Give what a region has offered as it will stand some time later.
+    """Return the offer of a region extrapolated to `age_s` after it was made.
 
-    What waits there beyond what may wait at engines is read first.
+    Work that is queued beyond the burst limit of the engines is done first.
     """
     prefill_s_per_token = offer.engine.prefill_s_per_token
     burst_s = INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
@@ -95,15 +102,15 @@
 
 
 def choose_endpoint(candidates: Iterable[Candidate]) -> Candidate | None:
-    """Give the candidate with the earliest answer that is not full, or None."""
+    """Return the candidate with the lowest cost that is not full, or None."""
     free = [candidate for candidate in candidates if not candidate.full]
     return min(free, key=lambda candidate: candidate.cost_s, default=None)
 
 
 def estimate_start(candidates: Sequence[Candidate], ahead_s: float) -> float | None:
-    """Estimate the seconds until a request has a place here; None without endpoints.
+    """Return the estimated seconds until a request can be sent here; None without endpoints.
 
-    `ahead_s` is the work of the requests that wait before.
+    `ahead_s` is the work of the requests queued ahead.
     """
     if not candidates:
         return None
@@ -112,9 +119,9 @@
 
 
 def estimate_wait(candidates: Sequence[Candidate], ahead_s: float) -> float:
-    """Estimate what it costs to wait here for a place, behind others; infinite without endpoints.
+    """Return the estimated cost of queueing here, in seconds; infinite without endpoints.
 
-    `ahead_s` is the work of the requests that wait before.
+    `ahead_s` is the work of the requests queued ahead.
     """
     if not candidates:
         return float("inf")
@@ -125,9 +132,9 @@
 def choose_region(
     local_cost_s: float, offers: Sequence[RegionCandidate], margin_s: float
 ) -> RegionCandidate | None:
-    """Give the region to pass a request on to, or None to keep it here, where it costs `stay_s`.
+    """Return the region to forward a request to, or None to keep it here at `local_cost_s`.
 
-    A region far away must be better by a margin: what is known of it is older.
+    A remote region must be better by `margin_s`, because its state is known with a longer delay.
     """
     best = min(offers, key=lambda offer: offer.cost_s, default=None)
     return best if best is not None and best.cost_s + margin_s < local_cost_s else None
--- a/cloverway/core/token_gaps.py
+++ b/cloverway/core/token_gaps.py
@@ -1,67 +1,68 @@
-"""What the pauses between the events of answers say of an engine that reads prompts meanwhile."""
+"""Limits on the prefill work of an engine, derived from the inter-token gaps of its answers."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 SATURATION_FRACTION = 0.75
-"""Part of the longest wanted pause between two events from which an engine gets no more long
-prompts for a moment: it reads prompts in every step, and the next pause may be too long."""
+"""Fraction of the gap objective from which an engine counts as saturated with prefill. It then gets
+no long prompts for a moment: it has prefill work in every step, and the next gap may be a stall."""
 SATURATION_S = 0.4
-"""How long that holds: about as long as an engine takes to read what waits there at most."""
+"""How long an engine counts as saturated: about the prefill time of a full burst."""
 INITIAL_BURST_RATIO = 0.5
-"""Time to read the prompts that may wait at an engine, in longest wanted pauses, before any was
-seen. While an engine reads, each of its steps makes one token of each answer and takes some 90 to
-140 ms; an event holds several tokens, so a run of such steps may or may not exceed the pause."""
+"""Initial burst ratio: prefill time that may be queued at an engine, as a multiple of the gap
+objective. A step with prefill work takes about 90 to 140 ms and produces one token of each answer.
+An event holds several tokens, so a run of such steps may or may not exceed the gap objective."""
 MIN_BURST_RATIO = 0.3
-"""The least that it is cut to: played against an engine in virtual time, it still reads three
-quarters of the time with it."""
+"""Lower bound of the burst ratio. In a simulation, an engine still spends three quarters of its
+time on prefill with it."""
 MAX_BURST_RATIO = 0.67
-"""The most that it grows to. In the same play one event in a hundred then comes after 0.58 s of
-0.6."""
+"""Upper bound of the burst ratio. In the same simulation, the 99th percentile of the gaps is then
+0.58 s, with a gap objective of 0.6 s."""
 DECREASE_FACTOR = 0.85
-"""By which a pause that was too long changes it."""
+"""Factor applied to the burst ratio after a stall."""
 MIN_DECREASE_INTERVAL_S = 0.5
-"""Least time between two changes: all answers that run at an engine pause together."""
+"""Minimum time between two decreases: all answers of an engine stall together."""
 INCREASE_STEP = 1e-5
-"""Added to it by each pause that was not too long: one cut from the start value is made good by
-7,500 of them (worked out), which is minutes of an engine's events, so that it follows the engine
-and not single pauses."""
+"""Added to the burst ratio for each gap within the objective. 7,500 of these make up for one
+decrease from the initial value. That is minutes of an engine's events, so the ratio follows the
+engine and not single gaps."""
 
 
 class TokenGap(NamedTuple):
-    """A pause between two events of an answer."""
+    """The gap between two events of an answer."""
 
     seconds: float
     objective_s: float
-    """The longest pause that is wanted."""
+    """The longest acceptable gap."""
     tokens: int = 0
-    """Tokens that came after it; 0 where that isn't known."""
+    """Tokens in the event after the gap; 0 if not known."""
 
 
 class PrefillSaturation:
-    """Whether an engine reads prompts in every step, by the pauses of answers that run there."""
+    """Detects an engine with prefill work in every step, from the gaps of its running answers."""
 
     def __init__(self) -> None:
         self._seen_at = float("-inf")
 
     def note(self, gap: TokenGap, now: float) -> None:
-        """Note a pause between two events."""
+        """Record a gap between two events."""
         if gap.seconds > SATURATION_FRACTION * gap.objective_s:
             self._seen_at = now
 
     def is_active(self, now: float) -> bool:
-        """Tell whether such a pause was seen lately."""
+        """Return whether a gap near or above the objective was seen recently."""
         return now - self._seen_at < SATURATION_S
 
 
 class PrefillBurstLimit:
-    """How many prompts may wait at an engine, by the pauses of the answers that run there.
+    """Limits the prefill work queued at an engine, by additive increase, multiplicative decrease.
 
-    What is more waits at the hosts, in order, and may go elsewhere. With two thirds of the pause
-    everywhere, 492 of 2,316 long answers of a heavy day had a pause over 0.6 s at engines of five
-    tokens an event, half of them by less than an eighth. With 0.37 of it everywhere, another
-    deployment fell from 0.726 to 0.716 of a day's worth.
+    Requests beyond the limit are queued at the hosts, in order, and may go elsewhere. A constant
+    ratio doesn't fit all engines. With two thirds everywhere, 492 of 2,316 long answers of a
+    simulated day of heavy load had a gap over 0.6 s at engines with five tokens per event, half of
+    them by less than an eighth. With 0.37 everywhere, another deployment fell from 0.726 to 0.716
+    of the maximum score of a simulated day.
     """
 
     def __init__(self) -> None:
@@ -69,7 +70,7 @@
         self._cut_at = float("-inf")
 
     def note(self, gap: TokenGap, now: float) -> None:
-        """Note a pause between two events."""
+        """Record a gap between two events."""
         if gap.seconds <= gap.objective_s:
             self.ratio = min(MAX_BURST_RATIO, self.ratio + INCREASE_STEP)
         elif now - self._cut_at >= MIN_DECREASE_INTERVAL_S:
