--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -1,9 +1,9 @@
-"""Runs a host of a fleet with parts of its decisions switched off, to measure their worth.
+"""Run a host of a fleet with some of its decision mechanisms disabled, to measure their effect.
 
     python -m cloverway.tests.ablated fetch pace
 
-A copy of the deploy file runs this in place of `python -m cloverway.platform`; nothing of the
-product knows of it. `--list` names the mechanisms.
+A copy of the deploy file runs this instead of `python -m cloverway.platform`; the product doesn't
+depend on it. `--list` prints the mechanisms.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from typing import NamedTuple
 
 NEVER = 1e9
-"""More seconds, tokens or hosts than there are."""
+"""More seconds, tokens or hosts than ever occur."""
 
 
 class Switch(NamedTuple):
-    """One constant and the value with which it decides nothing."""
+    """A constant and the value that disables its mechanism."""
 
     module: str
-    """Where it is defined, below cloverway."""
+    """Module that defines it, relative to cloverway."""
     name: str
     value: object
 
@@ -63,9 +63,9 @@
 
 
 def switch_off(name: str) -> None:
-    """Switch a mechanism off in this process; raise KeyError for one that isn't known.
+    """Disable a mechanism in this process; raise KeyError for an unknown one.
 
-    A constant is also set in the modules that have imported it by its name.
+    The constant is also set in the modules that have imported it by name.
     """
     importlib.import_module("cloverway.serving.host")
     for switch in MECHANISMS[name]:
--- a/cloverway/tests/simulated_engine.py
+++ b/cloverway/tests/simulated_engine.py
@@ -1,7 +1,7 @@
-"""An engine that works in steps, in virtual time, behind the real load and predictions of a host.
+"""Simulation, in virtual time, of engines that are loaded by the real predictions of a host.
 
-Each step reads a chunk of the prompts that wait, and makes one token of each answer that runs; an
-event holds several tokens. The figures are between those of the users' engines.
+Each engine step prefills a chunk of the queued prompts and produces one token of each running
+answer; an event holds several tokens. The parameters are between those of the users' engines.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from cloverway.core.prediction import Candidate, RoutedCall
 from cloverway.core.token_gaps import TokenGap
 
-PAUSE_S = 0.6
+GAP_OBJECTIVE_S = 0.6
 ROUTE = Route(
     *("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),)),
-    *(10.0, 1.0, PAUSE_S),
+    *(10.0, 1.0, GAP_OBJECTIVE_S),
 )
 
 
 class Speed(NamedTuple):
-    """What an engine can do."""
+    """The speed of an engine."""
 
     prefill_s_per_token: float = 1 / 30_000
     step_s: float = 0.006
@@ -41,12 +41,12 @@
 
 
 class Run:
-    """One request at an engine, and the longest pause in its answer."""
+    """One request at an engine, and the longest gap in its answer."""
 
     def __init__(self, number: int, input_tokens: int, output_tokens: int, sent_at: float) -> None:
         self.number = number
         self.prefill_left = input_tokens
-        self.left = output_tokens
+        self.output_left = output_tokens
         self.sent_at = sent_at
         self.tokens_made = 0
         self.event_at: float | None = None
@@ -54,7 +54,7 @@
 
 
 class StepEngine:
-    """An engine, and what a host knows of it."""
+    """A simulated engine and the state that a host keeps of it."""
 
     def __init__(self, name: str, speed: Speed, service: Service) -> None:
         entry = EndpointEntry(name, service.name, f"10.0.0.1:{8000 + len(name)}", "d1", 64)
@@ -66,37 +66,39 @@
         self.on_end: Callable[[Run, float], None] = lambda run, now: None
 
     def submit(self, run: Run) -> None:
-        """Take a request."""
+        """Queue a request."""
         self.waiting.append(run)
 
     def advance(self, until: float) -> None:
-        """Work until some time."""
+        """Run steps until the given time."""
         while self.now < until and (self.waiting or self.running):
             self._step()
         self.now = max(self.now, until)
 
     def _step(self) -> None:
-        room = self.speed.chunk
-        read = []
-        while self.waiting and room:
+        chunk_left = self.speed.chunk
+        finished = []
+        while self.waiting and chunk_left:
             run = self.waiting[0]
-            part = min(room, run.prefill_left)
-            run.prefill_left -= part
-            room -= part
+            size = min(chunk_left, run.prefill_left)
+            run.prefill_left -= size
+            chunk_left -= size
             if not run.prefill_left:
-                read.append(self.waiting.popleft())
-        took_s = self.speed.step_s + (self.speed.chunk - room) * self.speed.prefill_s_per_token
+                finished.append(self.waiting.popleft())
+        took_s = (
+            self.speed.step_s + (self.speed.chunk - chunk_left) * self.speed.prefill_s_per_token
+        )
         self.now += took_s
-        self.running += read
+        self.running += finished
         for run in list(self.running):
             self._make_token(run)
 
     def _make_token(self, run: Run) -> None:
         run.tokens_made += 1
-        run.left -= 1
-        if run.tokens_made % self.speed.event_tokens == 0 or run.left <= 0:
+        run.output_left -= 1
+        if run.tokens_made % self.speed.event_tokens == 0 or run.output_left <= 0:
             self._send_event(run)
-        if run.left <= 0:
+        if run.output_left <= 0:
             self.running.remove(run)
             self.endpoint.load.end(run.number)
             self.on_end(run, self.now)
@@ -107,12 +109,12 @@
         if run.event_at is not None:
             gap_s = self.now - run.event_at
             run.longest_gap_s = max(run.longest_gap_s, gap_s)
-            load.note_gap(TokenGap(gap_s, PAUSE_S, self.speed.event_tokens), self.now)
+            load.note_gap(TokenGap(gap_s, GAP_OBJECTIVE_S, self.speed.event_tokens), self.now)
         run.event_at = self.now
 
 
 class Arrival(NamedTuple):
-    """One request of a caller."""
+    """The arrival of one request."""
 
     at: float
     input_tokens: int
@@ -120,7 +122,7 @@
 
 
 class Region:
-    """One host and the engines of its region; requests wait at the host for a place."""
+    """One host and the engines of its region; requests are queued at the host."""
 
     def __init__(self, engines: int, speed: Speed) -> None:
         self.service = Service("model", 1_000, engine=EngineShape(64, 400_000))
@@ -130,13 +132,13 @@
         self.runs: dict[int, Arrival] = {}
         self._numbers = itertools.count(1)
 
-    def play(
+    def simulate(
         self,
         arrivals: list[Arrival],
         take: Callable[[RoutedCall, float], Candidate | None],
         timeout_s: float = 2.0,
     ) -> None:
-        """Play requests; `take` gives where one may run now, or None."""
+        """Simulate requests; `take` returns the candidate to send one to now, or None."""
         arrivals = sorted(arrivals)
         end = arrivals[-1].at + 20.0
         now = 0.0
@@ -147,10 +149,10 @@
                 engine.advance(now)
             while pending and pending[0].at <= now:
                 arrival = pending.popleft()
-                self.queue.append((arrival, self._want(arrival)))
+                self.queue.append((arrival, self._route(arrival)))
             self._serve(take, timeout_s, now)
 
-    def _want(self, arrival: Arrival) -> RoutedCall:
+    def _route(self, arrival: Arrival) -> RoutedCall:
         prompt = Prompt(arrival.input_tokens, arrival.output_tokens, (), arrival.output_tokens)
         name = f"c{next(self._numbers)}"
         call = Call(name, "POST", "/a/", "h", (), b"", arrival.at, arrival.at + 10.0, prompt)
--- a/cloverway/tests/test_ablated.py
+++ b/cloverway/tests/test_ablated.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the ablation tool names a constant that is there, and changes what it says."""
+"""Each mechanism of the ablation tool names existing constants, and disabling it sets them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_a_constant_is_also_switched_off_where_it_was_imported():
-    """Set only where it is defined, the module that decides would go on with the old value."""
+    """Modules that imported the constant by name would otherwise keep the old value."""
     code = """
 from cloverway.tests.ablated import switch_off
 from cloverway.core import engine_speed, kv_fetch, prediction, selection, token_gaps
@@ -34,7 +34,7 @@
 
 
 def test_mechanisms_are_switched_off_in_a_process_that_has_loaded_nothing():
-    """A host loads its parts only when it listens already; the tool stopped with a KeyError."""
+    """A host loads its modules only after it listens; the tool stopped with a KeyError."""
     code = """
 from cloverway.tests.ablated import MECHANISMS, switch_off
 for name in MECHANISMS:
--- a/cloverway/tests/test_core_calls.py
+++ b/cloverway/tests/test_core_calls.py
@@ -1,4 +1,4 @@
-"""What all repeats of a request have in common."""
+"""The digest that all repeats of a request share."""
 
 from __future__ import annotations
 
--- a/cloverway/tests/test_core_cold_start.py
+++ b/cloverway/tests/test_core_cold_start.py
@@ -1,4 +1,4 @@
-"""How often hosts send to a cold endpoint, all together, in virtual time; no network."""
+"""The send rate of all hosts together to a cold endpoint, in virtual time; no network."""
 
 from __future__ import annotations
 
@@ -11,39 +11,41 @@
 
 TERMS = ColdStartTerms(overshoot=1.5, slack=3.0)
 COLD_PER_S = 1.6
-BOUND = int(COLD_PER_S * TERMS.overshoot + TERMS.slack)
+LIMIT = int(COLD_PER_S * TERMS.overshoot + TERMS.slack)
 
 
-class View:
-    """What one host knows of the others of its region, as time passes."""
+class HostView:
+    """A host's knowledge of the other hosts of its region over time."""
 
-    def __init__(self, name, started_at, heard_at):
+    def __init__(self, name, started_at, known_since):
         self.name = name
         self.started_at = started_at
-        self.heard_at = heard_at
-        """When it heard of each other host for the first time."""
+        self.known_since = known_since
+        """When it received the first heartbeat of each other host."""
         self.last_send = float("-inf")
 
     def may_send(self, now):
         if now < self.started_at:
             return False
-        known = [name for name, at in self.heard_at.items() if at <= now]
+        known = [name for name, at in self.known_since.items() if at <= now]
         age_s = now - self.started_at
-        spacing = compute_cold_send_interval(COLD_PER_S, TERMS, "e", self.name, known, age_s=age_s)
-        if spacing is None or now - self.last_send < spacing:
+        interval_s = compute_cold_send_interval(
+            COLD_PER_S, TERMS, "e", self.name, known, age_s=age_s
+        )
+        if interval_s is None or now - self.last_send < interval_s:
             return False
         self.last_send = now
         return True
 
 
-def play(views, seconds):
-    """Let every host send as often as it may; give the times of all sends."""
+def simulate(views, seconds):
+    """Let every host send as often as it is allowed to; return the times of all sends."""
     steps = [step / 100 for step in range(int(seconds * 100))]
     return [now for now in steps for view in views if view.may_send(now)]
 
 
-def count_most(sends):
-    """Give the most sends of any second."""
+def count_max_per_second(sends):
+    """Return the maximum number of sends in any second."""
     return max(
         (sum(start <= at < start + 1 for at in sends[index:]) for index, start in enumerate(sends)),
         default=0,
@@ -52,63 +54,66 @@
 
 @pytest.mark.parametrize("hosts", [1, 2, 3, 5, 24])
 def test_all_hosts_together_never_overload_a_cold_endpoint(hosts):
-    """Every host has requests without end; a cold endpoint bears 1.6 a second and some slack."""
+    """Every host has unlimited requests; a cold endpoint sustains 1.6 per second plus slack."""
     names = [f"host-{n}" for n in range(hosts)]
-    views = [View(name, -100.0, {n: -100.0 for n in names if n != name}) for name in names]
-    sends = play(views, 10)
-    assert count_most(sends) <= BOUND
+    views = [HostView(name, -100.0, {n: -100.0 for n in names if n != name}) for name in names]
+    sends = simulate(views, 10)
+    assert count_max_per_second(sends) <= LIMIT
     assert sends
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_hosts_that_start_together_do_not_take_a_cold_endpoint_for_their_own(seed):
-    """All hosts of a region start again within half a second, beside an endpoint that is cold.
+def test_hosts_that_start_together_do_not_overload_a_cold_endpoint(seed):
+    """All hosts of a region restart within half a second while an endpoint is cold.
 
-    None has heard of the others for most of a second, so each took the whole bound for itself: two
-    hosts sent six requests in one second, and one more crashes such an endpoint. Whoever has just
-    started leaves it alone until it must have heard of the others.
+    For most of a second no host knew of the others, so each used the whole limit: two hosts sent
+    six requests in one second, and one more crashes such an endpoint. A recently started host sends
+    nothing to it until it must have received heartbeats from the others.
     """
     draw = random.Random(seed)
     names = [f"host-{n}" for n in range(draw.randint(2, 24))]
     starts = {name: draw.uniform(0.0, 0.5) for name in names}
     views = [
-        View(
+        HostView(
             name,
             starts[name],
             {n: max(starts[n], starts[name]) + draw.uniform(0.0, 1.0) for n in names if n != name},
         )
         for name in names
     ]
-    sends = play(views, 6)
-    assert count_most(sends) <= BOUND
+    sends = simulate(views, 6)
+    assert count_max_per_second(sends) <= LIMIT
     assert sends
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_host_that_joins_one_that_was_alone_takes_its_part_only_when_the_other_knows(seed):
-    """One host has the endpoint to itself; another joins, and is heard 0.1 to 0.7 s later."""
+def test_a_joining_host_sends_only_when_the_other_host_knows_of_it(seed):
+    """One host is alone; another joins, and its first heartbeat arrives 0.1 to 0.7 s later."""
     draw = random.Random(seed)
     joins_at = 3.0
-    heard_at = joins_at + draw.uniform(0.1, 0.7)
-    first = View("host-0", -100.0, {"host-1": heard_at})
-    second = View("host-1", joins_at, {"host-0": joins_at + draw.uniform(0.0, 0.2)})
-    sends = play([first, second], 8)
-    assert count_most(sends) <= BOUND
+    known_since = joins_at + draw.uniform(0.1, 0.7)
+    first = HostView("host-0", -100.0, {"host-1": known_since})
+    second = HostView("host-1", joins_at, {"host-0": joins_at + draw.uniform(0.0, 0.2)})
+    sends = simulate([first, second], 8)
+    assert count_max_per_second(sends) <= LIMIT
 
 
-def test_a_host_sends_to_a_cold_endpoint_once_it_has_settled():
+def test_a_host_sends_to_a_cold_endpoint_from_the_minimum_age():
     ages = [MIN_HOST_AGE_S - 0.1, MIN_HOST_AGE_S]
-    spacings = [
+    intervals_s = [
         compute_cold_send_interval(COLD_PER_S, TERMS, "e", "host-0", (), age_s=age) for age in ages
     ]
-    assert spacings[0] is None
-    assert spacings[1] == pytest.approx(1.1 / BOUND)
+    assert intervals_s[0] is None
+    assert intervals_s[1] == pytest.approx(1.1 / LIMIT)
 
 
-def test_no_more_hosts_send_than_the_bound_has_sends():
+def test_no_more_hosts_send_than_the_limit_has_sends():
     names = [f"host-{n}" for n in range(24)]
-    spacings = [
+    intervals_s = [
         compute_cold_send_interval(COLD_PER_S, TERMS, "e", name, names, age_s=MIN_HOST_AGE_S)
         for name in names
     ]
-    assert len(list(itertools.filterfalse(lambda spacing: spacing is None, spacings))) == BOUND
+    assert (
+        len(list(itertools.filterfalse(lambda interval_s: interval_s is None, intervals_s)))
+        == LIMIT
+    )
--- a/cloverway/tests/test_core_endpoints.py
+++ b/cloverway/tests/test_core_endpoints.py
@@ -1,4 +1,4 @@
-"""What a host believes of endpoints, hosts and the configuration; no network."""
+"""State of endpoints, hosts and the configuration as known to a host; no network."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return EndpointEntry(name, "desk", "10.0.0.1:80", domain, 6, **fields)
 
 
-def names(directory, now):
+def list_usable_ids(directory, now):
     return [endpoint.entry.id for endpoint in directory.list_usable("desk", now)]
 
 
@@ -54,7 +54,7 @@
 
 
 def test_an_older_configuration_never_replaces_a_newer_one():
-    """The store serves a read from a replica that is behind, after a newer one was in force.
+    """The store serves a read from a replica that lags behind the version in force.
 
     Callers would get 404 for a route that they have already used.
     """
@@ -65,49 +65,50 @@
     assert directory.routes.find("shop", "/a/b") is not None
 
 
-def test_entries_that_lapse_with_the_store_are_used_until_they_can_be_back():
-    """The store was away, all entries lapsed, and the first read shows none.
+def test_endpoints_are_used_for_a_grace_period_after_their_entries_expire():
+    """The store was unavailable, all entries expired, and the first read returns none.
 
-    Taken as it is, the host would have no endpoint, and refuse everything for two seconds.
+    Without the grace period the host would have no endpoints and refuse all requests for two
+    seconds.
     """
     directory = make_directory(make_entry())
     directory.apply([EndpointPublished("e1", None)], 10.0)
-    assert names(directory, 11.9) == ["e1"]
-    assert names(directory, 12.1) == []
+    assert list_usable_ids(directory, 11.9) == ["e1"]
+    assert list_usable_ids(directory, 12.1) == []
     directory.forget_missing(13.0)
     assert directory.endpoints == {}
 
 
-def test_an_entry_that_comes_back_is_used_again():
+def test_an_endpoint_whose_entry_returns_is_used_again():
     directory = make_directory(make_entry())
     directory.apply([EndpointPublished("e1", None)], 10.0)
     directory.apply([EndpointPublished("e1", make_entry())], 11.0)
-    assert names(directory, 20.0) == ["e1"]
+    assert list_usable_ids(directory, 20.0) == ["e1"]
 
 
-def test_draining_is_for_good():
-    """An entry from before the draining arrives late, from a peer that had read less."""
+def test_a_late_entry_does_not_undo_draining():
+    """An entry from before the draining arrives late, from a peer with an older revision."""
     directory = make_directory(make_entry(draining=True))
     directory.apply([EndpointPublished("e1", make_entry())], 1.0)
-    assert names(directory, 1.0) == []
+    assert list_usable_ids(directory, 1.0) == []
 
 
-def test_an_endpoint_that_is_taken_away_at_short_notice_gets_nothing_new():
+def test_an_endpoint_that_is_preempted_gets_no_new_requests():
     directory = make_directory(make_entry(leaves_s=2.0))
-    assert names(directory, 0.0) == []
+    assert list_usable_ids(directory, 0.0) == []
 
 
-def test_an_evacuated_domain_gets_nothing_until_it_is_taken_back_and_then_slowly():
+def test_an_evacuated_domain_gets_no_requests_and_is_cold_afterwards():
     directory = make_directory(make_entry())
     directory.apply([EvacuationPublished("d1", True)], 1.0)
-    assert names(directory, 1.0) == []
+    assert list_usable_ids(directory, 1.0) == []
     directory.apply([EvacuationPublished("d1", False)], 9.0)
     (endpoint,) = directory.list_usable("desk", 9.0)
     assert endpoint.is_cold(9.5)
     assert not endpoint.is_cold(12.0)
 
 
-def test_the_longest_prefix_wins_and_hosts_are_apart():
+def test_the_longest_prefix_wins_within_a_host():
     table = RouteTable([make_route(), make_route(prefix="/a/b/"), make_route("other", "/")])
     assert table.find("shop", "/a/b/c").prefix == "/a/b/"
     assert table.find("shop", "/a/x").prefix == "/a/"
@@ -136,19 +137,19 @@
     return choose_for_caller(members, domain, TOPOLOGY.region_of(domain), homes or {}, now)
 
 
-def test_a_host_that_fell_silent_is_not_named():
+def test_a_silent_host_is_not_listed_to_callers():
     members = make_members(make_member("peer"))
     assert choose(members) == ["own:80", "peer:80"]
     assert choose(members, now=ALIVE_S + 0.1) == ["own:80"]
 
 
-def test_words_of_others_do_not_revive_a_host_that_left():
+def test_indirect_reports_do_not_revive_a_host_that_left():
     members = make_members(make_member("peer", ready=False, leaving=True))
     members.hear(make_member("peer"), 0.0, False, 0.5)
     assert choose(members, now=0.5) == ["own:80"]
 
 
-def test_a_host_that_started_anew_at_the_same_address_is_named():
+def test_a_restarted_host_at_the_same_address_is_listed():
     members = make_members(make_member("peer", ready=False, leaving=True))
     members.hear(make_member("peer", incarnation=2), 0.0, True, 1.0)
     assert choose(members, now=1.0) == ["own:80", "peer:80"]
@@ -156,10 +157,10 @@
     assert choose(members, now=1.1) == ["own:80", "peer:80"]
 
 
-def test_a_host_that_has_just_begun_to_leave_is_named_where_its_region_has_no_other():
-    """All hosts of a region are restarted, one after the other, and each waits for long streams.
+def test_a_leaving_host_is_listed_for_a_while_if_its_region_has_no_other():
+    """The hosts of a region restart one after the other, each waiting for its long streams.
 
-    Named were hosts of other regions, and bound requests went there.
+    Callers were given hosts of other regions, and requests bound to the region went there.
     """
     members = make_members(make_member("far", "d2"))
     members.begin_leaving(10.0)
@@ -169,10 +170,10 @@
     assert choose(members, now=10.0 + LINGER_S + 0.1) == ["far:80"]
 
 
-def test_callers_without_a_host_of_their_region_are_led_to_the_homes_of_what_they_ask_for():
-    """Two routes of one host name are bound, to regions of which only one is common.
+def test_callers_without_a_host_in_their_region_get_hosts_of_the_home_regions():
+    """Two routes of one host name are bound to home regions; they share one of them.
 
-    The regions that all routes allow were none, and every region was named.
+    The set of regions that all routes allow came out empty, and hosts of every region were listed.
     """
     table = RouteTable(
         [make_route(homes=("north", "south")), make_route(prefix="/b/", homes=("north", "east"))]
@@ -182,23 +183,23 @@
     assert choose_for_caller(members, "d9", "west", homes, 0.0) == ["own:80"]
 
 
-def test_a_host_that_knows_nobody_names_itself():
+def test_a_host_that_knows_no_others_lists_itself():
     members = Members(make_member("own", ready=False))
     assert choose(members, "d2") == ["own:80"]
 
 
-def test_hosts_that_were_not_heard_for_long_are_forgotten():
+def test_hosts_without_heartbeats_are_removed():
     members = make_members(make_member("peer"))
     assert members.forget(FORGET_S + 1) == ["peer"]
     assert members.count_fleet() == 1
     assert members.hear(make_member("peer"), FORGET_S + 1, False, FORGET_S + 2) is None
 
 
-def test_hosts_far_away_count_as_alive_for_longer_in_a_large_fleet():
-    """Of 48 hosts in other regions each is heard by others, every few seconds.
+def test_remote_hosts_count_as_alive_for_longer_in_a_large_fleet():
+    """Each of 48 hosts in other regions is heard of through others, every few seconds.
 
-    With the time of a small fleet, each host took four of them for gone and back each second. A
-    host that is silent for longer than any of this is gone, also there.
+    With the timeout of a small fleet, four of them were considered gone and back each second. A
+    host that is silent beyond the maximum is gone in a large fleet too.
     """
     few = make_members(*(make_member(f"far-{n}", "d2") for n in range(4)))
     many = make_members(*(make_member(f"far-{n}", "d2") for n in range(48)))
--- a/cloverway/tests/test_core_incarnations.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -1,6 +1,6 @@
-"""Endpoints that start again under their id: what was known of one life says nothing of the next.
+"""Endpoints that restart with the same id: the state of one incarnation is not that of the next.
 
-No network. To play more random histories:
+No network. To run more random histories:
 
     LIVES_RUNS=2000 python -m pytest -o addopts= cloverway/tests/test_core_incarnations.py
 """
@@ -42,10 +42,10 @@
     return [change.what for change in changes]
 
 
-def test_an_endpoint_that_drained_and_starts_again_under_its_id_is_used():
-    """Its software is replaced: it drains, ends, and starts again under the same id.
+def test_a_drained_endpoint_that_restarts_with_its_id_is_used():
+    """During a software update the endpoint drains, exits and restarts with the same id.
 
-    Draining was kept for good, so the endpoint was never used again until the host itself ended.
+    Draining was kept across incarnations, so the endpoint was not used until the host restarted.
     """
     directory = make_directory(make_entry(1_000, draining=True, leaves_s=1.0))
     assert directory.list_usable("desk", 0.0) == []
@@ -53,10 +53,11 @@
     assert len(directory.list_usable("desk", 5.0)) == 1
 
 
-def test_an_endpoint_that_starts_again_has_an_empty_memory_and_no_load():
-    """It crashed with a long prompt in its memory; others were sent to fetch that from it.
+def test_a_restarted_endpoint_has_an_empty_cache_and_no_load():
+    """An endpoint crashed with a long prompt in its cache; others were told to fetch that from it.
 
-    They fetched nothing, read all of it themselves, and its old load kept requests away.
+    The fetches found nothing, the others prefilled the whole prompt, and the load of the previous
+    incarnation kept requests away.
     """
     directory = make_directory(make_entry(1_000))
     before = directory.endpoints["e1"]
@@ -73,13 +74,13 @@
         0.0,
     )
     assert directory.endpoints["e1"].is_cold(1.0)
-    # The request of the life before ends only now, and takes nothing from the new one.
+    # A request of the previous incarnation ends only now and must not change the new load.
     before.load.end(1)
     assert load.get_own_load().running == 0
 
 
-def test_an_endpoint_that_has_said_it_leaves_stays_left_whatever_its_entry_says():
-    """Guards against an entry that is older than the word, or lapses and comes back with it."""
+def test_an_announced_leave_is_final_whatever_the_entry_says():
+    """Guards against entries older than the statement, and entries that expire and return."""
     directory = make_directory(make_entry(1_000))
     directory.note_statement("e1@1000", Statement(leaving=True))
     publish(directory, 1.0, make_entry(1_000))
@@ -90,16 +91,16 @@
     assert directory.list_usable("desk", 5.0) == []
 
 
-def test_an_endpoint_that_said_it_leaves_and_starts_again_is_used():
-    """Guards against a word of one life that is held against the next."""
+def test_an_endpoint_that_announced_its_leave_and_restarts_is_used():
+    """Guards against applying the statement of one incarnation to the next."""
     directory = make_directory(make_entry(1_000))
     directory.note_statement("e1@1000", Statement(leaving=True))
     assert publish(directory, 5.0, make_entry(9_000)) == ["endpoint_reborn"]
     assert len(directory.list_usable("desk", 5.0)) == 1
 
 
-def test_a_pause_that_an_endpoint_asked_for_outlives_its_entry():
-    """Guards against entries that lapse while the store is away and bring a full endpoint back."""
+def test_a_requested_pause_outlives_the_entry():
+    """Guards against entries that expire with the store and return without the pause."""
     directory = make_directory(make_entry(1_000))
     directory.note_pause("e1@1000", 60.0, 1.0)
     directory.apply([EndpointPublished("e1", None)], 2.0)
@@ -111,25 +112,25 @@
     assert directory.get_pause_s(directory.endpoints["e1"], 10.0) == 0.0
 
 
-def test_a_word_that_comes_before_the_entry_is_kept_for_it():
-    """Guards against a host that has just started and hears of an endpoint before the store."""
+def test_a_statement_that_arrives_before_the_entry_is_kept():
+    """A recently started host can receive a statement before it has read the store."""
     directory = make_directory()
     directory.note_statement("e1@1000", Statement(leaving=True))
     publish(directory, 1.0, make_entry(1_000))
     assert directory.list_usable("desk", 1.0) == []
 
 
-def test_an_entry_of_the_life_before_that_comes_late_changes_nothing():
-    """The dying process's last word, that it drains, reaches the store after the new one's first.
+def test_a_late_entry_of_the_previous_incarnation_changes_nothing():
+    """The last entry of the exiting process, draining, is written after the first of the new one.
 
-    Taken over, it took the new life out for good.
+    When it was applied, the new incarnation was not used any more.
     """
     directory = make_directory(make_entry(1_000), make_entry(2_000))
     assert publish(directory, 1.0, make_entry(1_000, draining=True)) == []
     assert len(directory.list_usable("desk", 1.0)) == 1
 
 
-def test_an_entry_of_a_life_that_is_gone_is_no_new_endpoint():
+def test_an_entry_of_a_removed_incarnation_is_not_a_new_endpoint():
     directory = make_directory(make_entry(2_000))
     directory.apply([EndpointPublished("e1", None)], 1.0)
     directory.forget_missing(1.0 + MISSING_GRACE_S)
@@ -138,25 +139,25 @@
     assert publish(directory, 9.0, make_entry(2_000)) == ["endpoint_new"]
 
 
-def test_an_entry_without_its_start_is_not_read_where_the_endpoint_told_it_before():
-    """Another writer leaves out the field: nothing says which life the entry is about."""
+def test_an_entry_that_lost_its_start_time_is_rejected():
+    """Another writer omits the field, so the incarnation of the entry is unknown."""
     directory = make_directory(make_entry(1_000))
     assert publish(directory, 1.0, make_entry(None)) == ["endpoint_unreadable"]
     assert directory.list_usable("desk", 1.0) == []
     assert publish(directory, 2.0, make_entry(1_000)) == ["endpoint_back"]
 
 
-def test_endpoints_that_do_not_tell_their_start_are_known_by_their_id():
-    """As before: each start has a new id there, and draining is for good."""
+def test_endpoints_without_start_times_are_identified_by_id():
+    """Each start of such an endpoint has a new id, and draining is final."""
     directory = make_directory(make_entry(None, draining=True))
     assert publish(directory, 1.0, make_entry(None)) == []
     assert directory.list_usable("desk", 1.0) == []
 
 
-def test_news_of_the_life_before_that_come_late_are_dropped():
-    """A host tells what it has at an endpoint before it has heard that the endpoint started again.
+def test_late_load_reports_of_the_previous_incarnation_are_dropped():
+    """A host reports its load at an endpoint before it knows that the endpoint has restarted.
 
-    Taken over, the empty engine would seem to be busy and to hold the prompt.
+    If it were applied, the idle engine would seem busy and to have the prompt cached.
     """
     own, other = (Member(n, 1, "d1", "north", f"{n}:80", f"{n}:81", True) for n in "ab")
     members = Members(own)
@@ -171,8 +172,8 @@
     assert load.sum_region_load(0.0).running == 5
 
 
-def test_an_endpoint_whose_address_another_one_has_gets_nothing_for_a_while():
-    """Every request that is led there is answered by the other one, and has lost a try."""
+def test_a_misdirected_endpoint_gets_no_requests_for_a_while():
+    """Another endpoint answers at its address: each request sent there wastes an attempt."""
     directory = make_directory(make_entry(1_000))
     directory.endpoints["e1"].misdirected_at = 1.0
     assert directory.list_usable("desk", 1.5) == []
@@ -182,33 +183,33 @@
     assert len(directory.list_usable("desk", 1.5)) == 1
 
 
-class Lives(RuleBasedStateMachine):
-    """Births, drains, ends, late and repeated entries, against a model of a few lines."""
+class Incarnations(RuleBasedStateMachine):
+    """Check starts, drains, exits, late and repeated entries against a small model."""
 
     def __init__(self):
         super().__init__()
         self.directory = Directory(TOPOLOGY)
         self.now = 0.0
         self.written = []
-        """All entries that were ever written; any of them may come again, late."""
-        self.latest = None
-        """The start of the last life that the host has heard of."""
+        """All entries written so far; any of them may be received again, late."""
+        self.latest_start = None
+        """Start time of the latest incarnation that the host knows."""
         self.drained = set()
-        """Lives that the host has heard draining."""
+        """Start times of the incarnations that the host has seen draining."""
         self.gone_at = None
         self.requests = {}
-        """Requests under way by number, with the load that counts them."""
+        """Running requests by number, with the load that counts them."""
 
     @rule(later=st.integers(1, 3), draining=st.booleans())
     def write(self, later, draining):
         start = (self.written[-1].born_ms if self.written else 1_000) + later
-        self._hear(make_entry(start, draining=draining))
+        self._receive(make_entry(start, draining=draining))
 
     @rule(pick=st.integers(0, 1_000), draining=st.booleans())
-    def hear_again(self, pick, draining):
+    def receive_late(self, pick, draining):
         if self.written:
             entry = self.written[pick % len(self.written)]
-            self._hear(entry._replace(draining=entry.draining or draining))
+            self._receive(entry._replace(draining=entry.draining or draining))
 
     @rule()
     def remove(self):
@@ -233,12 +234,12 @@
         if number in self.requests:
             self.requests[number][1].end(number)
 
-    def _hear(self, entry):
+    def _receive(self, entry):
         self.written.append(entry)
         self.directory.apply([EndpointPublished("e1", entry)], self.now)
-        if self.latest is not None and entry.born_ms < self.latest:
+        if self.latest_start is not None and entry.born_ms < self.latest_start:
             return
-        self.latest = entry.born_ms
+        self.latest_start = entry.born_ms
         self.gone_at = None
         if entry.draining:
             self.drained.add(entry.born_ms)
@@ -247,15 +248,15 @@
     def only_the_latest_life_is_known(self):
         endpoint = self.directory.endpoints.get("e1")
         if endpoint is not None:
-            assert endpoint.entry.born_ms == self.latest
+            assert endpoint.entry.born_ms == self.latest_start
 
     @invariant()
     def it_is_used_while_it_is_there_and_does_not_drain(self):
-        is_there = self.latest is not None and (
+        is_there = self.latest_start is not None and (
             self.gone_at is None or self.now - self.gone_at < MISSING_GRACE_S
         )
-        wanted = is_there and self.latest not in self.drained
-        assert bool(self.directory.list_usable("desk", self.now)) == wanted
+        expected = is_there and self.latest_start not in self.drained
+        assert bool(self.directory.list_usable("desk", self.now)) == expected
 
     @invariant()
     def its_load_is_of_its_own_requests(self):
@@ -267,5 +268,5 @@
                 assert load.count_uncached(PROMPT) == PROMPT.input_tokens
 
 
-TestLives = Lives.TestCase
-TestLives.settings = settings(max_examples=RUNS, stateful_step_count=30, deadline=None)
+TestIncarnations = Incarnations.TestCase
+TestIncarnations.settings = settings(max_examples=RUNS, stateful_step_count=30, deadline=None)
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -1,9 +1,9 @@
-"""Large prompts among long answers, at engines that pause too long while they read one; no network.
+"""Isolation of large prompts at engines whose answers stall during their prefill; no network.
 
-The pattern: four engines that read 30,000 tokens a second in chunks of 2,048, with events of nine
-tokens and a wanted pause of 0.6 s; notes of 300 tokens, and prompts of which one in ten is larger
-than 14,000 tokens, which are read in more than the wanted pause. Together they ask for 0.6 of what
-the engines read.
+The load: four engines with a prefill speed of 30,000 tokens per second in chunks of 2,048, events
+of nine tokens and a gap objective of 0.6 s. Notes have answers of 300 tokens on average. One in ten
+of the other prompts is larger than 14,000 tokens, so that its prefill takes longer than the gap
+objective. Together they use 0.6 of the prefill capacity.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
-from cloverway.tests.simulated_engine import PAUSE_S, Arrival, Region, Speed
+from cloverway.tests.simulated_engine import GAP_OBJECTIVE_S, Arrival, Region, Speed
 
 HERE = Sender("d1")
 NOTES_PER_S = 14.0
@@ -34,7 +34,7 @@
 
 
 def draw_arrivals(seed: int) -> list[Arrival]:
-    """Draw notes with long answers, and prompts of very different sizes with short ones."""
+    """Draw notes with long answers, and prompts of very different sizes with short answers."""
     source = random.Random(seed)
     arrivals, at = [], 0.0
     while at < SECONDS:
@@ -47,23 +47,25 @@
     return arrivals
 
 
-class Played:
-    """One play, with large prompts kept apart or not."""
+class Simulation:
+    """One simulation, with or without isolation of large prompts."""
 
-    def __init__(self, seed: int, is_kept: bool, speed: Speed = SPEED, engines: int = 4) -> None:
+    def __init__(
+        self, seed: int, is_isolated: bool, speed: Speed = SPEED, engines: int = 4
+    ) -> None:
         self.region = Region(engines, speed)
         self.isolation = LargePromptIsolation("model")
-        self.is_kept = is_kept
+        self.is_isolated = is_isolated
         self.notes = self.late = self.large_served = 0
         self.chosen: Counter[frozenset[str]] = Counter()
         for engine in self.region.engines:
             engine.on_end = self.note_end
-        self.region.play(draw_arrivals(seed), self.take)
+        self.region.simulate(draw_arrivals(seed), self.take)
 
     def take(self, routed, now):
         engines = [engine.endpoint for engine in self.region.engines]
         candidates = [predict(routed, engine, sender=HERE, now=now) for engine in engines]
-        if self.is_kept:
+        if self.is_isolated:
             chosen = self.isolation.select_engines(engines, now)
             self.chosen[chosen] += 1
             candidates = apply_isolation(routed, candidates, chosen)
@@ -74,25 +76,25 @@
 
     def note_end(self, run, now):
         arrival = self.region.runs[run.number]
-        self.isolation.note_answer(run.longest_gap_s, PAUSE_S, now)
+        self.isolation.note_answer(run.longest_gap_s, GAP_OBJECTIVE_S, now)
         if arrival.input_tokens == 700:
             self.notes += 1
-            self.late += run.longest_gap_s > PAUSE_S
+            self.late += run.longest_gap_s > GAP_OBJECTIVE_S
         self.large_served += arrival.input_tokens > 14_000
 
     @property
-    def late_part(self):
+    def late_fraction(self):
         return self.late / self.notes
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_fewer_answers_pause_too_long_and_no_fewer_large_prompts_are_served(seed):
-    """Large prompts went to whichever engine had room, and each made some twenty answers late.
+def test_isolation_halves_stalled_answers_and_serves_as_many_large_prompts(seed):
+    """Without isolation, large prompts go to any engine, and each stalls about twenty answers.
 
-    In these plays 18 to 38 of 100 notes were late so, and 7 to 9 with large prompts kept apart.
+    In these simulations, 18 to 38 of 100 notes stall without isolation, and 7 to 9 with it.
     """
-    before, after = Played(seed, False), Played(seed, True)
-    assert after.late_part < 0.5 * before.late_part
+    before, after = Simulation(seed, False), Simulation(seed, True)
+    assert after.late_fraction < 0.5 * before.late_fraction
     assert after.large_served >= 0.9 * before.large_served
     assert len(after.region.refused) <= len(before.region.refused) + 10
 
@@ -100,22 +102,22 @@
 @pytest.mark.parametrize(
     ("speed", "engines"),
     [(Speed(1 / 60_000, 0.003, 1_024), 4), (SPEED, 1)],
-    ids=["engines that don't pause too long", "one engine"],
+    ids=["engines without stalls", "one engine"],
 )
-def test_large_prompts_go_everywhere_where_keeping_them_apart_gains_nothing(speed, engines):
-    """Engines with small chunks keep to the wanted pause however much they read.
+def test_large_prompts_are_not_isolated_where_that_gains_nothing(speed, engines):
+    """Engines with small chunks keep the gap objective under any prefill load.
 
-    Kept to a part of the engines, large prompts would wait longer for nothing.
+    Isolated on some of the engines, large prompts would wait longer without a gain.
     """
-    played = Played(4, True, speed, engines)
-    assert set(played.chosen) == {frozenset()}
+    simulation = Simulation(4, True, speed, engines)
+    assert set(simulation.chosen) == {frozenset()}
 
 
 def make_isolation(large_s: float, late: int = 10) -> LargePromptIsolation:
-    """Give what a host believes that has seen late answers, and large prompts among others."""
+    """Return the isolation state of a host that observed stalls, and large prompts among others."""
     isolation = LargePromptIsolation("model")
     for number in range(20):
-        isolation.note_answer(1.0 if number < late else 0.1, PAUSE_S, 1.0)
+        isolation.note_answer(1.0 if number < late else 0.1, GAP_OBJECTIVE_S, 1.0)
     isolation._prefill.add(1.0, 1.0)
     isolation._large.add(large_s, 1.0)
     return isolation
@@ -126,19 +128,19 @@
 
 
 @pytest.mark.parametrize(("large_s", "count"), [(0.0, 1), (0.2, 1), (0.5, 2), (0.8, 3), (1.0, 3)])
-def test_as_many_engines_are_chosen_as_large_prompts_take_of_what_is_read(large_s, count):
+def test_the_number_of_engines_follows_the_share_of_large_prompts(large_s, count):
     assert len(make_isolation(large_s).select_engines(list_engines(4), 1.0)) == count
 
 
-def test_nothing_is_kept_apart_for_single_pauses_or_before_anything_was_seen():
+def test_single_stalls_or_too_few_answers_cause_no_isolation():
     assert not make_isolation(0.5, late=0).select_engines(list_engines(4), 1.0)
     few = LargePromptIsolation("model")
     for _ in range(int(MIN_ANSWERS) - 1):
-        few.note_answer(1.0, PAUSE_S, 1.0)
+        few.note_answer(1.0, GAP_OBJECTIVE_S, 1.0)
     assert not few.select_engines(list_engines(4), 1.0)
 
 
-def test_hosts_choose_the_same_engines_though_each_sees_its_own_requests():
+def test_hosts_select_the_same_engines_from_different_observations():
     engines = list_engines(6)
     here = make_isolation(0.5).select_engines(engines, 1.0)
     there = make_isolation(0.4).select_engines(list(reversed(engines)), 1.0)
@@ -146,48 +148,48 @@
     assert len(here - there) == 1
 
 
-def test_an_engine_that_fails_is_left_out():
-    """It would get all large prompts of the region, and lose them."""
+def test_a_failing_engine_is_not_selected():
+    """It would get all large prompts of the region, and fail them."""
     engines = list_engines(4)
     isolation = make_isolation(0.5)
     first = isolation.select_engines(engines, 1.0)
     failing = next(engine for engine in engines if engine.entry.id in first)
     failing.load.note_failure(1.1)
-    assert isolation.select_engines(engines, 1.1) == first, "a choice holds for a moment"
+    assert isolation.select_engines(engines, 1.1) == first, "a selection is reused for a while"
     assert failing.entry.id not in isolation.select_engines(engines, 1.0 + SELECTION_TTL_S)
 
 
-def want(input_tokens: int, output_tokens: int) -> RoutedCall:
-    return Region(1, SPEED)._want(Arrival(0.0, input_tokens, output_tokens))
+def route_call(input_tokens: int, output_tokens: int) -> RoutedCall:
+    return Region(1, SPEED)._route(Arrival(0.0, input_tokens, output_tokens))
 
 
 def predict_all(routed: RoutedCall, engines):
     return [predict(routed, engine, sender=HERE, now=1.0) for engine in engines]
 
 
-def test_a_large_prompt_goes_elsewhere_where_none_of_the_chosen_engines_may_get_it():
-    """The engines that large prompts are kept to were tried, or are cold."""
+def test_a_large_prompt_goes_elsewhere_if_no_selected_engine_is_a_candidate():
+    """The selected engines were tried already, or are cold."""
     engines = list_engines(3)
-    candidates = predict_all(want(30_000, 50), engines)
-    assert all(is_large_prompt(want(30_000, 50), candidate) for candidate in candidates)
-    kept = apply_isolation(want(30_000, 50), candidates, frozenset({"e1"}))
+    candidates = predict_all(route_call(30_000, 50), engines)
+    assert all(is_large_prompt(route_call(30_000, 50), candidate) for candidate in candidates)
+    kept = apply_isolation(route_call(30_000, 50), candidates, frozenset({"e1"}))
     assert [candidate.endpoint.entry.id for candidate in kept] == ["e1"]
-    assert apply_isolation(want(30_000, 50), candidates, frozenset({"gone"})) == candidates
+    assert apply_isolation(route_call(30_000, 50), candidates, frozenset({"gone"})) == candidates
 
 
-def test_long_answers_keep_away_from_these_engines_and_short_ones_do_not():
-    """An answer of some events has ended before the next large prompt comes."""
+def test_long_answers_avoid_selected_engines_and_short_ones_do_not():
+    """A short answer ends before the next large prompt arrives."""
     engines = list_engines(2)
-    for output_tokens, least, most in (
+    for output_tokens, low, high in (
         (1_000, 0.99 * AVOIDANCE_COST_S, 1.01 * AVOIDANCE_COST_S),
         (5, 0.0, 0.05),
     ):
-        routed = want(700, output_tokens)
+        routed = route_call(700, output_tokens)
         candidates = predict_all(routed, engines)
-        weighed = apply_isolation(routed, candidates, frozenset({"e0"}))
-        added = weighed[0].cost_s - candidates[0].cost_s
-        assert least <= added <= most
+        weighted = apply_isolation(routed, candidates, frozenset({"e0"}))
+        added = weighted[0].cost_s - candidates[0].cost_s
+        assert low <= added <= high
         assert added == pytest.approx(
             AVOIDANCE_COST_S * min(1.0, candidates[0].decode_s / LARGE_PROMPT_INTERVAL_S)
         )
-        assert weighed[1] == candidates[1]
+        assert weighted[1] == candidates[1]
--- a/cloverway/tests/test_core_kv_fetch.py
+++ b/cloverway/tests/test_core_kv_fetch.py
@@ -1,8 +1,8 @@
-"""Prompt parts that engines fetch from each other, by virtual loads; no network.
+"""KV cache that engines fetch from each other, under simulated load; no network.
 
-The load is that of callers who share long parts: each of some ninety documents of 4,900 tokens is
-asked for every few seconds, at five engines of a region. The figures of the engine are the users':
-18 KB of memory a token, links of 180 Gbit/s.
+The load is that of callers with long shared prefixes: each of about ninety documents of 4,900
+tokens is requested every few seconds, at five engines of a region. The engine parameters are those
+of the users: 18 KB of KV cache per token, links of 180 Gbit/s.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 
 def make_call(name="c", own=3_000, shared=(DOCUMENT,)):
     segments = (*shared, PromptSegment(hash(name) & 0xFFFF, own))
-    prompt = Prompt(sum(part.tokens for part in segments), 50, segments)
+    prompt = Prompt(sum(segment.tokens for segment in segments), 50, segments)
     return Call(name, "POST", "/a/", "h", (), b"", 0.0, 5.0, prompt)
 
 
-def want(call):
+def route_call(call):
     return RoutedCall(call, ROUTE, MODEL, Counter())
 
 
-def read(endpoint, call, at, took_s=0.3):
-    """Let an engine read the prompt of a request to its end."""
-    candidate = predict(want(call), endpoint, sender=HERE, now=at)
+def prefill(endpoint, call, at, took_s=0.3):
+    """Let an engine finish the prefill of a request."""
+    candidate = predict(route_call(call), endpoint, sender=HERE, now=at)
     endpoint.load.begin(1, candidate.work, call.prompt, at)
     endpoint.load.note_first_event(1, at + took_s)
     endpoint.load.end(1)
@@ -57,19 +57,20 @@
 def predict_all(endpoints, call, now):
     source = find_source(call.prompt, endpoints, now)
     return [
-        predict(want(call), endpoint, sender=HERE, now=now, source=source) for endpoint in endpoints
+        predict(route_call(call), endpoint, sender=HERE, now=now, source=source)
+        for endpoint in endpoints
     ]
 
 
-def test_an_engine_fetches_what_another_one_has_read():
-    """The engine that has a document is busy, and a second request for it comes.
+def test_an_engine_fetches_a_prefix_that_another_one_has_cached():
+    """The engine that has a document cached is busy when a second request for it arrives.
 
-    Read again, it takes 200 ms of an engine that others wait for; fetched it takes 10.
+    Prefill at another engine takes 200 ms of its time; a fetch takes 10.
     """
     busy, idle = make_endpoint("busy"), make_endpoint("idle")
-    read(busy, make_call("first"), 0.0)
+    prefill(busy, make_call("first"), 0.0)
     busy.load.begin(
-        2, predict(want(make_call("x", 9_000)), busy, sender=HERE, now=1.0).work, None, 1.0
+        2, predict(route_call(make_call("x", 9_000)), busy, sender=HERE, now=1.0).work, None, 1.0
     )
     chosen = choose_endpoint(predict_all([busy, idle], make_call("second"), 1.0))
     assert chosen.endpoint is idle
@@ -79,23 +80,25 @@
     assert chosen.wait_s < 0.15
 
 
-def test_an_idle_engine_that_has_the_part_is_preferred_to_a_fetch():
+def test_an_idle_engine_with_the_prefix_is_preferred_to_a_fetch():
     holder, other = make_endpoint("holder"), make_endpoint("other")
-    read(holder, make_call("first"), 0.0)
+    prefill(holder, make_call("first"), 0.0)
     chosen = choose_endpoint(predict_all([other, holder], make_call("second"), 2.0))
     assert chosen.endpoint is holder
     assert chosen.fetch_source is None
 
 
-def test_a_part_that_is_still_being_read_is_not_fetched():
-    """Two requests for one document come at the same moment.
+def test_a_prefix_is_not_fetched_before_its_prefill_is_finished():
+    """Two requests for one document arrive at the same moment.
 
-    The first engine has not read it yet: a fetch would find nothing there, and the second engine
-    would be taken to be free 200 ms before it is.
+    The first engine has not finished its prefill: a fetch would find nothing there, and the second
+    engine would be predicted to be free 200 ms too early.
     """
     first, second = make_endpoint("a"), make_endpoint("b")
     call = make_call("first")
-    first.load.begin(1, predict(want(call), first, sender=HERE, now=0.0).work, call.prompt, 0.0)
+    first.load.begin(
+        1, predict(route_call(call), first, sender=HERE, now=0.0).work, call.prompt, 0.0
+    )
     assert find_source(make_call("second").prompt, [first, second], 0.01) is None
     first.load.note_first_event(1, 0.25)
     assert find_source(make_call("second").prompt, [first, second], 0.26).endpoint is first
@@ -103,12 +106,12 @@
 
 @pytest.mark.parametrize("state", ["draining", "cold", "failed"])
 def test_nothing_is_fetched_from_an_engine_that_may_not_answer(state):
-    """The engine that has the part is about to go, has just come back, or failed a moment ago.
+    """The engine with the prefix is leaving, has just restarted, or has just failed.
 
-    The request would wait there for memory that doesn't come.
+    The request would wait for a fetch that is not answered.
     """
     holder = make_endpoint("holder")
-    read(holder, make_call("first"), 0.0)
+    prefill(holder, make_call("first"), 0.0)
     if state == "draining":
         holder.entry = holder.entry._replace(draining=True)
     elif state == "cold":
@@ -118,18 +121,18 @@
     assert find_source(make_call("second").prompt, [holder], 1.0) is None
 
 
-def test_few_tokens_are_read_rather_than_fetched():
+def test_few_tokens_are_prefilled_rather_than_fetched():
     holder, other = make_endpoint("holder"), make_endpoint("other")
     small = (PromptSegment(7, MIN_TOKENS - 1),)
-    read(holder, make_call("first", shared=small), 0.0)
+    prefill(holder, make_call("first", shared=small), 0.0)
     candidates = predict_all([holder, other], make_call("second", shared=small), 1.0)
     assert [candidate.work.fetched_tokens for candidate in candidates] == [0, 0]
 
 
-def test_what_was_fetched_is_not_counted_as_read():
-    """Work that an engine doesn't have would hold back requests that it could take."""
+def test_fetched_tokens_are_not_counted_as_prefill_work():
+    """Work that an engine doesn't have would keep requests in the queue that it could serve."""
     holder, other = make_endpoint("holder"), make_endpoint("other")
-    read(holder, make_call("first"), 0.0)
+    prefill(holder, make_call("first"), 0.0)
     call = make_call("second")
     candidate = predict_all([holder, other], call, 1.0)[1]
     other.load.begin(2, candidate.work, call.prompt, 1.0)
@@ -137,6 +140,6 @@
     assert other.load.take_update(8).sent_prefill_tokens == 3_000
 
 
-def test_the_time_of_a_fetch_is_that_of_its_bytes_on_the_link():
+def test_fetch_time_is_the_setup_plus_the_transfer_time():
     assert estimate_fetch_s(0, SHAPE) == 0.0
     assert estimate_fetch_s(6_000, SHAPE) == pytest.approx(0.005 + 6_000 * 18_432 * 8 / 180e9)
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -1,4 +1,4 @@
-"""What regions offer each other, as time passes, and who goes there; without a network."""
+"""Offers of capacity between regions, and the requests forwarded by them; no network."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from cloverway.core.token_gaps import INITIAL_BURST_RATIO, TokenGap
 from cloverway.tests.test_core_selection import (
     BURST_TOKENS,
+    GAP_OBJECTIVE_S,
     HERE,
     MODEL,
-    PAUSE_S,
     make_call,
     make_endpoint,
+    route_call,
     send,
-    want,
 )
 
 HEARTBEAT_S = 1.0 / 3
-"""How often one of a region's three hosts is heard."""
+"""Interval between heartbeats from any of a region's three hosts."""
 TOKENS = 2_000
-READ_S = TOKENS * INITIAL_PREFILL_S_PER_TOKEN
+PREFILL_S = TOKENS * INITIAL_PREFILL_S_PER_TOKEN
 SECONDS = 20.0
 
 
@@ -45,11 +45,11 @@
     return Offer("model", room.wait_s, room.free, room.tokens, room.engine)
 
 
-def pass_on(hosts: int, local_s: float = 0.0):
-    """Let hosts of a region without engines pass prompts on whenever that seems to have a place.
+def forward_prompts(hosts: int, local_s: float = 0.0):
+    """Let hosts of a region without engines forward prompts to a region that offers capacity.
 
-    `local_s` is the time between two prompts of the other region itself. Gives the part of the
-    time that its engine reads what was passed on, and the longest queue there.
+    `local_s` is the interval of that region's own prompts. Return the fraction of time that its
+    engine spends on prefill of forwarded prompts, and its longest queue in seconds.
     """
     endpoint = make_endpoint("a")
     offers = [(0.0, offer())] * hosts
@@ -63,53 +63,53 @@
         if local_s and step % int(local_s / step_s) == 0:
             number += 1
             send(endpoint, make_call(f"local-{number}", TOKENS), number, now)
-        for host, (told_at, told) in enumerate(offers):
-            updated = extrapolate_offer(told, now - told_at)
+        for host, (sent_at, offer_sent) in enumerate(offers):
+            updated = extrapolate_offer(offer_sent, now - sent_at)
             if updated.free > 0 and updated.room >= TOKENS:
-                offers[host] = (told_at, told._replace(free=told.free - 1))
+                offers[host] = (sent_at, offer_sent._replace(free=offer_sent.free - 1))
                 number += 1
                 sent += 1
                 send(endpoint, make_call(f"far-{number}", TOKENS), number, now)
         longest_s = max(longest_s, endpoint.load.backlog(now) * INITIAL_PREFILL_S_PER_TOKEN)
-    return sent * READ_S / SECONDS, longest_s
+    return sent * PREFILL_S / SECONDS, longest_s
 
 
 @pytest.mark.parametrize("hosts", [1, 3])
-def test_a_region_whose_engine_is_full_now_and_then_is_given_what_it_can_read(hosts):
-    """A region is evacuated; its requests are refused beside engines that read half of the time.
+def test_offers_are_extrapolated_between_heartbeats(hosts):
+    """Requests of an evacuated region were refused while engines elsewhere were idle half the time.
 
-    The engine is full at the moment of a heartbeat and has read all of it before the next one.
-    Taken as it was told, the region had no place until then: 0.22 of the engine's time was used.
-    Half of what is wanted of an engine at most is left to what its own region sends.
+    The engine is full at the moment of a heartbeat and works off its queue before the next one.
+    Without extrapolation, the region had no capacity until then: 0.22 of the engine's time was
+    used. At most half of the prefill duty is left for the region's own requests.
     """
-    part, _ = pass_on(hosts)
-    assert part >= 0.6 * PREFILL_DUTY
+    used_fraction, _ = forward_prompts(hosts)
+    assert used_fraction >= 0.6 * PREFILL_DUTY
 
 
-def test_what_is_passed_on_does_not_pile_up_before_an_engine_that_has_work_of_its_own():
-    """Its own region fills half of the engine; three hosts elsewhere believe what it said."""
-    _, longest_s = pass_on(3, local_s=2 * READ_S / PREFILL_DUTY)
+def test_forwarded_requests_do_not_overload_an_engine_with_local_work():
+    """Its own region uses half of the engine; three hosts elsewhere rely on its last offer."""
+    _, longest_s = forward_prompts(3, local_s=2 * PREFILL_S / PREFILL_DUTY)
     assert longest_s < 1.5
 
 
-def test_a_region_behind_a_line_has_no_place_until_that_is_read():
+def test_a_region_with_a_queue_has_no_capacity_until_it_is_prefilled():
     busy = offer(queue_s=2.0)._replace(free=0, room=0)
     assert extrapolate_offer(busy, 1.0) == busy
 
 
-def test_an_offer_that_nobody_repeats_does_not_grow_for_ever():
+def test_an_old_offer_does_not_grow_without_bound():
     full = offer(queue_s=0.3)._replace(free=0, room=0)
     assert extrapolate_offer(full, 1e6).free <= 10
     assert extrapolate_offer(full, 1e6).room < UNLIMITED_TOKENS
 
 
-def test_places_of_a_plain_service_do_not_come_back_by_waiting():
-    """They are lent one by one, and given back when the request has ended."""
+def test_offers_of_plain_services_are_not_extrapolated():
+    """Their slots are lent one by one and returned when the request has ended."""
     plain = Offer("desk", 0.1, 0, 0)
     assert extrapolate_offer(plain, 5.0) == plain
 
 
-def test_a_region_offers_what_its_engines_can_take_at_their_pace():
+def test_a_region_offers_the_capacity_of_its_engines():
     endpoint = make_endpoint("a")
     idle = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
     endpoint.load.note_prefill(BURST_TOKENS, 0.0)
@@ -120,11 +120,11 @@
     assert busy.wait_s > 0.9 * INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
 
 
-def test_a_region_with_requests_that_wait_offers_nothing():
-    """More comes than the engines bear, and each of them has room for a moment now and then.
+def test_a_region_with_queued_requests_offers_no_capacity():
+    """The engines are overloaded, and each of them has capacity for a moment now and then.
 
-    Two of five requests that were passed on for such a moment waited in the line there and were
-    declined, after half a second and twelve kilobytes between regions.
+    Two of five requests forwarded for such a moment were queued there and then declined, after half
+    a second and twelve kilobytes between regions.
     """
     endpoint = make_endpoint("a")
     room = compute_region_capacity(MODEL, [endpoint], 0.3, 0.0)
@@ -133,23 +133,23 @@
 
 
 def test_a_request_leaves_its_region_only_for_a_clear_gain():
-    here = predict(want(make_call()), make_endpoint("a"), sender=HERE, now=0.0)
+    here = predict(route_call(make_call()), make_endpoint("a"), sender=HERE, now=0.0)
     near, far = [RegionCandidate("south", 0.0, here.cost_s - less) for less in (0.1, 0.5)]
     assert choose_region(here.cost_s, [near], 0.3) is None
     assert choose_region(here.cost_s, [near, far], 0.3) is far
     assert choose_region(estimate_wait([], 0.0), [near], 0.3) is near
 
 
-def test_a_request_waits_here_where_that_is_sooner_than_the_way_to_another_region():
-    """All engines are full for 0.1 s more, and another region has room.
+def test_a_request_is_queued_here_if_that_is_faster_than_forwarding():
+    """All engines are full for 0.1 s more, and another region has capacity.
 
-    Passed on, it arrives there after 0.2 s, when others have taken the room, and is sent to a third
-    one. Behind a long line the way is worth it.
+    A forwarded request arrives there after 0.2 s, when others may have taken the capacity, and is
+    forwarded to a third region. Behind a long queue, forwarding is faster.
     """
     endpoints = [make_endpoint("a"), make_endpoint("b")]
     for endpoint in endpoints:
         endpoint.load.note_prefill(BURST_TOKENS - 1_000, 0.0)
-    routed = want(make_call(input_tokens=5_000, output_tokens=20))
+    routed = route_call(make_call(input_tokens=5_000, output_tokens=20))
     candidates = [predict(routed, endpoint, sender=HERE, now=0.0) for endpoint in endpoints]
     assert choose_endpoint(candidates) is None
     away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
@@ -162,27 +162,28 @@
     return Offer("model", queue_s, 10, UNLIMITED_TOKENS, engine)
 
 
-def test_long_answers_leave_a_region_whose_engines_make_tokens_slowly():
-    """A region of one engine at its peak, and one whose peak is hours away.
+def test_long_answers_leave_a_region_with_slow_decoding():
+    """A region with one engine is at its daily peak; the peak of another region is hours away.
 
-    The engine still takes prompts, so nothing would leave by the time to the first token alone; but
-    it makes a token in 30 ms, and answers of 400 tokens are cut by the time of their route.
+    The engine still accepts prompts, so time to first token alone would keep all requests there.
+    But it takes 30 ms per token, and answers of 400 tokens are truncated by the timeout of their
+    route.
     """
     busy = make_endpoint("a")
     for step in range(5):
-        busy.load.note_gap(TokenGap(0.27, PAUSE_S, tokens=9), 1.0 + step * 0.27)
+        busy.load.note_gap(TokenGap(0.27, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.27)
     far = RemoteRegion("south", 0.2)
     now = 2.3
     for output_tokens, leaves in ((600, True), (20, False)):
-        routed = want(make_call(input_tokens=700, output_tokens=output_tokens))
+        routed = route_call(make_call(input_tokens=700, output_tokens=output_tokens))
         here = predict(routed, busy, sender=HERE, now=now)
         away = predict_region(routed, offer(), far, now)
         assert (choose_region(here.cost_s, [away], 0.3) is not None) is leaves
 
 
-def test_a_request_stays_while_its_region_is_as_calm_as_others():
+def test_a_request_stays_if_its_region_is_as_idle_as_others():
     endpoint = make_endpoint("a")
-    routed = want(make_call(input_tokens=9_000, output_tokens=600))
+    routed = route_call(make_call(input_tokens=9_000, output_tokens=600))
     here = predict(routed, endpoint, sender=HERE, now=0.0)
     away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
     assert choose_region(here.cost_s, [away], 0.3) is None
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -1,7 +1,7 @@
-"""Where requests go, by virtual loads; no network.
+"""Selection of endpoints under simulated load; no network.
 
-The figures of the engine are those of the users' engines: 38 prompt tokens a millisecond, chunks of
-4,096 tokens, one token of each running answer a step.
+The engine parameters are those of the users' engines: prefill of 38 tokens per millisecond, chunks
+of 4,096 tokens, one token of each running answer per step.
 """
 
 from __future__ import annotations
@@ -43,10 +43,12 @@
 HERE = Sender("d1")
 
 
-PAUSE_S = 0.6
+GAP_OBJECTIVE_S = 0.6
 
 
-ROUTE = Route("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0, PAUSE_S)
+ROUTE = Route(
+    "r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0, GAP_OBJECTIVE_S
+)
 
 
 BURST_TOKENS = int(INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S / INITIAL_PREFILL_S_PER_TOKEN)
@@ -55,7 +57,7 @@
 MODEL = Service("model", 360, engine=EngineShape(64, 240_000))
 
 
-DESK = Service("desk", 100)
+PLAIN = Service("desk", 100)
 
 
 def make_endpoint(name, slots=64, domain="d1"):
@@ -63,7 +65,7 @@
 
 
 def make_call(name="c", input_tokens=9_000, output_tokens=50, segments=()):
-    segments = tuple(PromptSegment(*part) for part in segments)
+    segments = tuple(PromptSegment(*segment) for segment in segments)
     return Call(
         name, "POST", "/a/", "h", (), b"", 0.0, 5.0, Prompt(input_tokens, output_tokens, segments)
     )
@@ -73,22 +75,23 @@
     endpoint.load.begin(number, estimate_work(call, endpoint), call.prompt, now)
 
 
-def want(call, service=MODEL):
+def route_call(call, service=MODEL):
     return RoutedCall(call, ROUTE, service, Counter())
 
 
 def choose(endpoints, call, now, service=MODEL, sender=HERE):
     candidates = [
-        predict(want(call, service), endpoint, sender=sender, now=now) for endpoint in endpoints
+        predict(route_call(call, service), endpoint, sender=sender, now=now)
+        for endpoint in endpoints
     ]
     chosen = choose_endpoint(candidates)
     return chosen.endpoint.entry.id if chosen is not None else None
 
 
-def test_a_shared_part_is_read_at_one_endpoint_while_that_has_room():
-    """Requests of one session come in quick succession.
+def test_a_shared_prefix_is_prefilled_at_one_endpoint_while_it_has_capacity():
+    """Requests of one session arrive in quick succession.
 
-    Read at another endpoint, the shared part costs 160 ms of an engine that others wait for.
+    At another endpoint, the prefill of the shared prefix would take 160 ms of an engine again.
     """
     endpoints = [make_endpoint(name) for name in ("a", "b", "c")]
     chosen = set()
@@ -103,11 +106,12 @@
     assert len(chosen) == 1
 
 
-def test_prompts_beyond_the_pace_wait_instead_of_filling_an_engine():
-    """A burst of large prompts arrives at once, and all engines have running streams.
+def test_prompts_beyond_the_burst_limit_are_queued_at_the_host():
+    """A burst of large prompts arrives at once while all engines have running streams.
 
-    Sent at once, they would be read in every step for seconds, and each running stream would pause
-    for over 600 ms. What an engine holds stays within BURST_TOKENS.
+    If all were sent at once, the engines would have prefill work in every step for seconds, and
+    each running stream would have gaps over 600 ms. The backlog of an engine stays within
+    BURST_TOKENS.
     """
     endpoints = [make_endpoint("a"), make_endpoint("b")]
     accepted = 0
@@ -121,7 +125,7 @@
     assert all(e.load.backlog(0.0) <= BURST_TOKENS for e in endpoints)
 
 
-def test_what_an_engine_is_given_stays_within_its_duty_over_time():
+def test_sent_prompt_tokens_stay_within_the_prefill_duty():
     endpoint = make_endpoint("a")
     sent = 0
     for step in range(1_000):
@@ -135,17 +139,17 @@
     assert 0.85 * allowed < sent < allowed + BURST_TOKENS
 
 
-def test_a_prompt_larger_than_the_burst_is_served_by_an_idle_engine():
-    """A prompt of 40,000 tokens is over every bound; without an exception it would never be run."""
+def test_a_prompt_larger_than_the_burst_limit_is_served_by_an_idle_engine():
+    """A prompt of 40,000 tokens exceeds every limit; without an exception it would never run."""
     endpoint = make_endpoint("a")
     assert choose([endpoint], make_call(input_tokens=40_000), 0.0) == "a"
 
 
-def test_a_very_large_prompt_does_not_wait_until_an_engine_has_nothing_to_read():
-    """Prompts of 3,000 tokens come all the time, and among them one of 24,000.
+def test_a_very_large_prompt_does_not_wait_for_an_idle_engine():
+    """Prompts of 3,000 tokens arrive constantly, and among them one of 24,000.
 
-    Whenever an engine has read enough for the large one, a small one has just been sent there. One
-    in ten of those that share a document is that large; they came a second late, or not at all.
+    Whenever an engine has worked off enough for the large one, a small one is sent there first. One
+    in ten of the prompts that share a document is that large; they were a second late or refused.
     """
     endpoint = make_endpoint("a")
     large = make_call("large", input_tokens=24_000)
@@ -155,17 +159,17 @@
     assert choose([endpoint], make_call("next", input_tokens=3_000), 0.3) is None
 
 
-def test_small_prompts_pass_where_large_ones_wait():
+def test_small_prompts_are_sent_where_large_ones_are_queued():
     endpoint = make_endpoint("a")
     send(endpoint, make_call("x", input_tokens=11_500), 1, 0.0)
     assert choose([endpoint], make_call(input_tokens=5_000), 0.0) is None
     assert choose([endpoint], make_call(input_tokens=700, output_tokens=300), 0.0) == "a"
 
 
-def test_long_answers_keep_away_from_engines_that_read_much():
-    """One engine reads large prompts all the time; another one has run as many small ones.
+def test_long_answers_avoid_engines_with_much_prefill_work():
+    """One engine always has large prompts to prefill; another one gets as many small ones.
 
-    A long answer at the first gets a token in 110 ms instead of 5.
+    A long answer at the first would get a token every 110 ms instead of every 5.
     """
     busy, calm = make_endpoint("busy"), make_endpoint("calm")
     for step in range(20):
@@ -175,30 +179,30 @@
     assert choose([busy, calm], call, 6.5) == "calm"
 
 
-def test_answers_that_run_at_an_engine_tell_how_fast_it_makes_tokens():
-    """Two engines got the same prompts by what this host knows; one makes a token in 40 ms.
+def test_decode_speed_is_measured_from_running_answers():
+    """As far as this host knows, two engines have the same load; one takes 40 ms per token.
 
-    Another host filled it, or it is slow. A long answer there would end after its time.
+    It has load from another host, or is slow. A long answer there would exceed its timeout.
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(TokenGap(0.36, PAUSE_S, tokens=9), 1.0 + step * 0.36)
-        fast.load.note_gap(TokenGap(0.09, PAUSE_S, tokens=9), 1.0 + step * 0.36)
+        slow.load.note_gap(TokenGap(0.36, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
+        fast.load.note_gap(TokenGap(0.09, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
     call = make_call(input_tokens=700, output_tokens=600)
     assert choose([slow, fast], call, 2.5) == "fast"
     assert choose([slow], call, 2.5) == "slow"
 
 
-def test_an_answer_with_little_time_left_goes_where_it_can_be_whole():
-    """A stream broke off and goes on with two seconds left; it needs 200 tokens more.
+def test_an_answer_with_little_time_left_goes_where_it_can_complete():
+    """A stream was interrupted and is resumed with two seconds left; it needs 200 more tokens.
 
-    The engine with the earliest first token makes one in 12 ms: 2.4 s. The other one has a prompt
-    to read first, and makes a token in 6 ms.
+    The engine with the shortest time to first token takes 12 ms per token: 2.4 s. The other one has
+    a prompt to prefill first and takes 6 ms per token.
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(TokenGap(0.108, PAUSE_S, tokens=9), 1.0 + step * 0.1)
-        fast.load.note_gap(TokenGap(0.054, PAUSE_S, tokens=9), 1.0 + step * 0.1)
+        slow.load.note_gap(TokenGap(0.108, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
+        fast.load.note_gap(TokenGap(0.054, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
     fast.load.begin(1, Work(12_000, 12_000), None, 1.5)
     call = make_call(input_tokens=700, output_tokens=333)._replace(deadline=3.5)
     assert choose([slow, fast], call, 1.5) == "fast"
@@ -207,10 +211,10 @@
 
 
 def test_a_prompt_that_stalls_streams_goes_where_few_run():
-    """A prompt of 20,000 tokens arrives; an engine with four streams has read a part of it.
+    """A prompt of 20,000 tokens arrives; an engine with four streams has a prefix of it cached.
 
-    Read there it takes a little less time, and each of the four pauses for over 450 ms. The other
-    engine has one stream.
+    Its prefill there takes a little less time, but stalls each of the four streams for over 450 ms.
+    The other engine has one stream.
     """
     segments = ((1, 6_000), (2, 14_000))
     streams, calm = make_endpoint("streams"), make_endpoint("calm")
@@ -220,22 +224,22 @@
     assert choose([streams, calm], make_call(input_tokens=20_000, segments=segments), 0.0) == "calm"
 
 
-def test_an_engine_that_fails_is_used_last_and_never_shut_out():
-    sick, sound = make_endpoint("sick"), make_endpoint("sound")
+def test_a_failing_engine_is_used_last_but_never_excluded():
+    failing, healthy = make_endpoint("sick"), make_endpoint("sound")
     for _ in range(3):
-        sick.load.note_failure(0.0)
-    assert choose([sick, sound], make_call(), 0.1) == "sound"
-    assert choose([sick], make_call(), 0.1) == "sick"
+        failing.load.note_failure(0.0)
+    assert choose([failing, healthy], make_call(), 0.1) == "sound"
+    assert choose([failing], make_call(), 0.1) == "sick"
 
 
-def test_memory_bounds_what_runs_at_an_engine():
+def test_kv_cache_capacity_limits_running_requests():
     endpoint = make_endpoint("a")
     load = HostLoad(running=20, prefill_tokens=0, reserved_kv_tokens=230_000, at=0.0)
     endpoint.load.note_sibling("other", load, ())
     assert choose([endpoint], make_call(input_tokens=9_000), 0.0) is None
 
 
-def test_loads_of_siblings_that_fell_silent_are_forgotten():
+def test_load_reports_of_silent_siblings_expire():
     endpoint = make_endpoint("a")
     endpoint.load.note_sibling("other", HostLoad(64, 0, 0, 0.0), ())
     assert choose([endpoint], make_call(), 1.0) is None
@@ -243,9 +247,9 @@
 
 
 def test_hosts_that_see_the_same_loads_spread_their_requests():
-    """Eight hosts see two idle endpoints and choose at the same moment, without a word."""
+    """Eight hosts see two idle endpoints and choose at the same moment, without communication."""
     chosen = [
-        choose([make_endpoint("a", 6), make_endpoint("b", 6)], _plain(f"c{n}"), 0.0, DESK)
+        choose([make_endpoint("a", 6), make_endpoint("b", 6)], _plain(f"c{n}"), 0.0, PLAIN)
         for n in range(40)
     ]
     assert 10 <= chosen.count("a") <= 30
@@ -256,8 +260,8 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 3, 10])
-def test_extra_sends_of_all_hosts_stay_within_the_budget_of_any_window(hosts):
-    """All hosts are cut off from each other and each retries as often as it may."""
+def test_retries_of_all_hosts_stay_within_the_budget_in_any_window(hosts):
+    """All hosts are partitioned from each other, and each retries as often as it is allowed to."""
     terms = RetryBudgetTerms(ratio=0.2, slack=54.0, window_s=10.0)
     budgets = [RetryBudget(terms) for _ in range(hosts)]
     sends, requests = [], []
@@ -271,22 +275,23 @@
                 sends.append(now)
     for start in range(20):
         in_window = sum(start <= at < start + 10 for at in sends)
-        asked = sum(start <= at < start + 10 for at in requests)
-        assert in_window <= 0.2 * asked + 54
+        requested = sum(start <= at < start + 10 for at in requests)
+        assert in_window <= 0.2 * requested + 54
 
 
-def test_requests_stay_in_their_failure_domain_while_its_endpoints_are_as_good():
-    """Two domains with an idle endpoint each, and requests with bodies of 9 KB.
+def test_requests_stay_in_their_failure_domain_if_endpoints_are_equal():
+    """Two domains have an idle endpoint each; requests have bodies of 9 KB.
 
-    Chosen by the spread alone, half of them cross, and their bytes took a twentieth of a calm day.
+    With the random spread alone, half of them would cross domains; the traffic cost a twentieth of
+    the score of a simulated day of low load.
     """
     endpoints = [make_endpoint("far", domain="d2"), make_endpoint("near")]
     calls = [make_call(f"c{n}")._replace(body=b"x" * 9_000) for n in range(20)]
     assert {choose(endpoints, call, 0.0) for call in calls} == {"near"}
 
 
-def test_a_request_crosses_to_another_domain_for_what_was_read_there():
-    """To read 6,000 tokens again takes five times as long as the bytes that cross count."""
+def test_a_request_crosses_to_another_domain_for_a_cached_prefix():
+    """Prefill of 6,000 tokens costs five times as much as the bytes that cross domains."""
     far, near = make_endpoint("far", domain="d2"), make_endpoint("near")
     send(far, make_call("first", segments=((1, 6_000), (2, 3_000))), 1, 0.0)
     far.load.end(1)
@@ -294,11 +299,12 @@
     assert choose([far, near], call, 1.0) == "far"
 
 
-def test_prompts_that_an_engine_had_already_are_not_counted_as_work():
-    """All hosts start again and know nothing of what the engines have read before.
+def test_cached_prompts_are_not_counted_as_prefill_work():
+    """All hosts restart and don't know which prompts the engines have cached.
 
-    Each prompt counts as 9,000 tokens to read, so after two of them the engine takes no more, and
-    callers wait at the hosts. Its first events come within 30 ms: it had the prompts.
+    Each prompt counts as 9,000 tokens of prefill, so after two of them the engine would seem full,
+    and requests would be queued at the hosts. First events within 30 ms show that it had them
+    cached.
     """
     engine = make_endpoint("a")
     for number in range(8):
@@ -310,38 +316,40 @@
     assert engine.load.take_update(8).sent_prefill_tokens < 8 * 9_000 / 2
 
 
-def test_prompts_that_an_engine_did_read_stay_counted():
+def test_prefilled_prompts_stay_counted():
     engine = make_endpoint("a")
     send(engine, make_call(), 1, 0.0)
     engine.load.note_first_event(1, 0.25)
     assert engine.load.take_update(8).sent_prefill_tokens == 9_000
 
 
-def test_an_engine_whose_answers_pause_gets_no_more_long_prompts_for_a_moment():
-    """Several hosts chose one engine before they heard of each other; it reads in every step.
+def test_a_saturated_engine_gets_no_long_prompts_for_a_moment():
+    """Several hosts choose one engine before they get each other's load; it is saturated.
 
-    What each of them believes of its backlog is too little, and they would send on. Its running
-    answers pause for over 450 ms: that is seen at once, whatever is believed.
+    Each of them underestimates its backlog and would go on sending. Gaps over 450 ms in its running
+    answers show the saturation at once.
     """
-    strained, other = make_endpoint("a"), make_endpoint("b")
-    strained.load.note_gap(TokenGap(SATURATION_FRACTION * PAUSE_S + 0.1, PAUSE_S), 1.0)
+    saturated, other = make_endpoint("a"), make_endpoint("b")
+    saturated.load.note_gap(
+        TokenGap(SATURATION_FRACTION * GAP_OBJECTIVE_S + 0.1, GAP_OBJECTIVE_S), 1.0
+    )
     other.load.begin(1, Work(BURST_TOKENS // 2, 9_000), None, 1.0)
-    assert choose([strained, other], make_call(input_tokens=3_000), 1.1) == "b"
-    assert choose([strained], make_call(input_tokens=9_000), 1.1) is None
-    assert choose([strained], make_call(input_tokens=900), 1.1) == "a"
-    assert choose([strained], make_call(input_tokens=9_000), 1.0 + SATURATION_S + 0.1) == "a"
+    assert choose([saturated, other], make_call(input_tokens=3_000), 1.1) == "b"
+    assert choose([saturated], make_call(input_tokens=9_000), 1.1) is None
+    assert choose([saturated], make_call(input_tokens=900), 1.1) == "a"
+    assert choose([saturated], make_call(input_tokens=9_000), 1.0 + SATURATION_S + 0.1) == "a"
 
 
-def test_a_host_that_has_just_started_sends_each_engine_one_prompt_at_a_time():
-    """All hosts start again at once, and their callers come back with everything they had.
+def test_a_recently_started_host_sends_each_engine_one_prompt_at_a_time():
+    """All hosts restart at once, and their callers send all their requests again.
 
-    None knows what the others send. Each filled every engine up to the burst: 1.4 million tokens in
-    a second to engines that read 0.5 million, and answers paused for ten seconds.
+    No host knows what the others send. Each filled every engine up to the burst limit: 1.4 million
+    tokens in a second to engines that prefill 0.5 million, and answers stalled for ten seconds.
     """
     engine = make_endpoint("a")
-    young = Sender("d1", is_recently_started=True)
-    assert choose([engine], make_call("first"), 0.0, sender=young) == "a"
+    recent = Sender("d1", is_recently_started=True)
+    assert choose([engine], make_call("first"), 0.0, sender=recent) == "a"
     send(engine, make_call("first", input_tokens=2_500), 1, 0.0)
-    assert choose([engine], make_call("second", input_tokens=4_000), 0.01, sender=young) is None
+    assert choose([engine], make_call("second", input_tokens=4_000), 0.01, sender=recent) is None
     assert choose([engine], make_call("second", input_tokens=4_000), 0.01) == "a"
-    assert choose([engine], make_call("second", input_tokens=4_000), 1.0, sender=young) == "a"
+    assert choose([engine], make_call("second", input_tokens=4_000), 1.0, sender=recent) == "a"
--- a/cloverway/tests/test_core_token_gaps.py
+++ b/cloverway/tests/test_core_token_gaps.py
@@ -1,9 +1,9 @@
-"""Pauses of running answers while prompts are read: an engine in virtual time, no network.
+"""Inter-token gaps of running answers under prefill load: an engine in virtual time, no network.
 
-The pattern: more prompts than an engine reads come from two hosts, which hear of each other's sends
-0.1 s late, and long answers run at it. The engine reads a chunk of prompts in each step and makes
-one token of each answer; an event holds five tokens. Figures of the engine are those that a model
-of 70 billion parameters has: 38 prompt tokens a ms, chunks of 4,096, 5.6 ms a step.
+The load: two hosts, which learn of each other's sends 0.1 s late, have more prompts than the engine
+can prefill, and long answers are running there. The engine prefills a chunk of prompts in each step
+and produces one token of each answer; an event holds five tokens. The engine parameters are those
+of a model with 70 billion parameters: 38 prompt tokens per ms, chunks of 4,096, 5.6 ms per step.
 """
 
 from __future__ import annotations
@@ -38,40 +38,42 @@
 TOKENS_PER_S = 38_000
 CHUNK = 4_096
 STEP_S = 0.0056
-"""With some 60 answers."""
-PAIR_S = 0.737e-9
-"""Each token of a prompt is weighed against all tokens before it: long prompts read slower."""
+"""With about 60 answers."""
+ATTENTION_S_PER_PAIR = 0.737e-9
+"""Each token attends to all tokens before it, so long prompts are prefilled more slowly."""
 EVENT_TOKENS = 5
-HEARD_S = 0.1
+GOSSIP_DELAY_S = 0.1
 SECONDS = 120.0
 SIZES = (600, 9_000, 2_900, 700, 5_000, 800)
-"""Prompt tokens that are to be read, in turn: questions and briefings with parts known or not."""
+"""Uncached prompt tokens of successive requests: questions and briefings, cached in part or not."""
 
 
 class Engine:
-    """Reads one prompt after the other in chunks."""
+    """Prefills one prompt after the other in chunks."""
 
     def __init__(self):
         self.queue = deque()
-        self.at = 0
-        """Tokens of the first prompt that were read already."""
+        self.prefilled_tokens = 0
+        """Tokens of the first prompt that are prefilled already."""
 
     def step(self):
-        """Read a chunk; give the seconds that it takes."""
+        """Prefill a chunk; return the seconds that it takes."""
         left, took_s = CHUNK, 0.0
         while left and self.queue:
-            size = min(left, self.queue[0] - self.at)
-            took_s += size / TOKENS_PER_S + PAIR_S * size * (self.at + size / 2)
+            size = min(left, self.queue[0] - self.prefilled_tokens)
+            took_s += size / TOKENS_PER_S + ATTENTION_S_PER_PAIR * size * (
+                self.prefilled_tokens + size / 2
+            )
             left -= size
-            self.at += size
-            if self.at == self.queue[0]:
+            self.prefilled_tokens += size
+            if self.prefilled_tokens == self.queue[0]:
                 self.queue.popleft()
-                self.at = 0
+                self.prefilled_tokens = 0
         return took_s
 
 
 class Host:
-    """One of the hosts: what it believes of the engine."""
+    """One of the hosts, with its state of the engine."""
 
     def __init__(self, name):
         self.name = name
@@ -80,8 +82,8 @@
         self.endpoint.load._prefill_speed.s_per_token = 1 / TOKENS_PER_S
         self.endpoint.load.begin(0, Work(0, 1_000), None, 0.0)
 
-    def wants(self, tokens, gap_s, number, now):
-        """Send a prompt of some tokens if the engine has room by what is believed here."""
+    def try_send(self, tokens, gap_s, number, now):
+        """Send a prompt of some tokens if the engine has capacity as far as this host knows."""
         route = Route("r", "h", "/", CallKind.STREAM, SHARE, 10.0, 1.0, gap_s)
         prompt = Prompt(tokens, 50, (PromptSegment(number, tokens),))
         call = Call(f"c{number}", "POST", "/", "h", (), b"", now, now + 10.0, prompt)
@@ -93,41 +95,41 @@
         self.endpoint.load.end(number)
         return True
 
-    def hear(self, other, tokens, now):
+    def apply_update(self, other, tokens, now):
         self.endpoint.load.note_sibling(other, HostLoad(1, tokens, tokens, now), ())
         self.endpoint.load.note_prefill(tokens, now)
 
 
-def play(gap_s, part):
-    """Give the pauses between the events of an answer, and the part of the time spent reading."""
+def simulate(gap_s, burst_ratio):
+    """Return the gaps of an answer and the fraction of time that the engine spends on prefill."""
     hosts = [Host("a"), Host("b")]
     for host in hosts:
-        host.endpoint.load._burst_limit.ratio = part
+        host.endpoint.load._burst_limit.ratio = burst_ratio
     numbers = itertools.count(1)
     sizes = itertools.cycle(SIZES)
     waiting = {host.name: deque() for host in hosts}
-    heard = []
+    in_flight = []
     now, event_at, tokens, prefill_s = 0.0, 0.0, 0, 0.0
     engine = Engine()
-    pauses = []
+    gaps = []
     while now < SECONDS:
-        while heard and heard[0][0] <= now:
-            _, _, host, other, size = heapq.heappop(heard)
-            host.hear(other, size, now)
+        while in_flight and in_flight[0][0] <= now:
+            _, _, host, other, size = heapq.heappop(in_flight)
+            host.apply_update(other, size, now)
         for host in hosts:
-            line = waiting[host.name]
-            while len(line) < 4:
-                line.append(next(sizes))
-            for _ in range(len(line)):
-                size = line.popleft()
+            pending = waiting[host.name]
+            while len(pending) < 4:
+                pending.append(next(sizes))
+            for _ in range(len(pending)):
+                size = pending.popleft()
                 number = next(numbers)
-                if host.wants(size, gap_s, number, now):
+                if host.try_send(size, gap_s, number, now):
                     engine.queue.append(size)
                     other = hosts[host is hosts[0]]
-                    news = (now + HEARD_S, number, other, host.name, size)
-                    heapq.heappush(heard, news)
+                    update = (now + GOSSIP_DELAY_S, number, other, host.name, size)
+                    heapq.heappush(in_flight, update)
                 else:
-                    line.append(size)
+                    pending.append(size)
         took_s = engine.step()
         prefill_s += took_s
         now += STEP_S + took_s
@@ -135,41 +137,41 @@
             host.endpoint.load.last_progress_at = now
         tokens += 1
         if tokens % EVENT_TOKENS == 0:
-            pauses.append(now - event_at)
+            gaps.append(now - event_at)
             event_at = now
-    return pauses, prefill_s / now
+    return gaps, prefill_s / now
 
 
-def test_what_long_pauses_lead_to_keeps_pauses_short():
-    """More than the engine reads is asked for, and answers of 60 events run there.
+def test_the_minimum_burst_ratio_keeps_gaps_short():
+    """The engine is overloaded with prompts, and answers of 60 events are running there.
 
-    With prompts of two thirds of the wanted pause let in, one event in a hundred came after 0.58 s
-    of 0.6 already here, where all else is known: on a day a fifth of the answers had a pause over
-    it, and were late for their callers, who lost two thirds of their worth.
+    With a burst limit of two thirds of the gap objective, the 99th percentile of the gaps is 0.58 s
+    of 0.6 already in this simulation, where all else is known. On a simulated day, a fifth of the
+    answers had a stall and were late, at a loss of two thirds of their value.
     """
-    pauses, duty = play(0.6, MIN_BURST_RATIO)
-    pauses.sort()
-    assert pauses[int(0.99 * len(pauses))] < 0.8 * 0.6
-    # It is no remedy to leave the engine idle.
+    gaps, duty = simulate(0.6, MIN_BURST_RATIO)
+    gaps.sort()
+    assert gaps[int(0.99 * len(gaps))] < 0.8 * 0.6
+    # Leaving the engine idle is not a solution.
     assert duty > 0.7
-    longer = sorted(play(0.6, MAX_BURST_RATIO)[0])
+    longer = sorted(simulate(0.6, MAX_BURST_RATIO)[0])
     assert longer[int(0.99 * len(longer))] > 0.9 * 0.6
 
 
-def test_an_engine_whose_answers_keep_to_the_pause_is_given_more():
-    """Its events hold few tokens, or it is fast: it may read without a break."""
-    burst = PrefillBurstLimit()
+def test_the_burst_ratio_grows_while_gaps_are_short():
+    """Its events hold few tokens, or it is fast: it can sustain uninterrupted prefill."""
+    burst_limit = PrefillBurstLimit()
     for number in range(24_000):
-        burst.note(TokenGap(0.3, 0.8), number / 20)
-    assert burst.ratio == MAX_BURST_RATIO
+        burst_limit.note(TokenGap(0.3, 0.8), number / 20)
+    assert burst_limit.ratio == MAX_BURST_RATIO
 
 
-def test_an_engine_whose_answers_pause_too_long_is_given_less_but_never_nothing():
-    burst = PrefillBurstLimit()
+def test_stalls_reduce_the_burst_ratio_to_its_minimum():
+    burst_limit = PrefillBurstLimit()
     for _ in range(10):
-        # Ten answers have paused together.
-        burst.note(TokenGap(0.61, 0.6), 0.0)
-    assert MIN_BURST_RATIO < burst.ratio < INITIAL_BURST_RATIO
+        # Ten answers stall together.
+        burst_limit.note(TokenGap(0.61, 0.6), 0.0)
+    assert MIN_BURST_RATIO < burst_limit.ratio < INITIAL_BURST_RATIO
     for number in range(200):
-        burst.note(TokenGap(2.0, 0.6), number * 1.0)
-    assert burst.ratio == MIN_BURST_RATIO
+        burst_limit.note(TokenGap(2.0, 0.6), number * 1.0)
+    assert burst_limit.ratio == MIN_BURST_RATIO
