--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -19,7 +19,7 @@
 OBSERVATION_HALF_LIFE_S = 6.0
 """Half-life of observed answers and prompts: about the duration of an answer, so that a change of
 the traffic is followed within a few answers."""
-MIN_LATE_FRACTION = 0.03
+MIN_STALLED_FRACTION = 0.03
 """Minimum fraction of answers with a stall for isolation. Engines that keep the gap objective under
 any prefill load would only lose by it, because each prompt has fewer engines to choose from."""
 MIN_ANSWERS = 8.0
@@ -28,9 +28,9 @@
 """How long a selection of engines is reused. Ranking 18 engines by hash takes 20 us, and an engine
 that joins or leaves changes the selection by one."""
 AVOIDANCE_COST_S = 0.8
-"""Cost of an answer at an engine selected for large prompts, if one is certain to arrive while it
-runs: either a stall there, or queueing behind others elsewhere. A cost of 2.0 gave the same
-score."""
+"""Cost of any other answer at an engine selected for large prompts, if a large prompt is certain to
+arrive while it runs: either the answer stalls there, or it is queued behind others elsewhere. A
+cost of 2.0 gave the same score."""
 LARGE_PROMPT_INTERVAL_S = 2.0
 """Decode time after which an answer is certain to be running when a large prompt arrives at a
 selected engine. At 1.2 to 2 times the capacity of the engines, each got one every two to three
@@ -47,22 +47,22 @@
     def __init__(self, service: str) -> None:
         self._service = service
         self._answers = DecayingSum(OBSERVATION_HALF_LIFE_S)
-        self._late = DecayingSum(OBSERVATION_HALF_LIFE_S)
+        self._stalled_answers = DecayingSum(OBSERVATION_HALF_LIFE_S)
         self._prefill = DecayingSum(OBSERVATION_HALF_LIFE_S)
-        self._large = DecayingSum(OBSERVATION_HALF_LIFE_S)
+        self._large_prefill = DecayingSum(OBSERVATION_HALF_LIFE_S)
         self._chosen: frozenset[str] = frozenset()
         self._chosen_at = float("-inf")
 
     def note_answer(self, longest_gap_s: float, objective_s: float, now: float) -> None:
         """Record a complete answer and its longest inter-token gap."""
         self._answers.add(1.0, now)
-        self._late.add(float(longest_gap_s > objective_s), now)
+        self._stalled_answers.add(float(longest_gap_s > objective_s), now)
 
     def note_prompt(self, routed: RoutedCall, candidate: Candidate, now: float) -> None:
         """Record a prompt that is sent to an engine."""
         self._prefill.add(candidate.prefill_s, now)
         if is_large_prompt(routed, candidate):
-            self._large.add(candidate.prefill_s, now)
+            self._large_prefill.add(candidate.prefill_s, now)
 
     def select_engines(self, endpoints: Sequence[Endpoint], now: float) -> frozenset[str]:
         """Return the ids of the engines of a region that get its large prompts.
@@ -77,21 +77,21 @@
 
     def _select_engines(self, endpoints: Iterable[Endpoint], now: float) -> frozenset[str]:
         answers = self._answers.get(now)
-        if answers < MIN_ANSWERS or self._late.get(now) < MIN_LATE_FRACTION * answers:
+        if answers < MIN_ANSWERS or self._stalled_answers.get(now) < MIN_STALLED_FRACTION * answers:
             return frozenset()
         healthy = [e.entry.id for e in endpoints if e.load.failures(now) <= MAX_HEALTHY_FAILURES]
         if len(healthy) < 2:
             return frozenset()
         healthy.sort(key=lambda name: rank_for(self._service, name))
-        share = self._large.get(now) / max(self._prefill.get(now), 1e-9)
+        share = self._large_prefill.get(now) / max(self._prefill.get(now), 1e-9)
         count = min(len(healthy) - 1, max(1, round(len(healthy) * share)))
         return frozenset(healthy[:count])
 
 
 def is_large_prompt(routed: RoutedCall, candidate: Candidate) -> bool:
     """Return whether the prompt alone stalls the running answers of an engine."""
-    pause_s = routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S
-    return candidate.prefill_s > STALL_FRACTION * pause_s
+    objective_s = routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S
+    return candidate.prefill_s > STALL_FRACTION * objective_s
 
 
 def apply_isolation(
@@ -114,5 +114,5 @@
 def _add_avoidance_cost(routed: RoutedCall, candidate: Candidate, is_chosen: bool) -> Candidate:
     if not is_chosen or is_large_prompt(routed, candidate):
         return candidate
-    meets = min(1.0, candidate.decode_s / LARGE_PROMPT_INTERVAL_S)
-    return candidate._replace(cost_s=candidate.cost_s + AVOIDANCE_COST_S * meets)
+    overlap_probability = min(1.0, candidate.decode_s / LARGE_PROMPT_INTERVAL_S)
+    return candidate._replace(cost_s=candidate.cost_s + AVOIDANCE_COST_S * overlap_probability)
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -55,7 +55,7 @@
 
     work: Work
     prompt: Prompt | None
-    begun_at: float
+    started_at: float
     ahead: int
     """Prompt tokens of other requests that were queued for prefill before it."""
 
@@ -66,7 +66,7 @@
     running: int
     prefill_tokens: int
     reserved_kv_tokens: int
-    at: float
+    reported_at: float
 
 
 class EngineState(NamedTuple):
@@ -147,7 +147,7 @@
             return
         self._own[number] = running._replace(work=running.work._replace(prefill_tokens=0))
         self._update_own(0, -running.work.prefill_tokens, 0)
-        took_s = now - running.begun_at
+        took_s = now - running.started_at
         self._discount_cached_tokens(running.work.prefill_tokens, took_s, now)
         self._prefill_speed.learn(running.work.prefill_tokens, running.ahead, took_s)
         if running.prompt is not None:
@@ -166,11 +166,11 @@
         Without recent gaps to measure, it is estimated from the prefill rate: an engine produces a
         token in each step, and the time left by prefill is the time for these steps.
         """
-        seen = self._decode_speed.get(now)
-        if seen is not None:
-            return seen
-        busy = min(MAX_PREFILL_BUSY, self.prefill_rate(now) * self.prefill_s_per_token)
-        return INITIAL_DECODE_S_PER_TOKEN / (1 - busy)
+        measured = self._decode_speed.get(now)
+        if measured is not None:
+            return measured
+        busy_fraction = min(MAX_PREFILL_BUSY, self.prefill_rate(now) * self.prefill_s_per_token)
+        return INITIAL_DECODE_S_PER_TOKEN / (1 - busy_fraction)
 
     def is_saturated(self, now: float) -> bool:
         """Return whether a recent gap shows that the engine is saturated with prefill."""
@@ -213,7 +213,7 @@
     def note_sibling(self, host: str, load: HostLoad, segments: Iterable[PromptSegment]) -> None:
         """Apply a load report of a sibling, another host of the region."""
         self._siblings[host] = load
-        self.note_segments(segments, load.at)
+        self.note_segments(segments, load.reported_at)
 
     def get_own_load(self) -> HostLoad:
         """Return the load of this host's requests."""
@@ -262,7 +262,7 @@
         """Return the load of the requests of all hosts of the region."""
         running, prefill_tokens, reserved_kv_tokens, _ = self._own_load
         for load in self._siblings.values():
-            if now - load.at <= SIBLING_LOAD_TTL_S:
+            if now - load.reported_at <= SIBLING_LOAD_TTL_S:
                 running += load.running
                 prefill_tokens += load.prefill_tokens
                 reserved_kv_tokens += load.reserved_kv_tokens
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -104,7 +104,7 @@
     cost_s: float
     """The wait plus later costs for this request and for others."""
     work: Work
-    full: bool
+    is_full: bool
     """Whether the request can't be sent there now."""
     available_in_s: float = 0.0
     """Estimated time until it is no longer full."""
@@ -125,7 +125,7 @@
         """Return the candidate as full for at least some seconds."""
         if seconds <= 0:
             return self
-        return self._replace(full=True, available_in_s=max(self.available_in_s, seconds))
+        return self._replace(is_full=True, available_in_s=max(self.available_in_s, seconds))
 
 
 class RemoteRegion(NamedTuple):
@@ -213,15 +213,15 @@
     spread = PREDICTION_SPREAD_S * _hash_to_fraction(call.id, endpoint.entry.id)
     slots = max(1, endpoint.entry.slots)
     connections = service.max_connections // max(1, sender.hosts)
-    full = load.get_own_load().running >= max(1, connections) or total.running >= slots
+    is_full = load.get_own_load().running >= max(1, connections) or total.running >= slots
     if service.engine is None or call.prompt is None:
         queue = max(0.0, (total.running + 1 - slots) / slots)
         wait_s = load.service_time_s * (1 + queue) + penalty + spread
         cost_s = wait_s + _estimate_crossing_cost(call, endpoint, sender.domain)
         work = estimate_work(call, endpoint)
-        available_in_s = load.service_time_s if full else 0.0
+        available_in_s = load.service_time_s if is_full else 0.0
         return Candidate(
-            endpoint, wait_s, cost_s, work, full, available_in_s, running=total.running
+            endpoint, wait_s, cost_s, work, is_full, available_in_s, running=total.running
         )
     work = estimate_work(call, endpoint, source)
     state = describe_engine(endpoint, total.running, now)
@@ -238,11 +238,11 @@
     cost_s += _estimate_crossing_cost(call, endpoint, sender.domain)
     load.kv_capacity = service.engine.kv_tokens
     kv_limit = service.engine.kv_tokens * MAX_KV_FILL
-    full = full or (
+    is_full = is_full or (
         total.running > 0 and total.reserved_kv_tokens + work.reserved_kv_tokens > kv_limit
     )
     available_in_s = max(
-        SLOT_WAIT_S if full else 0.0, excess_s / PREFILL_DUTY, SATURATION_S if saturated else 0.0
+        SLOT_WAIT_S if is_full else 0.0, excess_s / PREFILL_DUTY, SATURATION_S if saturated else 0.0
     )
     fetch_source = source.endpoint if source is not None and work.fetched_tokens else None
     decode_s = (work.reserved_kv_tokens - call.prompt.input_tokens) * state.decode_s_per_token
--- a/cloverway/core/selection.py
+++ b/cloverway/core/selection.py
@@ -103,7 +103,7 @@
 
 def choose_endpoint(candidates: Iterable[Candidate]) -> Candidate | None:
     """Return the candidate with the lowest cost that is not full, or None."""
-    free = [candidate for candidate in candidates if not candidate.full]
+    free = [candidate for candidate in candidates if not candidate.is_full]
     return min(free, key=lambda candidate: candidate.cost_s, default=None)
 
 
--- a/cloverway/core/token_gaps.py
+++ b/cloverway/core/token_gaps.py
@@ -67,12 +67,12 @@
 
     def __init__(self) -> None:
         self.ratio = INITIAL_BURST_RATIO
-        self._cut_at = float("-inf")
+        self._decreased_at = float("-inf")
 
     def note(self, gap: TokenGap, now: float) -> None:
         """Record a gap between two events."""
         if gap.seconds <= gap.objective_s:
             self.ratio = min(MAX_BURST_RATIO, self.ratio + INCREASE_STEP)
-        elif now - self._cut_at >= MIN_DECREASE_INTERVAL_S:
-            self._cut_at = now
+        elif now - self._decreased_at >= MIN_DECREASE_INTERVAL_S:
+            self._decreased_at = now
             self.ratio = max(MIN_BURST_RATIO, self.ratio * DECREASE_FACTOR)
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -156,7 +156,7 @@
         candidates = self.list_candidates(routed, now)
         if not candidates:
             return "no endpoint that may run it is left in this region"
-        full = sum(candidate.full for candidate in candidates)
+        full = sum(candidate.is_full for candidate in candidates)
         limited = sum(self._directory.is_limited(candidate.endpoint) for candidate in candidates)
         by_limit = f", {limited} name a limit" if limited else ""
         return f"{full} of {len(candidates)} endpoints here are full{by_limit}"
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -119,7 +119,7 @@
     for number in range(20):
         isolation.note_answer(1.0 if number < late else 0.1, GAP_OBJECTIVE_S, 1.0)
     isolation._prefill.add(1.0, 1.0)
-    isolation._large.add(large_s, 1.0)
+    isolation._large_prefill.add(large_s, 1.0)
     return isolation
 
 
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -234,7 +234,7 @@
 
 def test_kv_cache_capacity_limits_running_requests():
     endpoint = make_endpoint("a")
-    load = HostLoad(running=20, prefill_tokens=0, reserved_kv_tokens=230_000, at=0.0)
+    load = HostLoad(running=20, prefill_tokens=0, reserved_kv_tokens=230_000, reported_at=0.0)
     endpoint.load.note_sibling("other", load, ())
     assert choose([endpoint], make_call(input_tokens=9_000), 0.0) is None
 
