--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -112,7 +112,7 @@
 
     def note_restart(self, name: str, born_ms: int) -> None:
         """Record that an endpoint has restarted, as it stated itself, before its entry shows it."""
-        self._tell(self.directory.note_born(name, born_ms, read_clock()))
+        self._tell(self.directory.note_start(name, born_ms, read_clock()))
 
     def is_reader(self, now: float) -> bool:
         """Return whether this host reads the store for the others of its failure domain.
--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -5,9 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
-from cloverway.core.calls import PromptPart
+from cloverway.core.calls import PromptSegment
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.load import SiblingLoad
+from cloverway.core.load import HostLoad
 from cloverway.core.members import Members, Peer
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.hosts.messages import CODEC, EndpointUse, EndpointUses
@@ -67,10 +67,10 @@
             endpoint = self._directory.endpoints.get(use.endpoint)
             if endpoint is not None and (endpoint.entry.started_ms or 0) == use.born_ms:
                 # What was sent to another incarnation is neither running nor in memory here.
-                parts = [PromptPart(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
-                load = SiblingLoad(use.running, use.unread, use.held, now)
+                parts = [PromptSegment(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
+                load = HostLoad(use.running, use.unread, use.held, now)
                 endpoint.load.note_sibling(message.host, load, parts)
-                endpoint.load.note_read(use.read, now)
+                endpoint.load.note_prefill(use.read, now)
 
     def _broadcast_now(self) -> None:
         self._is_broadcast_scheduled = False
@@ -88,21 +88,21 @@
 
     def _list_changed(self, is_refresh: bool) -> list[Endpoint]:
         endpoints = self._directory.endpoints.values()
-        return [endpoint for endpoint in endpoints if endpoint.load.has_news(is_refresh)]
+        return [endpoint for endpoint in endpoints if endpoint.load.has_update(is_refresh)]
 
     def _list_recipients(self) -> list[Peer]:
         return self._members.list_serving(self._members.own.region)
 
 
 def _take_update(endpoint: Endpoint) -> EndpointUse:
-    update = endpoint.load.take_news(MAX_SEGMENTS)
+    update = endpoint.load.take_update(MAX_SEGMENTS)
     return EndpointUse(
         endpoint.entry.id,
         update.own.running,
-        update.own.unread,
-        update.own.held,
-        tuple(part.id for part in update.parts),
-        tuple(part.tokens for part in update.parts),
-        update.read,
+        update.own.prefill_tokens,
+        update.own.reserved_kv_tokens,
+        tuple(part.id for part in update.segments),
+        tuple(part.tokens for part in update.segments),
+        update.sent_prefill_tokens,
         endpoint.entry.started_ms or 0,
     )
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from cloverway.core.prediction import Candidate, Wanted
+from cloverway.core.prediction import Candidate, RoutedCall
 from cloverway.core.quarantine import Level, Quarantine
 from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 from cloverway.serving.hosts.broadcast import UpdateBatch
@@ -32,27 +32,27 @@
         self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
 
     def weigh_candidates(
-        self, wanted: Wanted, candidates: Sequence[Candidate], now: float
+        self, routed: RoutedCall, candidates: Sequence[Candidate], now: float
     ) -> Sequence[Candidate]:
         """Weigh the candidate endpoints of a request by the suspects that run there."""
-        level = self._quarantine.get_level(wanted.digest, now)
-        return isolate_suspects(wanted.digest, level, candidates, self._runs.list_running(now))
+        level = self._quarantine.get_level(routed.digest, now)
+        return isolate_suspects(routed.digest, level, candidates, self._runs.list_running(now))
 
     def begin(
-        self, number: int, wanted: Wanted, incarnation: str, until: float, now: float
+        self, number: int, routed: RoutedCall, incarnation: str, until: float, now: float
     ) -> None:
         """Record that a request is sent to an endpoint."""
-        level = self._quarantine.get_level(wanted.digest, now)
+        level = self._quarantine.get_level(routed.digest, now)
         if level is Level.NONE:
             return
-        self._own[number] = SuspectRun(wanted.digest, incarnation, level, until)
+        self._own[number] = SuspectRun(routed.digest, incarnation, level, until)
         self._note_own()
         tell(
             "suspect_sent",
-            request_id=wanted.call.id,
-            request_digest=f"{wanted.digest:016x}",
+            request_id=routed.call.id,
+            request_digest=f"{routed.digest:016x}",
             to=incarnation,
-            ends=self._quarantine.count_crashes(wanted.digest),
+            ends=self._quarantine.count_crashes(routed.digest),
             beside=sum(run.incarnation == incarnation for run in self._runs.list_running(now)) - 1,
         )
 
--- a/cloverway/tests/test_core_limits.py
+++ b/cloverway/tests/test_core_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.core.cold_start import SETTLED_S
+from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.core.limits import TokenBucket, compute_share
 
 STEP_S = 0.01
@@ -108,7 +108,7 @@
         SimulatedHost(
             name,
             {n: -100.0 for n in old_names if n != name}
-            | {"new": joins_at + rng.uniform(0, SETTLED_S)},
+            | {"new": joins_at + rng.uniform(0, MIN_HOST_AGE_S)},
         )
         for name in old_names
     ]
@@ -146,5 +146,5 @@
 
 def test_token_bucket_starts_empty():
     """Guards against a burst just when an endpoint reports that it is overloaded."""
-    share = compute_share(2.0, "e", "host-0", (), age_s=SETTLED_S)
+    share = compute_share(2.0, "e", "host-0", (), age_s=MIN_HOST_AGE_S)
     assert TokenBucket(5.0).estimate_wait(share, 5.0) == pytest.approx(0.5)
