--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""How hosts tell each other of endpoints that ended; messages are carried by hand, no network."""
+"""Exchange of endpoint crashes between hosts; messages are delivered without a network."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from cloverway.serving.telemetry import Figures
 
 PACKET_BYTES = 1_472
-"""What one datagram carries over Ethernet without being split."""
+"""Payload of one datagram over Ethernet without fragmentation."""
 DEADLY = 7
 
 
 class Host:
-    """What one host knows of ends, and its way to the others."""
+    """What one host knows of crashes, and its connection to the others."""
 
     def __init__(self, net, name, region):
         self.members = Members(Member(name, 1, region, region, name, name, True))
         self.quarantine = Quarantine(QuarantineTerms())
         self.exchange = CrashExchange(name, self.quarantine, Figures())
-        self.news = UpdateBroadcaster(self.members, [self.exchange])
-        self.news.send = lambda to, data: net.send(name, to, data)
+        self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
+        self.broadcaster.send = lambda to, data: net.send(name, to, data)
 
     def knows(self, digest=DEADLY):
         return self.quarantine.count_ends(digest)
 
 
 class Net:
-    """Hosts of some regions that know each other, and datagrams that may be lost between them."""
+    """Hosts of some regions that know each other, with datagrams that may be lost between them."""
 
     def __init__(self, *names):
         self.lost = lambda sender, receiver: False
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A clock that tests set; waits of the event loop are as they are."""
+    """A clock set by the test; timers of the event loop are not affected."""
     times = [1_000.0]
     monkeypatch.setattr(crashes, "read_clock", lambda: times[0])
     monkeypatch.setattr(broadcast, "read_clock", lambda: times[0])
@@ -66,27 +66,27 @@
 
 
 async def settle():
-    """Let news go on over three hosts."""
+    """Let updates pass over three hosts."""
     for _ in range(3):
         await asyncio.sleep(1.5 * BROADCAST_DELAY_S)
 
 
-def test_all_hosts_of_all_regions_hear_of_an_end_at_once(clock):
-    """Two hosts of another region are told, and tell the others of theirs."""
+def test_all_hosts_of_all_regions_receive_a_crash_at_once(clock):
+    """Two hosts of another region are sent the crash, and broadcast it in their region."""
     net = Net("a1", "a2", "a3", "b1", "b2", "b3", "b4", "c1", "c2", "c3")
 
     async def scenario():
         net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         assert net.list_knowing() == set(net.hosts)
-        told_far = {to for sender, to, _ in net.sent if sender == "a1" and to[0] != "a"}
-        assert len(told_far) == 4
+        remote_receivers = {to for sender, to, _ in net.sent if sender == "a1" and to[0] != "a"}
+        assert len(remote_receivers) == 4
 
     asyncio.run(scenario())
 
 
-def test_what_a_host_did_not_hear_is_told_again(clock):
-    """Nothing passes between a1 and a2, nor from a1 to another region; a3 reaches all of them."""
+def test_a_crash_that_a_host_did_not_receive_is_rebroadcast(clock):
+    """Nothing arrives from a1 at a2 or in another region; only a3 reaches all of them."""
     net = Net("a1", "a2", "a3", "b1", "b2")
     net.lost = lambda sender, receiver: sender == "a1" and receiver != "a3"
 
@@ -95,18 +95,18 @@
         await settle()
         assert net.list_knowing() == {"a1", "a3"}
         for host in net.hosts.values():
-            host.news.rebroadcast(clock[0] + 1.0)
+            host.broadcaster.rebroadcast(clock[0] + 1.0)
         await settle()
         assert net.list_knowing() == set(net.hosts)
         net.sent.clear()
         for host in net.hosts.values():
-            host.news.rebroadcast(clock[0] + REBROADCAST_S + 0.1)
-        assert not net.sent, "it isn't told for ever"
+            host.broadcaster.rebroadcast(clock[0] + REBROADCAST_S + 0.1)
+        assert not net.sent, "it is not rebroadcast forever"
 
     asyncio.run(scenario())
 
 
-def test_hosts_tell_again_by_themselves(clock, monkeypatch):
+def test_hosts_rebroadcast_periodically(clock, monkeypatch):
     monkeypatch.setattr(broadcast, "REBROADCAST_PERIOD_S", 0.01)
     net = Net("a1", "a2")
     net.lost = lambda sender, receiver: True
@@ -115,17 +115,17 @@
         net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
         await settle()
         net.lost = lambda sender, receiver: False
-        telling = asyncio.create_task(net.hosts["a1"].news.run())
+        rebroadcasting = asyncio.create_task(net.hosts["a1"].broadcaster.run())
         async with asyncio.timeout(5.0):
             while not net.hosts["a2"].knows():
                 await asyncio.sleep(0.01)
-        telling.cancel()
+        rebroadcasting.cancel()
 
     asyncio.run(scenario())
 
 
-def test_a_host_that_was_not_there_is_told_all_of_it(clock):
-    """A host was cut off while an engine ended, and is heard again a minute later."""
+def test_a_host_that_was_partitioned_receives_all_crashes(clock):
+    """A host was partitioned while an engine crashed, and is heard again a minute later."""
     net = Net("a1", "a2")
     net.lost = lambda sender, receiver: True
 
@@ -134,15 +134,17 @@
         await settle()
         net.lost = lambda sender, receiver: False
         clock[0] += 60.0
-        net.hosts["a1"].news.sync_joining_host("a2", clock[0])
+        net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
         assert net.list_knowing() == {"a1", "a2"}
         hold_s = [host.quarantine.list_news(0.0, 9).crashes[0].at for host in net.hosts.values()]
-        assert hold_s[0] == pytest.approx(hold_s[1], abs=0.002), "it ended a minute ago for both"
+        assert hold_s[0] == pytest.approx(
+            hold_s[1], abs=0.002
+        ), "both know that it crashed a minute ago"
 
     asyncio.run(scenario())
 
 
-def test_other_hosts_hear_that_a_suspected_request_was_served(clock):
+def test_other_hosts_learn_that_a_suspected_request_was_served(clock):
     net = Net("a1", "a2", "b1")
 
     async def scenario():
@@ -155,12 +157,12 @@
         net.sent.clear()
         net.hosts["a1"].exchange.report_served(8)
         await settle()
-        assert not net.sent, "nobody asks whether any other request was served"
+        assert not net.sent, "only suspected requests are reported as served"
 
     asyncio.run(scenario())
 
 
-def test_the_end_of_a_full_engine_is_told_in_one_packet_and_a_whole_list_in_some(clock):
+def test_the_crash_of_a_full_engine_fits_into_one_packet_and_a_full_list_into_several(clock):
     net = Net("a1", "a2")
     longest = (1 << 63) - 1
 
@@ -172,43 +174,44 @@
         assert len(net.sent) == 1
         for number in range(300):
             net.hosts["a1"].quarantine.note_crash(Crash(f"{name}{number}", (number,), clock[0]))
-        net.hosts["a1"].news.sync_joining_host("a2", clock[0])
+        net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
         assert all(len(data) <= PACKET_BYTES for _, _, data in net.sent)
         assert sum(net.hosts["a2"].knows(number) for number in range(300)) == 256
 
     asyncio.run(scenario())
 
 
-def count_told(net, name):
-    """Count the hosts that told a host anything."""
+def count_senders(net, name):
+    """Return the number of hosts that sent anything to a host."""
     return len({sender for sender, receiver, _ in net.sent if receiver == name})
 
 
-def test_what_a_newcomer_has_missed_is_told_by_few_hosts_however_many_there_are(clock):
-    """Hosts that speak rarely are taken for gone and heard again all the time, by all the others.
+def test_few_hosts_send_their_state_to_a_joining_host_however_many_there_are(clock):
+    """Hosts that send rarely time out and are heard again all the time, by all the others.
 
-    Each of 60 hosts told each of them all it knew: half of the bytes between regions were that.
+    Guards against each of 60 hosts sending each of them its whole state: this was half of the
+    traffic between regions.
     """
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(20)))
     for host in net.hosts.values():
         host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
 
     async def scenario():
-        for newcomer in ("a3", "b7", "c19"):
-            host = net.hosts[newcomer]
+        for joining in ("a3", "b7", "c19"):
+            host = net.hosts[joining]
             host.quarantine = host.exchange._quarantine = Quarantine(QuarantineTerms())
             net.sent.clear()
             for other in net.hosts.values():
                 if other is not host:
-                    other.news.sync_joining_host(newcomer, clock[0])
+                    other.broadcaster.sync_joining_host(joining, clock[0])
             assert host.knows()
-            assert 2 <= count_told(net, newcomer) <= 6
+            assert 2 <= count_senders(net, joining) <= 6
 
     asyncio.run(scenario())
 
 
-def test_a_region_that_was_cut_off_is_told_by_another_one(clock):
-    """All hosts of a region were away, and those next to one of them know as little as it does."""
+def test_a_partitioned_region_receives_the_state_of_another_one(clock):
+    """All hosts of a region were partitioned, so none of them has the missed updates."""
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(6)))
     for name, host in net.hosts.items():
         if name[0] != "b":
@@ -216,14 +219,14 @@
 
     async def scenario():
         for name, host in net.hosts.items():
-            for newcomer in (other for other in net.hosts if other[0] == "b" and other != name):
-                host.news.sync_joining_host(newcomer, clock[0])
+            for joining in (other for other in net.hosts if other[0] == "b" and other != name):
+                host.broadcaster.sync_joining_host(joining, clock[0])
         assert all(host.knows() for host in net.hosts.values())
 
     asyncio.run(scenario())
 
 
-def test_a_newcomer_is_told_of_old_ends_only_where_something_is_refused_for_them(clock):
+def test_a_joining_host_receives_old_crashes_only_if_they_block_a_request(clock):
     net = Net("a1", "a2")
     quarantine = net.hosts["a1"].quarantine
     for number in range(3):
@@ -231,19 +234,19 @@
     quarantine.note_crash(Crash("old", (8,), clock[0]))
     clock[0] += crashes.SYNC_AGE_S + 1.0
     quarantine.note_crash(Crash("new", (9,), clock[0]))
-    net.hosts["a1"].news.sync_joining_host("a2", clock[0])
+    net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
     assert [net.hosts["a2"].knows(digest) for digest in (DEADLY, 8, 9)] == [3, 0, 1]
 
 
-def test_what_is_told_again_does_not_grow_with_the_square_of_the_hosts(clock):
-    """News of the last seconds goes through a region of 100 hosts for as long as any comes."""
-    told = {}
+def test_rebroadcast_traffic_does_not_grow_with_the_square_of_the_hosts(clock):
+    """Updates of the last seconds pass through a region of 100 hosts for as long as any arrive."""
+    sent_per_round = {}
     for hosts in (10, 100):
         net = Net(*(f"a{number}" for number in range(hosts)))
         for host in net.hosts.values():
             host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
         for _ in range(20):
             for host in net.hosts.values():
-                host.news.rebroadcast(clock[0] + 1.0)
-        told[hosts] = len(net.sent) / 20
-    assert told[100] < 2 * told[10]
+                host.broadcaster.rebroadcast(clock[0] + 1.0)
+        sent_per_round[hosts] = len(net.sent) / 20
+    assert sent_per_round[100] < 2 * sent_per_round[10]
--- a/cloverway/tests/test_endpoint_loads.py
+++ b/cloverway/tests/test_endpoint_loads.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of their requests at endpoints; messages are caught, no network."""
+"""Exchange of endpoint loads between hosts; messages are captured, without a network."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
     def load(self, name="e1"):
         return self.directory.endpoints[name].load
 
-    def tell(self, is_refresh=False):
+    def broadcast(self, is_refresh=False):
         self.exchange._broadcast(self.exchange._list_recipients(), is_refresh)
         sent, self.sent = self.sent, []
         return sent
 
 
-def test_a_host_hears_what_another_sent_to_an_endpoint():
+def test_a_host_learns_the_load_of_another_host_at_an_endpoint():
     here, there = Side("a", ["b"]), Side("b", ["a"])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    [(name, message)] = here.tell()
+    [(name, message)] = here.broadcast()
     assert name == "b"
     there.exchange.receive(message, 0.0)
     assert there.load().sum_all(0.1).running == 1
@@ -59,51 +59,51 @@
     assert there.load("e2").backlog(0.0) == 0
 
 
-def test_only_changes_are_told_and_all_again_now_and_then():
-    """With whole lists, 28 hosts of a region spent more bytes on them than on the requests."""
+def test_only_changes_are_broadcast_and_everything_periodically():
+    """With complete lists, 28 hosts of a region used more traffic for them than for requests."""
     here = Side("a", ["b"])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    assert len(here.tell()) == 1
-    assert here.tell() == []
-    [(_, refresh)] = here.tell(is_refresh=True)
+    assert len(here.broadcast()) == 1
+    assert here.broadcast() == []
+    [(_, refresh)] = here.broadcast(is_refresh=True)
     assert refresh.uses[0].running == 1
     assert refresh.uses[0].read == 0
     here.load().end(1)
-    [(_, last)] = here.tell()
+    [(_, last)] = here.broadcast()
     assert [use.running for use in last.uses] == [0]
-    assert here.tell(is_refresh=True) == []
+    assert here.broadcast(is_refresh=True) == []
 
 
-def test_in_a_large_region_only_hosts_that_serve_callers_are_told():
-    """Callers are led to the two hosts that rank first, and to others while they are needed."""
+def test_in_a_large_region_only_hosts_that_serve_callers_receive_loads():
+    """Callers are directed to the two hosts that rank first, and to others under load."""
     others = [f"h{number}" for number in range(SMALL_REGION + 4)]
     here = Side("a", others, rate=0.5)
     here.members.peers["h3"].rate = 40.0
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    assert [name for name, _ in here.tell()] == ["h0", "h3"]
+    assert [name for name, _ in here.broadcast()] == ["h0", "h3"]
 
 
-def test_what_one_prompt_costs_the_hosts_is_bounded():
-    """A burst makes all hosts of a region serve callers, and each prompt is told to all at once.
+def test_the_broadcasts_of_one_prompt_are_bounded():
+    """In a burst all hosts of a region serve callers, and each prompt is broadcast at once.
 
-    The telling then costs their number squared, just when they have the least to spare. So all of
-    them hear of it with the next period, and of many prompts together.
+    The traffic then grows with the square of their number, just when they have the least to spare.
+    So they all receive it with the next period, together with other prompts.
     """
     here = Side("a", [f"h{number}" for number in range(MAX_IMMEDIATE_RECIPIENTS + 1)])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
 
-    async def tell_twice():
+    async def broadcast_twice():
         here.exchange.broadcast_at_once()
         here.exchange.broadcast_at_once()
         await asyncio.sleep(0)
 
-    asyncio.run(tell_twice())
+    asyncio.run(broadcast_twice())
     assert here.sent == []
-    assert len(here.tell()) == MAX_IMMEDIATE_RECIPIENTS + 1
+    assert len(here.broadcast()) == MAX_IMMEDIATE_RECIPIENTS + 1
 
 
-def test_words_of_a_host_that_is_not_known_are_dropped():
-    here, stranger = Side("a", ["b"]), Side("c", ["a"])
-    stranger.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    here.exchange.receive(stranger.tell()[0][1], 0.0)
+def test_messages_of_an_unknown_host_are_dropped():
+    here, unknown = Side("a", ["b"]), Side("c", ["a"])
+    unknown.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
+    here.exchange.receive(unknown.broadcast()[0][1], 0.0)
     assert here.load().sum_all(0.1).running == 0
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -1,6 +1,6 @@
-"""What hosts tell other regions, and how often; messages are caught, no network.
+"""Heartbeats to other regions and their rate; messages are captured, without a network.
 
-The fleet is one of 90 hosts in three regions, of which callers are led to two a failure domain.
+The fleet has 90 hosts in three regions. Callers are directed to two hosts of each failure domain.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Host:
-    """The gossip of one host of the fleet, with what it has sent."""
+    """The gossip of one host of the fleet, with the messages that it sent."""
 
     def __init__(self, number, hosts=HOSTS):
         own = make_member("north", number)
@@ -62,54 +62,57 @@
         self.sent = []
         self.gossip._send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
 
-    def send_far(self, times, step_s=1.0):
-        """Let the host speak to other regions once a second, or as often as is said."""
+    def send_to_remote_regions(self, times, step_s=1.0):
+        """Send heartbeats to other regions, by default once per second; return what was sent."""
         for number in range(times):
             self.gossip._send_to_remote_regions(1.0 + number * step_s)
         sent, self.sent = self.sent, []
         return sent
 
 
-def test_hosts_that_serve_callers_tell_those_of_other_regions_what_theirs_can_take():
-    """A request is passed on by the host that its caller is connected to.
+def test_hosts_that_serve_callers_send_capacity_to_those_of_other_regions():
+    """A request is forwarded by the host that its caller is connected to.
 
-    Told to any two of thirty hosts, an offer reached that one every eight seconds or so, and led
-    requests to engines that had been free then.
+    Guards against sending capacity to any two of thirty hosts: it reached the forwarding host about
+    every eight seconds, and requests went to engines that were no longer free.
     """
     serving = Host(0)
-    sent = serving.send_far(10)
+    sent = serving.send_to_remote_regions(10)
     assert len(sent) == 10 * HOSTS_PER_REMOTE_REGION * 2
     assert {name for name, _ in sent} == {"south-00", "south-01", "west-00", "west-01"}
     assert all(message.offers for _, message in sent)
 
 
-def test_a_busy_host_that_is_not_among_the_strongest_counts_as_serving():
+def test_a_busy_host_with_low_capacity_counts_as_serving():
     busy = Host(7)
     for step in range(100):
         busy.members.note_arrival(step / 100)
     assert busy.members.get_own_rate(1.0) > ACTIVE_RATE
-    assert all(message.offers for _, message in busy.send_far(1))
+    assert all(message.offers for _, message in busy.send_to_remote_regions(1))
 
 
-def test_hosts_that_serve_nobody_only_show_now_and_then_that_they_are_alive():
-    """They hear nothing of what is sent to engines, and would offer full ones as idle.
+def test_idle_hosts_send_rare_heartbeats_without_capacity_to_other_regions():
+    """They do not receive the loads of other hosts, and would advertise full engines as idle.
 
-    All of them together speak a few times a second, however many they are.
+    All of them together send a few heartbeats per second, whatever their number.
     """
     idle = Host(20)
-    sent = idle.send_far(60)
+    sent = idle.send_to_remote_regions(60)
     assert all(not message.offers for _, message in sent)
     assert 0 < len(sent) <= 60 * IDLE_REMOTE_HEARTBEATS_PER_S / HOSTS * 2 * 1.5
     assert all(other.region == "north" for _, message in sent for other in message.others)
 
 
-def test_in_a_small_region_every_host_tells_what_the_region_can_take():
+def test_in_a_small_region_every_host_sends_the_capacity():
     small = Host(2, hosts=3)
-    assert all(message.offers for _, message in small.send_far(3))
+    assert all(message.offers for _, message in small.send_to_remote_regions(3))
 
 
-def test_requests_are_passed_on_to_hosts_that_serve_callers():
-    """Any other host doesn't know what is at the engines, and would fill one that is full."""
+def test_requests_are_forwarded_to_hosts_that_serve_callers():
+    """Guards against forwarding to hosts that do not know the engines' loads.
+
+    Such a host would send the request to a full engine.
+    """
     members = Host(0).members
     names = {peer.member.name for peer in members.list_for_passing("south", 1.0)}
     assert names == {"south-00", "south-01"}
@@ -118,11 +121,11 @@
     assert len(members.list_for_passing("south", 1.0)) == HOSTS - LEAST_NAMED
 
 
-def test_the_rate_of_a_host_is_told_from_host_to_host():
-    """A host of another region is heard itself now and then only; others speak of it."""
+def test_the_rate_of_a_host_is_relayed():
+    """A heartbeat of a remote host arrives rarely, so its rate has to be relayed by others."""
     here, there = Host(0), Host(1)
     here.members.peers["north-09"].rate = 30.0
-    sent = here.send_far(60, step_s=0.0)
+    sent = here.send_to_remote_regions(60, step_s=0.0)
     message = next(message for _, message in sent if _find(message, "north-09"))
     there.gossip._receive_heartbeat(message, "north-00", 50.0)
     assert there.members.peers["north-09"].rate == 30.0
@@ -132,21 +135,21 @@
     return any(other.name == name for other in message.others)
 
 
-def make_large(number, is_reader=False):
-    """Make a host of a region of 65, of an age at which it has settled."""
+def make_settled_host(number, is_reader=False):
+    """Make a host of a region of 65 that did not start recently."""
     host = Host(number, 65)
     host.gossip._started_at = 0.0
     host.gossip.catalogue.is_reader = lambda now: is_reader
     return host
 
 
-def test_hosts_of_a_large_region_that_serve_nobody_speak_rarely():
-    """65 hosts of a region, most of which serve nobody, told all others of themselves each second.
+def test_idle_hosts_of_a_large_region_send_rare_heartbeats():
+    """In a region of 65 hosts, most of them idle, each sent every other one a heartbeat per second.
 
-    Hearing that is what such a host did most. They are needed by nobody, so they are heard less
-    often and missed later; one that begins to serve speaks as often as before at once.
+    Receiving them was most of the work of an idle host. No host depends on idle ones, so they send
+    less often and are missed later. One that begins to serve callers shortens its period at once.
     """
-    idle = make_large(40)
+    idle = make_settled_host(40)
     assert idle.gossip._choose_period(RECENTLY_STARTED_S - 0.1) == MAX_REGION_PERIOD_S
     assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_IDLE_PERIOD_S
     for _ in range(20):
@@ -154,17 +157,17 @@
     assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
 
 
-def test_hosts_that_others_depend_on_speak_as_often_as_before():
-    assert make_large(0).gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
+def test_hosts_that_others_depend_on_keep_the_short_period():
+    assert make_settled_host(0).gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
     assert (
-        make_large(40, is_reader=True).gossip._choose_period(RECENTLY_STARTED_S)
+        make_settled_host(40, is_reader=True).gossip._choose_period(RECENTLY_STARTED_S)
         == MAX_REGION_PERIOD_S
     )
 
 
-def test_a_host_that_speaks_rarely_is_missed_by_its_own_period():
-    """Missed by the common bound, it would be taken for gone and back with each heartbeat."""
-    members = make_large(0).members
+def test_the_timeout_of_a_host_follows_its_own_period():
+    """With the common timeout such a host would seem to crash and come back between heartbeats."""
+    members = make_settled_host(0).members
     members.forget(0.0)
     peer = members.peers["north-40"]
     peer.period_s = MAX_IDLE_PERIOD_S
@@ -174,8 +177,8 @@
     assert not members.is_alive(peer, 6.0)
 
 
-def test_hosts_far_away_that_serve_nobody_do_not_come_and_go_in_the_log(caplog):
-    """Guards against a log that is full of hosts which speak rarely, and tells nothing of them."""
+def test_idle_hosts_of_other_regions_are_not_logged_as_coming_and_going(caplog):
+    """Guards against a log full of lines about hosts that send rarely."""
     host = Host(2)
     far = [p for p in host.members.peers.values() if p.member.region != "north"]
     far[0].rate = ACTIVE_RATE
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -1,4 +1,4 @@
-"""What hosts of a fleet know of the store and of each other, and whom they lead callers to."""
+"""What hosts of a fleet know of the store and of each other, and where they direct callers."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from cloverway.tests.fleet.standins import make_route, make_service, take_ports
 
 
-def test_a_host_that_knows_no_configuration_refuses_and_is_not_ready():
-    """A host starts while the store is away and no other host is there.
+def test_a_host_without_a_configuration_refuses_and_is_not_ready():
+    """A host starts while the store is unavailable and no other host is running.
 
-    It can't know whether a route exists. A 404 would make the caller give up for good; 503 with a
-    time to come back is true.
+    It cannot know whether a route exists. A 404 would make the caller give up for good, so it
+    answers 503 with a time to retry.
     """
 
     async def scenario():
@@ -35,11 +35,11 @@
     play(scenario)
 
 
-def test_a_request_that_comes_before_the_first_configuration_waits_for_it_a_little():
-    """All hosts start again; one that is far from the store knows its routes 0.3 s later.
+def test_a_request_before_the_first_configuration_waits_for_it_briefly():
+    """All hosts restart; one with a slow path to the store knows its routes 0.3 s later.
 
-    Its callers are there at once. Refused, they come back after half a second and more, and most of
-    them try only once more.
+    Its callers reconnect at once. Refused, they would retry after half a second or more, and most
+    of them only once.
     """
 
     async def scenario():
@@ -66,7 +66,7 @@
 
 
 def test_two_hosts_of_a_domain_read_the_store_and_the_others_follow_them():
-    """Each read is paid for; with 90 hosts reading each second, a twentieth of what callers got.
+    """Each read is billed: 90 hosts reading each second cost a twentieth of what callers got.
 
     A change must still be in force everywhere at once, as if all of them had read.
     """
@@ -91,11 +91,11 @@
     play(scenario)
 
 
-def test_the_others_read_for_themselves_when_no_reader_reads():
-    """Both hosts that read for their domain are cut off from the store, and nothing else is.
+def test_followers_read_the_store_when_no_reader_can():
+    """Both readers of a failure domain lose the connection to the store, and nothing else does.
 
-    Their documents grow old, and so do those of the hosts that follow them. The followers see that
-    by the age alone, read the store, and tell the readers.
+    Their documents become outdated, and so do those of the hosts that follow them. The followers
+    notice that by the age alone, read the store and update the readers.
     """
 
     async def scenario():
@@ -113,7 +113,7 @@
     play(scenario)
 
 
-def test_a_leaving_host_is_not_ready_answers_on_and_refuses_later_with_not_run():
+def test_a_leaving_host_is_not_ready_keeps_answering_and_later_refuses_as_not_run():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             host = fleet.hosts[0]
@@ -124,9 +124,9 @@
             leaving = asyncio.create_task(host.leave())
             await asyncio.sleep(0.1)
             assert not host.members.own.ready
-            early = await fleet.call("/once/a")
-            assert early.status == 200
-            assert early.headers[b"connection"] == b"close"
+            early_reply = await fleet.call("/once/a")
+            assert early_reply.status == 200
+            assert early_reply.headers[b"connection"] == b"close"
             await asyncio.sleep(2.8)
             late = await fleet.call("/once/a")
             assert late.status == 503
@@ -138,10 +138,10 @@
 
 
 def test_a_leaving_host_reads_the_request_on_a_connection_that_was_just_opened(monkeypatch):
-    """A caller with an old answer connects to a host that leaves; its request is a moment behind.
+    """A caller with an old host list connects to a leaving host and sends a request a moment later.
 
-    Closed as idle, the connection would be reset by the bytes that come, and the caller couldn't
-    know that nothing ran. Its request is read and refused as not run.
+    Closed as idle, the connection would be reset by the incoming bytes, and the caller could not
+    know that nothing ran. The request is read and refused as not run.
     """
     monkeypatch.setattr("cloverway.serving.host.NOTICE_S", 0.0)
 
@@ -193,10 +193,10 @@
     return head.status, json.loads(body)["addresses"] if body else []
 
 
-def test_a_host_that_has_just_started_leads_callers_only_once_it_knows_the_others(caplog):
-    """All hosts start again; a weak one answers first, knows nobody, and would name itself.
+def test_a_recently_started_host_answers_lookups_only_once_it_knows_the_others(caplog):
+    """All hosts restart; a weak one answers first, knows no other host, and would name itself.
 
-    Callers that get no answer keep their old one. A host without seeds is alone, and answers.
+    Callers that get no answer keep their old host list. A host without seeds is alone and answers.
     """
 
     async def scenario():
@@ -215,8 +215,8 @@
 
 
 @pytest.mark.parametrize("how", ["compact", "silent", "busy"])
-def test_a_change_is_in_force_within_four_seconds_whatever_became_of_the_watch(how):
-    """The watch is cut, goes silent, or is refused while an operator changes the configuration."""
+def test_a_change_is_in_force_within_four_seconds_after_a_broken_watch(how):
+    """The watch breaks, goes silent or is refused while an operator changes the configuration."""
 
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
@@ -239,11 +239,11 @@
     play(scenario)
 
 
-def test_a_long_prompt_is_told_to_the_other_hosts_of_the_region_at_once(monkeypatch):
-    """Two callers send long prompts through two hosts, 50 ms apart, and one stream stands still.
+def test_a_long_prompt_is_broadcast_to_the_region_at_once(monkeypatch):
+    """Two callers send long prompts through two hosts, 50 ms apart, and one stream stalls.
 
-    The second host takes the engine for idle until the first one tells of its requests, which is
-    due each 200 ms. So the first tells it at once; the period here is out of the way.
+    The second host treats the engine as idle until the first one broadcasts its load, which is due
+    every 200 ms. So the first one broadcasts at once; the test disables the period.
     """
 
     async def scenario():
@@ -267,44 +267,46 @@
 
 
 def test_a_newcomer_learns_of_the_other_hosts_at_once(monkeypatch):
-    """One of many hosts starts again and knows its seeds only.
+    """One of many hosts restarts and knows only its seeds.
 
-    A lookup would name few hosts, and it would take itself for one that reads the store, until by
-    and by it had heard of all. The first host that hears it tells it of the others.
+    A lookup would name few hosts, and the host would act as a reader of the store, until it had
+    gradually discovered all others. The first host that receives its heartbeat describes the others
+    to it.
     """
 
     async def scenario():
         async with run_fleet(hosts=12) as fleet:
             await wait_for(lambda: all(len(h.members.peers) == 11 for h in fleet.hosts))
             monkeypatch.setattr("cloverway.serving.hosts.gossip.MAX_RELAYED_HOSTS", 0)
-            newcomer = await fleet.add_host()
-            await wait_for(lambda: len(newcomer.members.peers) == 12, 1.0)
+            joining_host = await fleet.add_host()
+            await wait_for(lambda: len(joining_host.members.peers) == 12, 1.0)
 
     play(scenario)
 
 
-def test_hosts_that_start_together_know_of_each_other_within_half_a_second():
-    """All hosts start again; the seed of one of them is up a little later than itself.
+def test_hosts_that_start_together_discover_each_other_within_half_a_second():
+    """All hosts restart; the seed of one of them starts a little later than the host itself.
 
-    Its first word to the seed is lost. With one word each second it took the engines for its own
-    until the next, and so did the others: together they sent more than a cold endpoint bears.
+    Its first heartbeat to the seed is lost. With one heartbeat per second it used the engines as if
+    it were alone until the next, and so did the others: together they sent more than a cold
+    endpoint sustains.
     """
 
     async def scenario():
         async with run_fleet(hosts=0) as fleet:
             ports = take_ports(6)
-            early = await fleet.add_host(seeds=(f"127.0.0.1:{ports[3]}",))
+            early_reply = await fleet.add_host(seeds=(f"127.0.0.1:{ports[3]}",))
             await asyncio.sleep(0.25)
             late = await fleet.add_host(ports=ports, seeds=())
-            await wait_for(lambda: late.members.peers and early.members.peers, 0.5)
+            await wait_for(lambda: late.members.peers and early_reply.members.peers, 0.5)
 
     play(scenario)
 
 
-def test_a_host_that_starts_is_told_at_once_what_other_regions_can_take():
+def test_a_starting_host_receives_the_capacity_of_other_regions_at_once():
     """A request is bound to another region, and the host that its caller reaches has just started.
 
-    Hosts spoke of what their region can take once a second; whoever came before was refused.
+    Hosts advertised the capacity of their region once per second; any earlier request was refused.
     """
 
     async def scenario():
@@ -325,27 +327,27 @@
 
 
 def test_all_prefixes_of_the_store_are_read_at_the_same_time():
-    """A host far from the store starts again; each call takes a trip of 160 ms.
+    """A host far from the store restarts; each call takes a round trip of 160 ms.
 
-    Read one after the other, it is ready a trip later, and its callers are refused meanwhile.
+    With sequential reads it is ready a round trip later, and refuses its callers until then.
     """
 
     async def scenario():
         async with run_fleet() as fleet:
-            begun = []
-            both = asyncio.Event()
+            requested_prefixes = []
+            both_requested = asyncio.Event()
 
             async def call(path, query, wait_s):
-                begun.append(query["prefix"])
-                if len(begun) == 2:
-                    both.set()
-                await asyncio.wait_for(both.wait(), 1.0)
+                requested_prefixes.append(query["prefix"])
+                if len(requested_prefixes) == 2:
+                    both_requested.set()
+                await asyncio.wait_for(both_requested.wait(), 1.0)
                 return Answer(at=7)
 
             store = fleet.hosts[0].catalogue._store
             fleet.hosts[0].catalogue._store = None
             store._call = call
             assert (await store.read_all()).revision == 7
-            assert len(set(begun)) == 2
+            assert len(set(requested_prefixes)) == 2
 
     play(scenario)
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -1,4 +1,4 @@
-"""What a host that has just started knows before it serves callers, over real hosts and sockets."""
+"""State transfer to a host that has just started, with real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from cloverway.tests.fleet.standins import take_ports
 
 DEADLY = 7
-NEW_S = 0.3
-"""Time within which a host that has started must know what its siblings know."""
+SYNC_TIMEOUT_S = 0.3
+"""Time within which a host that has started must know what the hosts of its region know."""
 
 
 async def restart(fleet, host):
-    """End a host and start it again at once, at its addresses, as an operator's roll does."""
+    """Stop a host and start it again at once with its addresses, as in a rolling restart."""
     listen = host.settings.listen
     await fleet.stop(host)
     addresses = (listen.callers, listen.readiness, listen.lookup, listen.control)
@@ -29,8 +29,8 @@
     return await fleet.add_host(host.settings.domain, ports=ports)
 
 
-async def teach(fleet):
-    """Let all hosts know of a request that ended three endpoints, and of one that leaves."""
+async def record_crashes_and_leaving(fleet):
+    """Make all hosts know of a request that crashed three endpoints, and of a leaving endpoint."""
     now = read_clock()
     for host in fleet.hosts:
         for number in range(3):
@@ -40,15 +40,15 @@
     await asyncio.sleep(0.1)
 
 
-def test_a_host_that_restarts_faster_than_it_is_missed_is_told_what_the_others_know():
-    """Guards against a roll of restarts after which a known deadly request ends the next endpoint.
+def test_a_host_that_restarts_before_it_is_missed_receives_the_state_of_the_others():
+    """Guards against a rolling restart after which a known deadly request crashes an endpoint.
 
-    The others never took it for gone, so none of them took it for a newcomer.
+    The others never missed the host, so none of them treated it as a joining host.
     """
 
     async def scenario():
         async with run_fleet(hosts=3) as fleet:
-            await teach(fleet)
+            await record_crashes_and_leaving(fleet)
             for old in list(fleet.hosts):
                 await wait_for(lambda: all(len(h.gossip._alive_names) == 2 for h in fleet.hosts))
                 began_at = read_clock()
@@ -59,13 +59,13 @@
                     and new.directory.endpoints["desk-0"].has_said_leaving,
                     1,
                 )
-                assert read_clock() - began_at < NEW_S
+                assert read_clock() - began_at < SYNC_TIMEOUT_S
 
     play(scenario)
 
 
-def delay_words(host, seconds):
-    """Let what a host says to others arrive later, as from another region."""
+def delay_datagrams(host, seconds):
+    """Delay all datagrams of a host, as if it were in another region."""
     send = host.gossip._send
     loop = asyncio.get_running_loop()
 
@@ -75,10 +75,11 @@
     host.gossip._send = host.context.news.send = send_late
 
 
-def test_a_host_serves_nobody_before_its_siblings_have_told_it_what_they_know():
-    """Guards against a host that has just started and sends a deadly request on before the word.
+def test_a_joining_host_serves_no_request_before_it_received_the_state_of_the_others():
+    """Guards against a host that forwards a deadly request before it received the quarantine.
 
-    Its configuration is there within milliseconds; callers kept its address and come at once.
+    Its configuration is there within milliseconds, and callers that kept its address reconnect at
+    once.
     """
 
     async def scenario():
@@ -90,7 +91,7 @@
                     crash = Crash(f"gone-{number}", (digest,), read_clock() - 30.0)
                     host.context.quarantine.note_crash(crash)
             old, sibling = fleet.hosts
-            delay_words(sibling, 0.05)
+            delay_datagrams(sibling, 0.05)
             new = await restart(fleet, old)
             reply = await fleet.call("/safe/a", new, body=b"deadly")
             assert reply.status == 503
@@ -100,14 +101,14 @@
     play(scenario)
 
 
-def test_a_host_whose_siblings_say_nothing_serves_all_the_same():
-    """Guards against a fleet that stands still after all of it was restarted or cut apart."""
+def test_a_joining_host_serves_requests_even_if_the_others_send_no_state():
+    """Guards against a fleet that serves nobody after all of it was restarted or partitioned."""
 
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
             await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
             old, sibling = fleet.hosts
-            delay_words(sibling, 3600.0)
+            delay_datagrams(sibling, 3600.0)
             new = await restart(fleet, old)
             began_at = read_clock()
             assert (await fleet.call("/safe/a", new)).status == 200
@@ -117,27 +118,29 @@
     play(scenario)
 
 
-def test_a_host_that_is_still_loading_hears_what_the_others_know(tmp_path):
-    """Guards against a host that waits for the others' word after it could serve already."""
+def test_a_host_that_is_still_loading_receives_the_state_of_the_others(tmp_path):
+    """Guards against a host that is ready to serve and only then asks others for their state."""
 
     async def scenario():
         async with run_fleet(hosts=1) as fleet:
             (host,) = fleet.hosts
-            await teach(fleet)
+            await record_crashes_and_leaving(fleet)
             settings = tmp_path / "settings"
             own = f"127.0.0.1:{take_ports(1)[0]}"
             seed = host.settings.listen.control
             settings.write_text(f'[listen]\ncontrol = "{own}"\n[peers]\nseeds = ["{seed}"]\n')
             early = knock_early(str(settings))
             await asyncio.sleep(0.1)
-            heard = []
+            received = []
             while True:
                 try:
-                    heard.append(CODEC.decode(early.recv(65_536)))
+                    received.append(CODEC.decode(early.recv(65_536)))
                 except BlockingIOError:
                     break
-            assert isinstance(heard[-1], Heartbeat), "it comes last: all else is there by then"
-            assert any(isinstance(message, CrashReport) for message in heard)
+            assert isinstance(
+                received[-1], Heartbeat
+            ), "the heartbeat is sent last, after all updates"
+            assert any(isinstance(message, CrashReport) for message in received)
             early.close()
 
     play(scenario)
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -1,4 +1,4 @@
-"""Requests whose endpoints are silent or full, and how long they are waited for."""
+"""Timeouts of requests whose endpoints are silent or full."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def test_an_idempotent_request_is_run_elsewhere_when_an_endpoint_hangs():
-    """An endpoint takes a request and says nothing more, or its connection went silent for good.
+    """An endpoint accepts a request and sends nothing, or its connection went silent for good.
 
-    Nothing tells the two from an endpoint that works. After a few objectives the request is run
-    elsewhere, well within the caller's time.
+    Both look like an endpoint that is working. After a few objectives the request is run elsewhere,
+    well within the caller's deadline.
     """
 
     async def scenario():
@@ -29,7 +29,7 @@
     play(scenario)
 
 
-def test_a_request_that_may_run_once_is_waited_for_however_long_its_endpoint_is_silent():
+def test_a_non_idempotent_request_is_waited_for_however_long_its_endpoint_is_silent():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
@@ -46,7 +46,7 @@
     play(scenario)
 
 
-def test_a_stream_that_falls_silent_goes_on_elsewhere():
+def test_a_stalled_stream_continues_at_another_endpoint():
     """The connection to an endpoint goes silent after two events, without a close or a reset."""
 
     async def scenario():
@@ -72,11 +72,11 @@
 
 
 @pytest.mark.parametrize(("pause_s", "strained"), [(0.6, True), (0.0, False)])
-def test_the_pauses_of_an_engine_are_its_own(pause_s, strained):
-    """A stream breaks off, and goes on at another endpoint after 0.7 s.
+def test_a_stall_between_endpoints_does_not_count_as_strain_of_the_engine(pause_s, strained):
+    """A stream breaks off and continues at another endpoint after 0.7 s.
 
-    Its caller sees a pause, but no engine reads prompts in every step: taken for strained, the
-    second one would get no long prompts. An engine that pauses between its events is strained.
+    Its caller sees a stall, but no engine prefills in every step: if the second engine counted as
+    strained, it would get no long prompts. An engine that stalls between its events is strained.
     """
 
     async def scenario():
@@ -84,12 +84,12 @@
             first, second = fleet.endpoints["model-0"], fleet.endpoints["model-1"]
             host = fleet.hosts[0]
 
-            async def go_on_late(exchange):
+            async def continue_late(exchange):
                 await asyncio.sleep(0.7)
                 await second.stream(3, 5, gap_s=pause_s)(exchange)
 
             first.answer = first.stream(1, 2, breaks=True)
-            second.answer = go_on_late
+            second.answer = continue_late
             host.directory.endpoints["model-1"].load.note_failure(read_clock())
             reply = await fleet.call("/stream/")
             assert reply.whole
@@ -108,7 +108,10 @@
 
 
 async def publish_engine(fleet, timeout_ms):
-    """Publish a route of streams to one engine, with an objective of 0.5 s, at an old host."""
+    """Publish a streaming route to one engine, with an objective of 0.5 s.
+
+    The host counts as started long ago.
+    """
     route = make_route("cut", "streaming", "model", timeoutMs=timeout_ms)
     fleet.publish([route], [make_service("model", engine=ENGINE)])
     host = fleet.hosts[0]
@@ -119,10 +122,11 @@
     return host.directory.endpoints["model-0"].load
 
 
-def test_an_engine_is_told_where_to_fetch_what_another_one_has_read():
-    """The engine that has read a shared part works on a long prompt; its part is asked for again.
+def test_an_engine_gets_the_address_of_one_with_the_prefix_in_its_cache():
+    """The engine that has prefilled a shared prefix is busy when the prefix is requested again.
 
-    The request goes to the idle engine, with the address of the one that has the part.
+    It works on a long prompt. The request goes to the idle engine, with the address of the one that
+    has the prefix in its cache.
     """
 
     async def scenario():
@@ -150,41 +154,41 @@
     play(scenario)
 
 
-def test_a_request_that_would_wait_too_long_is_refused_at_once():
-    """The only engine has prompts to read for ten seconds, and the route allows three.
+def test_a_request_that_would_exceed_its_timeout_in_the_queue_is_refused_at_once():
+    """The only engine has ten seconds of pending prefill, and the route allows three.
 
-    Held until its time is over, the caller would have lost it for nothing. It is told at once that
-    nothing ran, and to come back when there may be room.
+    Queued until its timeout, the request would have waited for nothing. The caller is told at once
+    that nothing ran, and when to retry.
     """
 
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 3000)
             load.note_read(int(10 / load.read_s_per_token), read_clock())
-            asked_at = read_clock()
+            sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,))
             assert reply.status == 503
-            assert read_clock() - asked_at < 0.5
+            assert read_clock() - sent_at < 0.5
             assert float(reply.headers[b"retry-after"]) >= 3.0
             assert not fleet.endpoints["model-0"].requests
 
     play(scenario)
 
 
-def test_a_request_that_can_only_be_late_is_served_late():
-    """The engine has prompts to read for 0.8 s. The objective is half a second, the time six.
+def test_a_request_that_can_only_miss_its_objective_is_still_served():
+    """The engine has 0.8 s of pending prefill. The objective is half a second, the timeout six.
 
-    Refused after a part of the objective, the caller came back once, met the next queue, and often
-    got nothing.
+    Refused after a part of the objective, the caller retried once, met the next queue and often got
+    no answer.
     """
 
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 6000)
             load.note_read(int(0.8 / load.read_s_per_token), read_clock())
-            asked_at = read_clock()
+            sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,), deadline_ms=6000)
             assert reply.status == 200
-            assert read_clock() - asked_at > 0.5
+            assert read_clock() - sent_at > 0.5
 
     play(scenario)
--- a/cloverway/tests/test_server_fuzz.py
+++ b/cloverway/tests/test_server_fuzz.py
@@ -1,4 +1,4 @@
-"""Damaged and ambiguous requests at the callers' server; no sockets.
+"""Malformed and ambiguous requests at the callers' server; no sockets.
 
 Run more by hand: FUZZ_INPUTS=100000 python -m pytest cloverway/tests/test_server_fuzz.py
 """
@@ -53,7 +53,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written; closing it ends the connection."""
+    """Records what is written; closing it ends the connection."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -90,7 +90,7 @@
 
 
 async def feed(data: bytes) -> tuple[list, bytes]:
-    """Give the requests that the server understood, and what it answered."""
+    """Return the requests that the server parsed, and what it answered."""
     seen = []
 
     async def handle(exchange):
@@ -119,17 +119,18 @@
     lines = [b"POST /a/b HTTP/1.1", b"Host: a", *source.sample(HEADS, source.randint(0, 3))]
     data = b"\r\n".join(lines) + b"\r\n\r\n" + source.choice(BODIES) + SMUGGLED
     if source.random() < 0.3:
-        place = source.randrange(len(data))
-        data = data[:place] + bytes([source.randrange(256)]) + data[place + 1 :]
+        position = source.randrange(len(data))
+        data = data[:position] + bytes([source.randrange(256)]) + data[position + 1 :]
     return data
 
 
-def test_nothing_is_understood_in_two_ways():
-    """A head has a length and chunks, two lengths, odd spaces; then comes a second request.
+def test_each_input_is_refused_or_parsed_in_one_way():
+    """Guards against request smuggling by heads that two parsers understand differently.
 
-    A reader that sees the end of the first request elsewhere than another one would run a piece of
-    a body as a request that nobody sent. Each input is either refused with its connection closed,
-    or read with exactly one meaning.
+    A head has a length and chunks, two lengths or odd spaces, and a second request follows. A
+    parser that sees the end of the first request elsewhere than another one would run a piece of a
+    body as a request that nobody sent. Each input is either refused with its connection closed, or
+    read with exactly one meaning.
     """
 
     async def scenario():
@@ -152,7 +153,7 @@
     asyncio.run(scenario())
 
 
-def test_random_bytes_are_refused_and_leave_nothing_behind():
+def test_random_bytes_are_refused_and_leave_no_task_behind():
     async def scenario():
         source = random.Random(SEED)
         for _ in range(INPUTS // 10):
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of what endpoints say; messages are caught, no network."""
+"""Exchange of endpoints' statements between hosts; messages are captured, without a network."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
         self.exchange = StatementExchange(name, self.directory, Figures())
-        self.news = UpdateBroadcaster(self.members, [self.exchange])
-        self.news.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
+        self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
+        self.broadcaster.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
         self.sent = []
 
     def publish(self, *lives):
@@ -59,8 +59,8 @@
     asyncio.run(scenario())
 
 
-def test_siblings_hear_of_a_limit_at_once():
-    """Guards against hosts that each have to be told by an answer of their own."""
+def test_other_hosts_of_the_region_receive_a_limit_at_once():
+    """Guards against hosts that each have to learn a limit from an answer of their own."""
 
     async def scenario():
         here, there = Side("a", ["b"], far=["c"]), Side("b", ["a"])
@@ -77,8 +77,8 @@
     play(scenario)
 
 
-def test_a_limit_that_changes_with_each_answer_is_told_a_few_times_a_second():
-    """Guards against a message to each host of the region for each answer."""
+def test_a_limit_that_changes_with_each_answer_is_broadcast_a_few_times_per_second():
+    """Guards against a broadcast to the hosts of the region for each answer."""
 
     async def scenario():
         here = Side("a")
@@ -90,8 +90,8 @@
     play(scenario)
 
 
-def test_a_limit_ends_with_an_answer_that_was_asked_for_after_it():
-    """Guards against an old answer that overtakes and lifts a limit which still holds."""
+def test_a_limit_ends_only_with_an_answer_to_a_later_request():
+    """Guards against an old answer that overtakes a newer one and lifts a limit still in force."""
 
     async def scenario():
         here = Side("a")
@@ -105,8 +105,8 @@
     play(scenario)
 
 
-def test_what_holds_is_told_again_and_what_ended_for_a_while():
-    """Guards against hosts that have started, or lost the one datagram, and never hear of it."""
+def test_valid_limits_are_rebroadcast_and_ended_ones_for_a_while():
+    """Guards against hosts that have just started, or lost the datagram, and never learn of it."""
 
     async def scenario():
         here = Side("a", ["b"])
@@ -116,10 +116,10 @@
         here.answer(None, 102.0, OTHER)
         await asyncio.sleep(0.1)
         here.take_sent()
-        here.news.rebroadcast(101.0 + ENDED_LIMIT_REBROADCAST_S - 1)
+        here.broadcaster.rebroadcast(101.0 + ENDED_LIMIT_REBROADCAST_S - 1)
         [(_, report)] = here.take_sent()
         assert {(s.life, s.limit_milli) for s in report.statements} == {(LIFE, 1000), (OTHER, -1)}
-        here.news.rebroadcast(102.0 + ENDED_LIMIT_REBROADCAST_S + 1)
+        here.broadcaster.rebroadcast(102.0 + ENDED_LIMIT_REBROADCAST_S + 1)
         [(_, report)] = here.take_sent()
         assert [s.life for s in report.statements] == [LIFE]
 
@@ -139,7 +139,7 @@
     play(scenario)
 
 
-def test_siblings_hear_that_an_endpoint_leaves_and_go_by_it():
+def test_other_hosts_learn_that_an_endpoint_is_leaving_and_avoid_it():
     """Guards against hosts that send to a leaving endpoint until it has told each of them."""
 
     async def scenario():
@@ -156,8 +156,8 @@
     play(scenario)
 
 
-def test_what_gone_endpoints_said_is_not_told_again():
-    """Guards against news of lives that have long ended, told for ever."""
+def test_statements_of_endpoints_that_are_gone_are_not_rebroadcast():
+    """Guards against endless rebroadcasts about incarnations that ended long ago."""
 
     async def scenario():
         here = Side("a", ["b"])
@@ -166,7 +166,7 @@
         here.answer(None, 100.0, OTHER, leaving=True)
         await asyncio.sleep(0.1)
         here.take_sent()
-        here.news.rebroadcast(300.0)
+        here.broadcaster.rebroadcast(300.0)
         [(_, report)] = here.take_sent()
         assert [(s.life, s.leaving, s.limit_milli) for s in report.statements] == [(LIFE, True, -1)]
 
--- a/cloverway/tests/test_thrift_check.py
+++ b/cloverway/tests/test_thrift_check.py
@@ -15,8 +15,8 @@
 def test_a_list_of_an_unknown_type_is_refused_at_once():
     """A host stops answering for minutes after one datagram.
 
-    The datagram holds a list of 2**31 elements of a type that does not exist. The compiled
-    decoder skips each of them without reading a byte, and holds the interpreter meanwhile.
+    The datagram holds a list of 2**31 elements of a type that does not exist. The compiled decoder
+    skips each of them without reading a byte, and holds the interpreter lock meanwhile.
     """
     with pytest.raises(PeerError):
         check_struct(HOSTILE_LIST)
@@ -35,7 +35,7 @@
         b"\x0c\x00\x01" * 50 + b"\x00" * 51,
     ],
 )
-def test_a_broken_struct_is_refused(body):
+def test_a_malformed_struct_is_refused(body):
     with pytest.raises(PeerError):
         check_struct(body)
 
@@ -51,11 +51,11 @@
         b"\x0c\x00\x01\x00\x00",
     ],
 )
-def test_a_whole_struct_passes(body):
+def test_a_complete_struct_passes(body):
     check_struct(body)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_judged(body):
+def test_any_bytes_pass_or_raise_peer_error(body):
     with contextlib.suppress(PeerError):
         check_struct(body)
