--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -180,10 +180,12 @@
 def test_idle_hosts_of_other_regions_are_not_logged_as_coming_and_going(caplog):
     """Guards against a log full of lines about hosts that send rarely."""
     host = Host(2)
-    far = [p for p in host.members.peers.values() if p.member.region != "north"]
-    far[0].rate = ACTIVE_RATE
+    remote = [p for p in host.members.peers.values() if p.member.region != "north"]
+    remote[0].rate = ACTIVE_RATE
     with caplog.at_level("INFO"):
         host.gossip._update_alive_hosts(0.5)
-    heard = [record.peer for record in caplog.records if record.message == "host_heard"]
-    near = [p.member.name for p in host.members.peers.values() if p.member.region == "north"]
-    assert sorted(heard) == sorted([*near, far[0].member.name])
+    logged = [record.peer for record in caplog.records if record.message == "host_heard"]
+    region_names = [
+        p.member.name for p in host.members.peers.values() if p.member.region == "north"
+    ]
+    assert sorted(logged) == sorted([*region_names, remote[0].member.name])
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -27,11 +27,11 @@
 class Side:
     """One host with the messages that it sent."""
 
-    def __init__(self, name, others=("b",), far=()):
+    def __init__(self, name, others=("b",), remote=()):
         self.members = Members(make_member(name))
         for other in others:
             self.members.hear(make_member(other), 0.0, True, 0.0)
-        for other in far:
+        for other in remote:
             self.members.hear(make_member(other, "south"), 0.0, True, 0.0)
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
@@ -63,7 +63,7 @@
     """Guards against hosts that each have to learn a limit from an answer of their own."""
 
     async def scenario():
-        here, there = Side("a", ["b"], far=["c"]), Side("b", ["a"])
+        here, there = Side("a", ["b"], remote=["c"]), Side("b", ["a"])
         here.answer(2.5, 100.0)
         here.answer(2.5, 100.1)
         await asyncio.sleep(0.1)
