--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -74,16 +74,16 @@
 
     def _broadcast_now(self) -> None:
         self._is_broadcast_scheduled = False
-        listeners = self._list_recipients()
-        if len(listeners) <= MAX_IMMEDIATE_RECIPIENTS:
-            self._broadcast(listeners, False)
+        recipients = self._list_recipients()
+        if len(recipients) <= MAX_IMMEDIATE_RECIPIENTS:
+            self._broadcast(recipients, False)
 
-    def _broadcast(self, listeners: list[Peer], is_refresh: bool) -> None:
+    def _broadcast(self, recipients: list[Peer], is_refresh: bool) -> None:
         uses = tuple(_take_update(endpoint) for endpoint in self._list_changed(is_refresh))
-        if not uses or not listeners:
+        if not uses or not recipients:
             return
         data = CODEC.encode(EndpointUses(self._members.own.name, uses))
-        for peer in listeners:
+        for peer in recipients:
             self._send(peer.member.name, data)
 
     def _list_changed(self, is_refresh: bool) -> list[Endpoint]:
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -46,7 +46,7 @@
         if level is Level.NONE:
             return
         self._own[number] = SuspectRun(wanted.digest, incarnation, level, until)
-        self._note_own()
+        self._publish_own()
         tell(
             "suspect_sent",
             request_id=wanted.call.id,
@@ -59,7 +59,7 @@
     def end(self, number: int) -> None:
         """Record that an attempt has ended, whatever its outcome."""
         if self._own.pop(number, None) is not None:
-            self._note_own()
+            self._publish_own()
 
     def receive(self, report: SuspectReport, is_remote: bool, now: float) -> None:
         """Apply the list of suspects in progress at another host."""
@@ -78,7 +78,7 @@
         """Return all suspects in progress here."""
         return self.list_for_rebroadcast(now)
 
-    def _note_own(self) -> None:
+    def _publish_own(self) -> None:
         self._runs.note(self._own_name, self._own.values())
         self._has_changed = True
         self.schedule_broadcast(0.0)
