--- a/cloverway/core/documents.py
+++ b/cloverway/core/documents.py
@@ -1,11 +1,11 @@
-"""The published documents that a host knows, told apart by what they mean and not by their writes.
+"""The published documents known to a host, compared by content rather than by revision.
 
-Endpoints write their entries every second, and nearly all of these writes say nothing new. Hosts
-that get documents from each other compare digests of what the documents mean: while these are
-equal, a host that did not read the store knows as much as one that did.
+Endpoints write their entries every second, and nearly all of these writes change nothing. Hosts
+that synchronize documents with each other compare digests of the decoded content: while the digests
+are equal, a host that did not read the store is as up to date as one that did.
 
-Others may write there too. What can't be read means nothing: its bytes are not kept and it has no
-part in the digest, so that writing it again and again costs one decode each time and nothing else.
+Other programs may write to the store too. Documents that can't be decoded are not stored and are
+not part of the digest, so that rewriting one costs a decode each time and nothing else.
 """
 
 from __future__ import annotations
@@ -24,159 +24,161 @@
     Snapshot,
 )
 
-MOST_REMOVED = 2_000
-"""Deletions that are remembered for hosts that ask what has changed; whoever asks for older ones is
-given all documents. An hour of them at 840 restarts a day is 35."""
-MOST_UNREADABLE = 2_000
-"""Unreadable documents that are remembered, to tell of each only once and to tell other hosts which
-entries have turned bad. Of more, the ones that were noted first are forgotten."""
-MOST_HELD = 30_000
-"""Documents that are kept: three times the endpoints of the largest deployment aimed at. A writer
-that fills the store must not fill the memory of hosts; what comes beyond is left out."""
+MAX_TOMBSTONES = 2_000
+"""Deletions retained for hosts that request changes; a host that requests older changes receives
+all documents. At 840 restarts a day, an hour has 35 deletions."""
+MAX_UNREADABLE = 2_000
+"""Unreadable documents retained, so that each is reported once and other hosts learn which entries
+became invalid. Beyond this number the oldest are forgotten."""
+MAX_DOCUMENTS = 30_000
+"""Documents stored: three times the endpoints of the largest deployment planned for. Further
+documents are ignored, so that a writer that fills the store can't exhaust the memory of hosts."""
 
 Decode = Callable[[Iterable[Document]], list[Publication]]
 
 
-class _Held(NamedTuple):
+class _KnownDocument(NamedTuple):
     document: Document
-    meaning: int
-    """A hash of what it means."""
-    changed_at: int
-    """The revision at which the meaning was new to this host."""
+    content_hash: int
+    """Hash of the content, without the counters of endpoint entries."""
+    changed_revision: int
+    """The revision at which this host first saw this content."""
 
 
 class DocumentTable:
-    """All documents up to a revision of the store."""
+    """All known documents up to a revision of the store."""
 
     def __init__(self, decode: Decode) -> None:
         self.revision = 0
         self.digest = 0
-        """Of the meanings of all documents; equal on hosts that know the same."""
+        """XOR of the content hashes of all documents; equal on hosts with the same content."""
         self._decode = decode
-        self._held: dict[str, _Held] = {}
+        self._known: dict[str, _KnownDocument] = {}
         self._removed: OrderedDict[str, int] = OrderedDict()
         self._unreadable: OrderedDict[str, int] = OrderedDict()
-        """The keys of unreadable documents, and the revisions at which they became that."""
+        """Keys of unreadable documents, with the revision at which each became unreadable."""
         self._complete_since = 0
-        """The revision since which every change is known here, deletions too."""
+        """The revision since which this table knows every change, including deletions."""
 
     def apply(self, snapshot: Snapshot) -> list[Publication]:
-        """Take over documents; give those whose meaning is new. An older snapshot does nothing."""
+        """Apply a snapshot; return the documents whose content changed. Ignore an older one."""
         if snapshot.revision < self.revision:
             return []
         documents = [item for item in snapshot.documents if self._is_newer(item)]
-        if snapshot.whole:
+        if snapshot.complete:
             documents += self._list_absent(snapshot)
             self._complete_since = snapshot.revision
         changed = [p for document in documents for p in self._apply_one(document)]
         self.revision = snapshot.revision
         return changed
 
-    def follow(self, revision: int, digest: int) -> bool:
-        """Take over a later revision from a host that knows the same; tell whether it does."""
+    def adopt_revision(self, revision: int, digest: int) -> bool:
+        """Adopt a later revision from a host with the same digest; return whether it was done."""
         if digest != self.digest or revision < self.revision:
             return False
         self.revision = revision
         return True
 
-    def export(self, after: int) -> Snapshot:
-        """Give what has changed since a revision; all documents where that is not known."""
+    def export_since(self, after: int) -> Snapshot:
+        """Return the changes since a revision, or all documents where those aren't known."""
         if not self._complete_since <= after <= self.revision:
-            good = [held.document for held in self._held.values()]
-            bad = [
-                _make_unreadable(key, at)
+            readable = [known.document for known in self._known.values()]
+            unreadable = [
+                _make_unreadable_document(key, at)
                 for key, at in self._unreadable.items()
-                if key not in self._held
+                if key not in self._known
             ]
-            return Snapshot(self.revision, (*good, *bad), True)
-        changed = [h.document for h in self._held.values() if h.changed_at > after]
+            return Snapshot(self.revision, (*readable, *unreadable), True)
+        changed = [k.document for k in self._known.values() if k.changed_revision > after]
         removed = [Document(key, at, None) for key, at in self._removed.items() if at > after]
-        bad = [_make_unreadable(key, at) for key, at in self._unreadable.items() if at > after]
-        return Snapshot(self.revision, (*changed, *removed, *bad), False)
+        unreadable = [
+            _make_unreadable_document(key, at) for key, at in self._unreadable.items() if at > after
+        ]
+        return Snapshot(self.revision, (*changed, *removed, *unreadable), False)
 
     def _is_newer(self, document: Document) -> bool:
-        held = self._held.get(document.key)
-        if held is not None:
-            return document.revision > held.document.revision
+        known = self._known.get(document.key)
+        if known is not None:
+            return document.revision > known.document.revision
         seen_at = max(self._removed.get(document.key, -1), self._unreadable.get(document.key, -1))
         return document.revision > seen_at
 
     def _list_absent(self, snapshot: Snapshot) -> list[Document]:
         present = {document.key for document in snapshot.documents}
-        known = {*self._held, *self._unreadable}
-        return [Document(key, snapshot.revision, None) for key in known if key not in present]
+        known_keys = {*self._known, *self._unreadable}
+        return [Document(key, snapshot.revision, None) for key in known_keys if key not in present]
 
     def _apply_one(self, document: Document) -> list[Publication]:
-        held = self._held.get(document.key)
+        known = self._known.get(document.key)
         publications = self._decode((document,))
-        if not publications or (held is None and len(self._held) >= MOST_HELD):
+        if not publications or (known is None and len(self._known) >= MAX_DOCUMENTS):
             return []
         match publications:
             case [EndpointUnreadable() | DocumentUnreadable()]:
-                return self._note_unreadable(document, held, publications)
+                return self._record_unreadable(document, known, publications)
         if document.value is None:
-            return self._remove(document, held, publications)
-        return self._hold(document, held, publications)
+            return self._remove(document, known, publications)
+        return self._store(document, known, publications)
 
-    def _hold(
-        self, document: Document, held: _Held | None, publications: list[Publication]
+    def _store(
+        self, document: Document, known: _KnownDocument | None, publications: list[Publication]
     ) -> list[Publication]:
         self._removed.pop(document.key, None)
-        was_bad = self._unreadable.pop(document.key, None) is not None
-        meaning = _hash_meaning(document, publications)
-        if held is not None and held.meaning == meaning:
-            self._held[document.key] = held._replace(document=document)
-            return publications if was_bad else []
-        self.digest ^= meaning ^ (held.meaning if held is not None else 0)
-        self._held[document.key] = _Held(document, meaning, document.revision)
+        was_unreadable = self._unreadable.pop(document.key, None) is not None
+        content_hash = _hash_content(document, publications)
+        if known is not None and known.content_hash == content_hash:
+            self._known[document.key] = known._replace(document=document)
+            return publications if was_unreadable else []
+        self.digest ^= content_hash ^ (known.content_hash if known is not None else 0)
+        self._known[document.key] = _KnownDocument(document, content_hash, document.revision)
         return publications
 
-    def _note_unreadable(
-        self, document: Document, held: _Held | None, publications: list[Publication]
+    def _record_unreadable(
+        self, document: Document, known: _KnownDocument | None, publications: list[Publication]
     ) -> list[Publication]:
-        """Remember an unreadable document; give what is to be told of it, once.
+        """Record an unreadable document; return its publications the first time.
 
-        An endpoint's entry is no longer in force then; another document stays as it was.
+        The entry of an endpoint is dropped; any other document keeps its last valid value.
         """
         if isinstance(publications[0], EndpointUnreadable):
-            self._drop(document.key, held)
+            self._drop(document.key, known)
         if document.key in self._unreadable:
             return []
         self._unreadable[document.key] = document.revision
-        if len(self._unreadable) > MOST_UNREADABLE:
+        if len(self._unreadable) > MAX_UNREADABLE:
             _, forgotten_at = self._unreadable.popitem(last=False)
             self._complete_since = max(self._complete_since, forgotten_at)
         return publications
 
     def _remove(
-        self, document: Document, held: _Held | None, publications: list[Publication]
+        self, document: Document, known: _KnownDocument | None, publications: list[Publication]
     ) -> list[Publication]:
-        was_bad = self._unreadable.pop(document.key, None) is not None
-        if held is None and not was_bad:
+        was_unreadable = self._unreadable.pop(document.key, None) is not None
+        if known is None and not was_unreadable:
             return []
-        self._drop(document.key, held)
+        self._drop(document.key, known)
         self._removed[document.key] = document.revision
-        if len(self._removed) > MOST_REMOVED:
+        if len(self._removed) > MAX_TOMBSTONES:
             _, dropped_at = self._removed.popitem(last=False)
             self._complete_since = max(self._complete_since, dropped_at)
         return publications
 
-    def _drop(self, key: str, held: _Held | None) -> None:
-        if held is not None:
-            del self._held[key]
-            self.digest ^= held.meaning
+    def _drop(self, key: str, known: _KnownDocument | None) -> None:
+        if known is not None:
+            del self._known[key]
+            self.digest ^= known.content_hash
 
 
-def _make_unreadable(key: str, revision: int) -> Document:
-    """Give a document that no host can read: its own bytes are not kept."""
+def _make_unreadable_document(key: str, revision: int) -> Document:
+    """Return a placeholder that no host can decode; the original bytes aren't stored."""
     return Document(key, revision, b"")
 
 
-def _hash_meaning(document: Document, publications: list[Publication]) -> int:
-    """Hash what a document means, alike on all hosts and never 0."""
+def _hash_content(document: Document, publications: list[Publication]) -> int:
+    """Hash the content of a document; the hash is the same on all hosts and never 0."""
     match publications:
         case [EndpointPublished(_, entry)]:
-            # Without the counters that an endpoint writes anew each time.
+            # The entry leaves out the counters that an endpoint changes with each write.
             data = repr(entry).encode()
         case _:
             data = document.value or b""
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -5,12 +5,12 @@
 import asyncio
 import contextlib
 
-from cloverway.core.budget import RetryBudget
 from cloverway.core.deployment import Configuration
 from cloverway.core.endpoints import Directory
-from cloverway.core.failures import UsualFailures
+from cloverway.core.failures import FailureBaseline
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
+from cloverway.core.retry_budget import RetryBudget
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.crashes import CrashExchange
@@ -50,7 +50,7 @@
         self.dialect = dialect
         self.figures = figures
         self.pool = ConnectionPool(figures.note_connect)
-        self.usual_failures = UsualFailures()
+        self.failure_baseline = FailureBaseline()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
         self.crashes = CrashExchange(own_name, self.quarantine, figures)
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -44,8 +44,8 @@
     def note_peer(self, peer: Peer, now: float) -> None:
         """Compare the documents with those that another host has just reported."""
         table = self._catalogue.table
-        if table.follow(peer.revision, peer.digest):
-            read_at = now - peer.read_age_s - ONE_WAY_LATENCY_S
+        if table.adopt_revision(peer.revision, peer.digest):
+            read_at = now - peer.store_read_age_s - ONE_WAY_LATENCY_S
             self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         elif self._has_newer(peer) and peer.member.domain == self._members.own.domain:
             self._newer_available.set()
@@ -79,7 +79,7 @@
             peer
             for peer in self._members.peers.values()
             if self._has_newer(peer)
-            and now >= peer.failed_until
+            and now >= peer.backoff_until
             and self._members.is_alive(peer, now)
         ]
         own = self._members.own
@@ -103,10 +103,10 @@
                 snapshot = await self._fetch(peer, None)
                 self._apply(snapshot)
         except (ConnectError, ResponseError, PeerError) as error:
-            peer.failed_until = read_clock() + FETCH_TIMEOUT_S
+            peer.backoff_until = read_clock() + FETCH_TIMEOUT_S
             tell("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
-        read_at = sent_at - peer.read_age_s - ONE_WAY_LATENCY_S
+        read_at = sent_at - peer.store_read_age_s - ONE_WAY_LATENCY_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
         tell(
             "documents_fetched",
@@ -122,7 +122,7 @@
         request = h11.Request(method="GET", target=target, headers=[(b"Host", b"peer")])
         head, body = await fetch(
             self._pool,
-            peer.member.inner,
+            peer.member.forwarding_address,
             request,
             b"",
             timeout_s=FETCH_TIMEOUT_S,
@@ -150,9 +150,11 @@
     if parts.path != SNAPSHOT_PATH:
         return None
     after = parse_qs(parts.query).get("after", [""])[0]
-    snapshot = table.export(int(after) if after.isdigit() else -1)
+    snapshot = table.export_since(int(after) if after.isdigit() else -1)
     documents = tuple(
         StoredDocument(item.key, item.revision, item.value or b"", item.value is None)
         for item in snapshot.documents
     )
-    return CODEC.encode(StoredSnapshot(snapshot.revision, documents, snapshot.whole, table.digest))
+    return CODEC.encode(
+        StoredSnapshot(snapshot.revision, documents, snapshot.complete, table.digest)
+    )
--- a/cloverway/serving/hosts/broadcast.py
+++ b/cloverway/serving/hosts/broadcast.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
-from cloverway.core.members import Members, rank_for
+from cloverway.core.members import Members, rank_host
 from cloverway.serving.clock import read_clock, wait_for_tick
 
 BROADCAST_DELAY_S = 0.02
@@ -137,11 +137,11 @@
         own = self._members.own
         members = [other.member for other in self._members.list_alive(now)]
         regions = {own.region, *(member.region for member in members)}
-        senders = sorted(regions, key=lambda region: rank_for(name, region))[:SYNC_SENDER_REGIONS]
+        senders = sorted(regions, key=lambda region: rank_host(name, region))[:SYNC_SENDER_REGIONS]
         if own.region not in senders and not self._is_same_region(name):
             return False
         region_hosts = {member.name for member in members if member.region == own.region}
-        ranked = sorted({own.name, *region_hosts} - {name}, key=lambda host: rank_for(name, host))
+        ranked = sorted({own.name, *region_hosts} - {name}, key=lambda host: rank_host(name, host))
         return own.name in ranked[:SYNC_SENDERS_PER_REGION]
 
     def _is_same_region(self, name: str) -> bool:
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from cloverway.core.quarantine import Crash, CrashNews, Quarantine
+from cloverway.core.quarantine import Crash, CrashUpdate, Quarantine
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, CrashReport, EndpointCrash
@@ -72,7 +72,7 @@
         recorded = [new for crash in received if (new := self._quarantine.note_crash(crash))]
         for crash in recorded:
             requests = len(crash.digests)
-            tell("end_heard", life=crash.life, requests=requests, peer=report.host)
+            tell("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
             self._log_blocked_requests(crash, now)
         if is_remote:
             self._forwarded.extend(recorded)
@@ -80,43 +80,43 @@
 
     def take_pending(self, now: float) -> UpdateBatch:
         """Return the pending updates and clear them."""
-        detected = CrashNews(tuple(map(_merge, self._detected.values())), tuple(self._served))
-        forwarded = CrashNews(tuple(self._forwarded), ())
+        detected = CrashUpdate(tuple(map(_merge, self._detected.values())), tuple(self._served))
+        forwarded = CrashUpdate(tuple(self._forwarded), ())
         self._detected, self._served, self._forwarded = (
             defaultdict(list),
             [],
             [],
         )
         for crash in detected.crashes:
-            tell("endpoint_ended", life=crash.life, requests=len(crash.digests))
+            tell("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
         messages = self._encode(detected, now)
         return UpdateBatch([*messages, *self._encode(forwarded, now)], messages)
 
     def list_for_rebroadcast(self, now: float) -> list[bytes]:
         """Return messages with the crashes of the last seconds."""
-        return self._encode(self._quarantine.list_news(now - REBROADCAST_S, MAX_DIGESTS), now)
+        return self._encode(self._quarantine.list_updates(now - REBROADCAST_S, MAX_DIGESTS), now)
 
     def list_for_joining_host(self, now: float) -> list[bytes]:
         """Return messages with recent crashes, and older crashes that block requests."""
-        recent = self._quarantine.list_news(now - SYNC_AGE_S, MAX_SYNC_REQUESTS)
-        blocked = self._quarantine.list_held(now, MAX_SYNC_REQUESTS)
+        recent = self._quarantine.list_updates(now - SYNC_AGE_S, MAX_SYNC_REQUESTS)
+        blocked = self._quarantine.list_blocked_crashes(now, MAX_SYNC_REQUESTS)
         return self._encode(recent._replace(crashes=recent.crashes + blocked), now)
 
-    def _encode(self, updates: CrashNews, now: float) -> list[bytes]:
+    def _encode(self, updates: CrashUpdate, now: float) -> list[bytes]:
         return [_encode(self._own_name, batch, now) for batch in _split(updates)]
 
     def _log_blocked_requests(self, crash: Crash, now: float) -> None:
         """Log the requests that are blocked from now on."""
         for digest in crash.digests:
-            hold = self._quarantine.get_hold(digest, now)
+            hold = self._quarantine.get_block(digest, now)
             if hold is not None:
                 self._figures.note_event("request_held")
                 tell(
                     "request_held",
                     request_digest=f"{digest:016x}",
-                    ends=hold.ends,
-                    hold_s=round(hold.left_s, 1),
-                    life=crash.life,
+                    ends=hold.crashes,
+                    hold_s=round(hold.remaining_s, 1),
+                    life=crash.incarnation,
                 )
 
 
@@ -126,10 +126,10 @@
     return crashes[-1]._replace(digests=digests)
 
 
-def _split(updates: CrashNews) -> Iterator[CrashNews]:
+def _split(updates: CrashUpdate) -> Iterator[CrashUpdate]:
     """Split updates into parts that fit into one datagram each."""
     for first in range(0, len(updates.served), MAX_DIGESTS):
-        yield CrashNews((), updates.served[first : first + MAX_DIGESTS])
+        yield CrashUpdate((), updates.served[first : first + MAX_DIGESTS])
     batch: list[Crash] = []
     room = MAX_DIGESTS
     for crash in updates.crashes:
@@ -137,17 +137,19 @@
             piece = crash._replace(digests=crash.digests[first : first + MAX_DIGESTS])
             size = len(piece.digests) + INCARNATION_SIZE
             if batch and size > room:
-                yield CrashNews(tuple(batch), ())
+                yield CrashUpdate(tuple(batch), ())
                 batch, room = [], MAX_DIGESTS
             batch.append(piece)
             room -= size
     if batch:
-        yield CrashNews(tuple(batch), ())
+        yield CrashUpdate(tuple(batch), ())
 
 
-def _encode(host: str, updates: CrashNews, now: float) -> bytes:
+def _encode(host: str, updates: CrashUpdate, now: float) -> bytes:
     crashes = tuple(
-        EndpointCrash(crash.life, crash.digests, min(MAX_AGE_MS, int((now - crash.at) * 1000)))
+        EndpointCrash(
+            crash.incarnation, crash.digests, min(MAX_AGE_MS, int((now - crash.at) * 1000))
+        )
         for crash in updates.crashes
     )
     return CODEC.encode(CrashReport(host, crashes, updates.served))
--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -65,7 +65,7 @@
             return
         for use in message.uses:
             endpoint = self._directory.endpoints.get(use.endpoint)
-            if endpoint is not None and (endpoint.entry.born_ms or 0) == use.born_ms:
+            if endpoint is not None and (endpoint.entry.started_ms or 0) == use.born_ms:
                 # What was sent to another incarnation is neither running nor in memory here.
                 parts = [PromptPart(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
                 load = SiblingLoad(use.running, use.unread, use.held, now)
@@ -104,5 +104,5 @@
         tuple(part.id for part in update.parts),
         tuple(part.tokens for part in update.parts),
         update.read,
-        endpoint.entry.born_ms or 0,
+        endpoint.entry.started_ms or 0,
     )
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from cloverway.core.calls import Header
-from cloverway.core.pauses import Gap
 from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
+from cloverway.core.token_gaps import Gap
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.client import ClientExchange, ResponseHead
 from cloverway.serving.http.event_stream import EventSplitter
@@ -99,7 +99,7 @@
 
     def _make_gap(self, seconds: float, events: int) -> Gap:
         shape = self._wanted.service.engine
-        tokens = events * shape.event_tokens if shape is not None else 0
+        tokens = events * shape.tokens_per_event if shape is not None else 0
         return Gap(seconds, self._wanted.route.gap_objective_s or DEFAULT_GAP_S, tokens)
 
 
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.core.entry import SETTLE_S
+from cloverway.core.lookup import MIN_LOOKUP_AGE_S
 from cloverway.platform.store import Answer
 from cloverway.serving.clock import read_clock
 from cloverway.serving.documents.catalogue import MAX_FOLLOWER_AGE_S
@@ -173,7 +173,7 @@
             await wait_for(
                 lambda: sum(peer.member.ready for peer in south.members.peers.values()) == 2
             )
-            south.started_at -= SETTLE_S
+            south.started_at -= MIN_LOOKUP_AGE_S
             status, addresses = await look_up(fleet, south)
             assert status == 200
             assert set(addresses) == north
@@ -207,7 +207,7 @@
             with caplog.at_level("INFO"):
                 assert (await look_up(fleet, other))[0] == 503
             assert "lookup_refused" in caplog.messages
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(MIN_LOOKUP_AGE_S)
             status, addresses = await look_up(fleet, other)
             assert (status, len(addresses)) == (200, 2)
 
@@ -254,7 +254,7 @@
             await asyncio.sleep(0.3)
             for host in fleet.hosts:
                 for peer in host.members.peers.values():
-                    peer.rate = 10.0
+                    peer.request_rate = 10.0
             for endpoint in fleet.endpoints.values():
                 endpoint.answer = endpoint.answer_never
             tokens = (b"X-Cloverway-Token-Usage", b"9000,50")
@@ -319,7 +319,7 @@
             norths = [await fleet.add_host("d1", seeds=(south.members.own.name,)) for _ in range(3)]
             peers = [host.members.peers for host in norths]
             await wait_for(
-                lambda: all(any(peer.offers for peer in known.values()) for known in peers),
+                lambda: all(any(peer.advertised for peer in known.values()) for known in peers),
                 0.5,
             )
 
