--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -217,7 +217,7 @@
             return False
         region = published.region_of(published.hosts[host].domain)
         try:
-            return region in residency.allowed_regions(published, team, profile)
+            return region in residency.get_allowed_regions(published, team, profile)
         except RequestError:
             return False
 
--- a/cloverway/dispatch/admission.py
+++ b/cloverway/dispatch/admission.py
@@ -82,7 +82,7 @@
 
     def estimate_offered_load_above(self, urgency: Urgency, now: float) -> float:
         """Return the slots that more urgent work is expected to use, from its recent arrivals."""
-        return sum(self._offered_load[other].rate(now) for other in Urgency if other > urgency)
+        return sum(self._offered_load[other].get_rate(now) for other in Urgency if other > urgency)
 
     def add(self, entry: QueueEntry) -> None:
         """Add a request to the queue.
@@ -227,9 +227,9 @@
         self._usage = defaultdict(
             float,
             {
-                team: used
-                for team, used in self._usage.items()
-                if team in present or used > self._virtual_time
+                team: usage
+                for team, usage in self._usage.items()
+                if team in present or usage > self._virtual_time
             },
         )
 
@@ -243,14 +243,14 @@
 
     def add(self, amount: float, now: float) -> None:
         """Add an amount at a point in time."""
-        self._sum = self._decayed(now) + amount
+        self._sum = self._get_decayed_sum(now) + amount
         self._at = now
 
-    def rate(self, now: float) -> float:
+    def get_rate(self, now: float) -> float:
         """Return the recent amount per second."""
-        return self._decayed(now) * log(2) / RATE_HALF_LIFE_S
+        return self._get_decayed_sum(now) * log(2) / RATE_HALF_LIFE_S
 
-    def _decayed(self, now: float) -> float:
+    def _get_decayed_sum(self, now: float) -> float:
         if self._at == float("-inf"):
             return 0.0
         return float(self._sum * 0.5 ** (max(0.0, now - self._at) / RATE_HALF_LIFE_S))
@@ -275,7 +275,7 @@
         Each refusal is scheduled after the earlier ones, at the measured completion rate. If all
         callers got the same time, they would retry together and be refused together.
         """
-        rate = max(self._done.rate(now), MIN_RATE_FRACTION * slots, MIN_RATE_FRACTION)
+        rate = max(self._done.get_rate(now), MIN_RATE_FRACTION * slots, MIN_RATE_FRACTION)
         start = max(now + queued_s / rate, self._scheduled_until)
         self._scheduled_until = min(start + cost_s / rate, now + MAX_RETRY_AFTER_S)
         wait = (self._scheduled_until - now) * random.uniform(
--- a/cloverway/dispatch/catalogue.py
+++ b/cloverway/dispatch/catalogue.py
@@ -31,7 +31,7 @@
         """Return the capacity of each failure domain with endpoints for a model or service."""
         return self._capacities.get(target, [])
 
-    def hosts(self, domain: str) -> list[str]:
+    def list_hosts(self, domain: str) -> list[str]:
         """Return the names of a failure domain's hosts, sorted."""
         return self._hosts.get(domain, [])
 
--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -259,13 +259,13 @@
         is_free = context.router.count_free(states) > 0
         overdue = queue.find_overdue_class()
         tried = 0
-        for turn, entry in enumerate(order):
+        for position, entry in enumerate(order):
             reach = self._policy.reach if review or entry is arrival else Reach.HOME
-            has_turn = entry.urgency in admissible or (turn == 0 and entry.urgency is overdue)
-            tries_local = is_free or entry is arrival or review
+            has_turn = entry.urgency in admissible or (position == 0 and entry.urgency is overdue)
+            considers_local = is_free or entry is arrival or review
             local = (
                 states
-                if admissible and tries_local and tried < LOOKAHEAD_ENTRIES and has_turn
+                if admissible and considers_local and tried < LOOKAHEAD_ENTRIES and has_turn
                 else []
             )
             tried += bool(local)
@@ -291,20 +291,20 @@
         slowly, and an urgent request would have to wait for one. A class reserves at least as many
         slots as each more urgent class.
         """
-        if not context.router.has_room(states):
+        if not context.router.has_capacity(states):
             return frozenset()
         free = context.router.count_free(states)
         slots = context.router.estimate_slots(states)
-        downward = sorted(Urgency, reverse=True)
+        classes = sorted(Urgency, reverse=True)
         reserved = itertools.accumulate(
             (
                 self._count_reserved_slots(queue, order[0].target, each, slots, context.now)
-                for each in downward
+                for each in classes
             ),
             max,
         )
         return frozenset(
-            each for each, count in zip(downward, reserved, strict=True) if free >= 1 + count
+            each for each, count in zip(classes, reserved, strict=True) if free >= 1 + count
         )
 
     def _count_reserved_slots(
@@ -318,8 +318,8 @@
         above = queue.estimate_offered_load_above(urgency, now)
         if above < MIN_EXPECTED_SLOTS:
             return NO_RESERVATION
-        wanted = min(ceil(above + 2 * sqrt(above)), floor(MAX_RESERVED_FRACTION * slots))
-        return max(NO_RESERVATION, wanted - self._tickets.count_more_urgent(target, urgency))
+        target_count = min(ceil(above + 2 * sqrt(above)), floor(MAX_RESERVED_FRACTION * slots))
+        return max(NO_RESERVATION, target_count - self._tickets.count_more_urgent(target, urgency))
 
     def _admit(
         self,
--- a/cloverway/dispatch/dispatcher.py
+++ b/cloverway/dispatch/dispatcher.py
@@ -92,7 +92,7 @@
 
     def submit(self, request: Request) -> Verdict:
         """Wait for a route or a refusal, at most until shortly after the request's deadline."""
-        return self._ask_verdict(Arrival(request), request)
+        return self._wait_for_verdict(Arrival(request), request)
 
     def started(self, ticket: int, at: float) -> None:
         """Record the first byte of an answer."""
@@ -136,7 +136,7 @@
         """Return the number of requests in progress by model or service."""
         return self._stats.targets
 
-    def _ask_verdict(self, message: Arrival, request: Request) -> Verdict:
+    def _wait_for_verdict(self, message: Arrival, request: Request) -> Verdict:
         answer = self._task.send(message)
         try:
             verdict: Verdict = answer.result(request.deadline - self._clock() + VERDICT_GRACE_S)
@@ -161,10 +161,10 @@
                 answer.set_result(None)
             case Finished(ticket, outcome, at, retry, pause_s):
                 retry_id = self._register(answer) if retry else None
-                decided = self._core.finish(
+                decisions = self._core.finish(
                     ticket, outcome, view, now, self._random, retry=retry_id, pause_s=pause_s
                 )
-                self._deliver(decided)
+                self._deliver(decisions)
                 if retry_id is None:
                     answer.set_result(None)
             case Cancelled(request_id):
@@ -181,7 +181,7 @@
         self._waiting[entry_id] = answer
         return entry_id
 
-    def _deliver(self, decided: Iterable[Decision]) -> None:
+    def _deliver(self, decisions: Iterable[Decision]) -> None:
         self._stats = self._core.get_stats()
-        for entry_id, verdict in decided:
+        for entry_id, verdict in decisions:
             self._waiting.pop(entry_id).set_result(verdict)
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -89,7 +89,7 @@
         home_wait_s=None if home == HOME_CANNOT_SERVE else round(0.0 if chosen else home.wait_s, 4),
         candidates=[
             *_explain_candidates(
-                options, chosen, lambda place: policy.adjust_away_cost(place, options)
+                options, chosen, lambda away: policy.adjust_away_cost(away, options)
             ),
             *_explain_excluded(context.router, entry, allowed, options),
         ],
@@ -205,8 +205,8 @@
     if capacity.region not in allowed:
         return "residency does not allow this region"
     if router.learned.outliers.is_paused(make_domain_key(capacity.domain), router.now):
-        return "left alone after it refused"
+        return "paused after a refusal"
     summary = router.view.summaries.get((capacity.domain, target))
     if summary is not None and not router.is_usable(summary):
         return "no endpoint is ready, or its summary is too old"
-    return "no live host is known there"
+    return "no live host is known in this failure domain"
--- a/cloverway/dispatch/limits.py
+++ b/cloverway/dispatch/limits.py
@@ -10,7 +10,7 @@
 
 from cloverway.membership.view import EndpointState
 
-HISTORY_S = 10.0
+HISTORY_RETENTION_S = 10.0
 """Retention of own in-flight counts; older reports are not used."""
 STALE_REPORT_S = 3.0
 """Maximum age of a report; with an older one, a host uses only its own share of the slots."""
@@ -54,7 +54,7 @@
                 return count
         return 0
 
-    def mean_age(self, now: float) -> float:
+    def compute_mean_age(self, now: float) -> float:
         """Return the mean age of the attempts in progress, each relative to its expected time."""
         if not self.in_flight:
             return 0.0
@@ -64,7 +64,7 @@
         self.in_flight += delta
         assert self.in_flight >= 0, "in flight is never negative"
         self._changes.append((now, self.in_flight))
-        while len(self._changes) > 1 and self._changes[1][0] < now - HISTORY_S:
+        while len(self._changes) > 1 and self._changes[1][0] < now - HISTORY_RETENTION_S:
             self._changes.popleft()
         if not self.in_flight:
             self._start_sum = self._rate_sum = self.pending_prefill_s = 0.0
--- a/cloverway/dispatch/placement.py
+++ b/cloverway/dispatch/placement.py
@@ -8,7 +8,7 @@
 from cloverway.dispatch.admission import QueueEntry, RequestQueue
 from cloverway.dispatch.policies import HomeEstimate, PlacementOptions, Reach
 from cloverway.dispatch.prompts import Prefix
-from cloverway.dispatch.residency import allowed_regions
+from cloverway.dispatch.residency import get_allowed_regions
 from cloverway.dispatch.routing import Candidate, Router
 from cloverway.errors import Kind
 from cloverway.membership.view import EndpointState
@@ -63,7 +63,7 @@
 
     def list_allowed_regions(self, request: Request) -> frozenset[str]:
         """Return the allowed regions by the current configuration, not the one at arrival."""
-        return allowed_regions(self.published, request.team, request.profile)
+        return get_allowed_regions(self.published, request.team, request.profile)
 
     def find_refusal(self, request: Request) -> Kind | None:
         """Return why a request must be refused at arrival, or None."""
@@ -81,7 +81,7 @@
             target=profile.target,
             urgency=profile.priority,
             weight=self.published.teams[request.team].weight,
-            cost_s=self.router.learned.estimates.service_s(request.profile, profile),
+            cost_s=self.router.learned.estimates.estimate_service_s(request.profile, profile),
             prefix=Prefix.from_body(request.body if profile.model else b""),
             entered_at=self.now,
         )
@@ -111,7 +111,7 @@
     ) -> bool:
         if reach is Reach.HOME or not may_be_passed_on(entry):
             return False
-        uncached_first_token_s = self.router.learned.estimates.first_token_s(
+        uncached_first_token_s = self.router.learned.estimates.estimate_first_token_s(
             entry.target, entry.prefix.length
         )
         return reach is Reach.ALL or not has_good_local_candidate(
@@ -129,7 +129,7 @@
             return HOME_CANNOT_SERVE
         wait_s = queue.predict_wait(entry, self.router.estimate_slots(states), self.now)
         estimates = self.router.learned.estimates
-        first_token_s = estimates.first_token_s(entry.target, entry.prefix.length / 2)
+        first_token_s = estimates.estimate_first_token_s(entry.target, entry.prefix.length / 2)
         return HomeEstimate(wait_s + first_token_s, self.now + wait_s <= entry.latest_start, wait_s)
 
     def find_queue_refusal(self, queue: RequestQueue, entry: QueueEntry) -> Kind | None:
--- a/cloverway/dispatch/prompts.py
+++ b/cloverway/dispatch/prompts.py
@@ -39,7 +39,7 @@
         """The rendezvous hashing key for this prefix; empty for a short prompt."""
         return self.hashes[min(1, len(self.hashes) - 1)] if self.hashes else b""
 
-    def uncached_bytes(self, matched: int) -> int:
+    def count_uncached_bytes(self, matched: int) -> int:
         """Return the bytes that an engine must prefill if it has cached `matched` blocks."""
         return self.length - matched * BLOCK_BYTES
 
--- a/cloverway/dispatch/residency.py
+++ b/cloverway/dispatch/residency.py
@@ -9,7 +9,7 @@
 NO_REGIONS: frozenset[str] = frozenset()
 
 
-def allowed_regions(published: Published, team: str, profile: str) -> frozenset[str]:
+def get_allowed_regions(published: Published, team: str, profile: str) -> frozenset[str]:
     """Return the regions that may serve a team's requests with a profile; empty means refuse.
 
     An unknown team, profile or region allows no region, since its residency can't be checked.
@@ -32,5 +32,5 @@
     """
     if published is None:
         raise RequestError(Kind.STARTING)
-    if region not in allowed_regions(published, request.team, request.profile):
+    if region not in get_allowed_regions(published, request.team, request.profile):
         raise RequestError(Kind.RESIDENCY, f"may not be served in region {region!r}")
--- a/cloverway/dispatch/retries.py
+++ b/cloverway/dispatch/retries.py
@@ -9,7 +9,6 @@
 
 BUDGET_WINDOW_S = 10.0
 RETRIES_PER_SUCCESS = 0.1
-"""Retries per recent success."""
 MIN_RETRIES = 1
 """Retries in a window without any success, so that a host with little traffic can retry too."""
 
--- a/cloverway/dispatch/routing.py
+++ b/cloverway/dispatch/routing.py
@@ -92,22 +92,22 @@
 
     def record_slowdown(self, sample: float, now: float) -> None:
         """Record a measured time divided by the expected one."""
-        self._slowdown.value = self.slowdown(now)
+        self._slowdown.value = self.get_slowdown(now)
         self._slowdown.add(min(20.0, sample))
         self._slowdown_at = now
 
-    def slowdown(self, now: float) -> float:
+    def get_slowdown(self, now: float) -> float:
         """Return the slowdown factor of the destination; 1 is as expected."""
         faded = 0.5 ** (max(0.0, now - self._slowdown_at) / SLOWDOWN_HALF_LIFE_S)
         return 1.0 + (self._slowdown.value - 1.0) * faded
 
-    def effective_slowdown(self, now: float) -> float:
+    def get_effective_slowdown(self, now: float) -> float:
         """Return the slowdown if it reaches SLOW_THRESHOLD, else 1.
 
         A destination that has become slow completes nothing for a while. The age of its attempts in
         progress shows the slowdown earlier than their completion.
         """
-        slowdown = max(self.slowdown(now), self.attempts.mean_age(now))
+        slowdown = max(self.get_slowdown(now), self.attempts.compute_mean_age(now))
         return slowdown if slowdown >= SLOW_THRESHOLD else 1.0
 
 
@@ -233,7 +233,7 @@
             assessment.allowance / assessment.effective_slowdown for assessment in assessments
         )
 
-    def has_room(self, states: list[EndpointState]) -> bool:
+    def has_capacity(self, states: list[EndpointState]) -> bool:
         """Return whether any endpoint may take a request now."""
         assessments = [self.assess(state) for state in states]
         return any(assessment.own < assessment.max_in_flight for assessment in assessments)
@@ -258,14 +258,14 @@
         service_s = entry.cost_s * effective_slowdown
         wait_s = max(0.0, assessment.occupied + 1 - state.slots) / state.slots * service_s
         estimates = self.learned.estimates
-        full_prefill_s = estimates.prefill_s(entry.target, entry.prefix.length)
-        prefill_s = estimates.prefill_s(
+        full_prefill_s = estimates.estimate_prefill_s(entry.target, entry.prefix.length)
+        prefill_s = estimates.estimate_prefill_s(
             entry.target, self._estimate_uncached_bytes(entry, state, ranked)
         )
         total_prefill_s = assessment.pending_prefill_s * self.hosts + prefill_s
         if self.learned.outliers.is_paused(state.name, self.now):
             wait_s += LAST_RESORT_COST_S
-        first_token_s = estimates.first_token_s(entry.target, 0)
+        first_token_s = estimates.estimate_first_token_s(entry.target, 0)
         cost_s = (
             wait_s
             + (first_token_s + total_prefill_s) * effective_slowdown
@@ -300,21 +300,21 @@
         free = self._estimate_free(capacity, summary, attempts)
         slots = max(1, capacity.slots * (summary.ready if summary else 1) // capacity.endpoints)
         queued = summary.waiting if summary else 0
-        room = free - AWAY_RESERVED_FRACTION * slots
-        wait_s = 0.0 if room >= 1 else (1 - room + queued) / slots * entry.cost_s
+        spare_slots = free - AWAY_RESERVED_FRACTION * slots
+        wait_s = 0.0 if spare_slots >= 1 else (1 - spare_slots + queued) / slots * entry.cost_s
         since = self.now - LIKELY_CACHED_S
         matched = self.learned.prefixes.count_matching_blocks(name, "", entry.prefix, since)
-        prefill_s = self.learned.estimates.prefill_s(
-            entry.target, entry.prefix.uncached_bytes(matched)
+        prefill_s = self.learned.estimates.estimate_prefill_s(
+            entry.target, entry.prefix.count_uncached_bytes(matched)
         )
         round_trip_s = 2 * self.catalogue.get_latency_s(self.view.region, capacity.region)
-        first_token_s = self.learned.estimates.first_token_s(entry.target, 0)
+        first_token_s = self.learned.estimates.estimate_first_token_s(entry.target, 0)
         load = min(1.0, max(0.0, 1 - free / slots))
         yield Candidate(
             name=name,
             route=Away(capacity.domain, host, self.catalogue.published.hosts[host].peers),
             region=capacity.region,
-            free=summary is not None and room >= 1,
+            free=summary is not None and spare_slots >= 1,
             sendable=True,
             wait_s=wait_s,
             cost_s=round_trip_s
@@ -340,11 +340,11 @@
     def _choose_host(self, domain: str, tried: frozenset[str], random: Random) -> str | None:
         """Choose the less loaded of two random live hosts.
 
-        If no host of the failure domain was ever heard, choose any published one.
+        If this host never got a heartbeat of any of them, choose any published one.
         """
         published = [
             name
-            for name in self.catalogue.hosts(domain)
+            for name in self.catalogue.list_hosts(domain)
             if make_host_key(name) not in tried
             and not self.learned.outliers.is_paused(make_host_key(name), self.now)
         ]
@@ -378,7 +378,7 @@
         return Assessment(
             own=own,
             occupied=own + others,
-            effective_slowdown=record.effective_slowdown(self.now),
+            effective_slowdown=record.get_effective_slowdown(self.now),
             max_in_flight=max_in_flight,
             allowance=min(max(float(share), state.slots - others), max_in_flight),
             pending_prefill_s=max(0.0, record.attempts.pending_prefill_s),
@@ -399,9 +399,9 @@
         matched = self.learned.prefixes.count_matching_blocks(
             state.name, state.incarnation, entry.prefix, self.now - LIKELY_CACHED_S
         )
-        uncached = float(entry.prefix.uncached_bytes(matched))
-        likely = dict(zip(ranked, RANKED_UNCACHED_FRACTIONS, strict=False))
-        return min(uncached, entry.prefix.length * likely.get(state.name, 1.0))
+        uncached = float(entry.prefix.count_uncached_bytes(matched))
+        assumed_fractions = dict(zip(ranked, RANKED_UNCACHED_FRACTIONS, strict=False))
+        return min(uncached, entry.prefix.length * assumed_fractions.get(state.name, 1.0))
 
 
 def _get_ranking_size(entry: QueueEntry) -> int | None:
--- a/cloverway/dispatch/tenants.py
+++ b/cloverway/dispatch/tenants.py
@@ -38,10 +38,10 @@
     """Assign labels to teams."""
 
     def __init__(
-        self, now: float, named: int = MAX_NAMED_TEAMS, tracked: int = MAX_COUNTED_TEAMS
+        self, now: float, max_named: int = MAX_NAMED_TEAMS, max_counted: int = MAX_COUNTED_TEAMS
     ) -> None:
-        self._named_limit = named
-        self._tracked_limit = tracked
+        self._max_named = max_named
+        self._max_counted = max_counted
         self._counts: dict[str, _Count] = {}
         self._named: set[str] = set()
         self._reviewed_at = now
@@ -49,10 +49,10 @@
     def choose(self, team: str) -> str:
         """Count a request of a team and return the team's label."""
         self._count(team)
-        free = len(self._named) < self._named_limit
+        free = len(self._named) < self._max_named
         if free and team not in self._named and self._counts[team].certain >= MIN_REQUESTS:
             self._named.add(team)
-        assert len(self._named) <= self._named_limit and len(self._counts) <= self._tracked_limit
+        assert len(self._named) <= self._max_named and len(self._counts) <= self._max_counted
         return self.get(team)
 
     def get(self, team: str) -> str:
@@ -80,7 +80,7 @@
 
     def _count(self, team: str) -> None:
         known = self._counts.get(team)
-        if known is None and len(self._counts) >= self._tracked_limit:
+        if known is None and len(self._counts) >= self._max_counted:
             smallest = min(self._counts, key=lambda name: self._counts[name].requests)
             min_count = self._counts.pop(smallest).requests
             known = _Count(min_count, min_count)
@@ -93,15 +93,15 @@
             (team for team in self._counts if team not in self._named),
             key=lambda team: (-self._counts[team].certain, team),
         )
-        holders = sorted(self._named, key=lambda team: (self._requests(team), team))
+        holders = sorted(self._named, key=lambda team: (self._count_requests(team), team))
         displaced = []
         for team, holder in zip(candidates, holders, strict=False):
-            if self._counts[team].certain < TAKEOVER_FACTOR * max(1, self._requests(holder)):
+            if self._counts[team].certain < TAKEOVER_FACTOR * max(1, self._count_requests(holder)):
                 break
             self._named.remove(holder)
             self._named.add(team)
             displaced.append(holder)
         return displaced
 
-    def _requests(self, team: str) -> int:
+    def _count_requests(self, team: str) -> int:
         return self._counts.get(team, _Count()).requests
--- a/cloverway/dispatch/tickets.py
+++ b/cloverway/dispatch/tickets.py
@@ -63,7 +63,7 @@
         prefixes = self._learned.prefixes
         since = now - POSSIBLY_CACHED_S
         matched = prefixes.count_matching_blocks(candidate.name, incarnation, entry.prefix, since)
-        uncached_bytes = entry.prefix.uncached_bytes(matched)
+        uncached_bytes = entry.prefix.count_uncached_bytes(matched)
         number = next(self._numbers)
         pending_prefill_s = candidate.uncached_prefill_s if entry.request.stream else 0.0
         self._open[number] = Ticket(
@@ -90,10 +90,10 @@
             return
         target = ticket.entry.target
         first_token_s = max(0.0, at - ticket.admitted_at)
-        queue_s = first_token_s - self._learned.estimates.first_token_s(
+        queue_s = first_token_s - self._learned.estimates.estimate_first_token_s(
             target, ticket.uncached_bytes
         )
-        tolerated_s = max(TOLERATED_QUEUE_S, self._learned.estimates.mean_slot_s(target))
+        tolerated_s = max(TOLERATED_QUEUE_S, self._learned.estimates.get_mean_slot_s(target))
         limit = self._learned.get_record(state.name).limit
         limit.record_queue_time(queue_s, tolerated_s, state.slots, at)
         if queue_s <= tolerated_s:
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -257,19 +257,19 @@
         parsed_key = ParsedKey.parse(request.key)
         if parsed_key is None:
             raise RequestError(Kind.KEY_INVALID, "keys come from POST /v1/idempotency-keys")
-        asked_at = self._clock()
+        sent_at = self._clock()
         call = ClaimCall(
             key=request.key,
             team=request.team,
             profile=request.profile,
             digest=compute_digest(request.method, request.path, request.body),
             claimant=self._make_claimant_id(),
-            left_s=request.deadline - asked_at,
+            left_s=request.deadline - sent_at,
         )
         result = self._claim_from(parsed_key, call)
         if isinstance(result, Grant):
             # Counted from before the claim was sent, so it expires here before it expires there.
-            start_by = min(request.deadline, asked_at + result.lifetime_s)
+            start_by = min(request.deadline, sent_at + result.lifetime_s)
             return Granted(
                 request.key, request.team, request.profile, call.claimant, parsed_key.host, start_by
             )
@@ -305,7 +305,7 @@
         return Recorded(reply.status, reply.content_type, reply.body, reply.headers)
 
     def _make_claimant_id(self) -> str:
-        """Return a unique ID of one attempt; callers may reuse request IDs, so those won't do."""
+        """Return an ID of one attempt; a request ID is not unique, as callers may send it twice."""
         keys = self._keys
         return f"{keys.host}/{keys.incarnation}/{next(self._attempts)}"
 
@@ -315,11 +315,11 @@
                 return self._keys.claim(call)
             return self._claim_from_peer(parsed_key.host, call)
         except (PeerError, RequestError) as error:
-            # Give the grant back: the issuer may have granted the claim and its answer was lost.
-            settle = SettleCall(
+            # Release the key: the issuer may have granted the claim although its answer was lost.
+            settle_call = SettleCall(
                 call.key, call.team, call.profile, call.claimant, Settlement.NOT_RUN
             )
-            self._send(settle, parsed_key.host)
+            self._send(settle_call, parsed_key.host)
             if isinstance(error, RequestError):
                 raise
             log.info("could not reach the issuer of a key", extra={"issuer": parsed_key.host})
@@ -343,6 +343,6 @@
         if issuer == self._keys.host:
             self._keys.settle(call)
             return
-        # Shards by issuer, so that an unresponsive one does not delay settlements for all others.
+        # Shard by issuer, so that an unresponsive one does not delay settlements for all others.
         shard = zlib.crc32(issuer.encode()) % SENDER_THREADS
         self._senders[shard].settle(issuer, call)
--- a/cloverway/once/keys.py
+++ b/cloverway/once/keys.py
@@ -42,7 +42,7 @@
     @property
     def size(self) -> int:
         """Bytes that count towards the limits."""
-        headers = sum(len(parsed) + len(value) for parsed, value in self.headers)
+        headers = sum(len(name) + len(value) for name, value in self.headers)
         return len(self.body) + len(self.content_type) + headers
 
 
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -43,13 +43,13 @@
 BOUNDS = Bounds(1_000_000, 3_600.0, 64 * 1024 * 1024, 256 * 1024)
 
 
-def hold_anywhere(*_: str) -> bool:
+def store_anywhere(*_: str) -> bool:
     return True
 
 
 def make_keys(host: str) -> LedgerTask:
     ledger = Ledger(host, "i1", secrets.token_bytes(32), BOUNDS, time.monotonic())
-    return LedgerTask(ledger, hold_anywhere)
+    return LedgerTask(ledger, store_anywhere)
 
 
 def serve_issuer(pipe) -> None:
@@ -75,7 +75,7 @@
     local = make_keys("h2")
     local.start()
     client = PeerClient(Identity("h2", "i1"), SECRET, PeerBounds())
-    claims = Claims(local, client, {"h1": address}.get, hold_anywhere)
+    claims = Claims(local, client, {"h1": address}.get, store_anywhere)
     near_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
     far_keys = iter(keys)
     settle = SettleCall(keys[0], "t", "p", "nobody", Settlement.NOT_RUN)
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from cloverway.dispatch.decisions import DispatchCore
-from cloverway.dispatch.residency import allowed_regions
+from cloverway.dispatch.residency import get_allowed_regions
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import HostState, Summary
 from cloverway.messages import Admitted, Away, Outcome, Refused
@@ -56,7 +56,7 @@
                 ), "a refusal must report that the request may have run"
 
     def check_route(self, request, verdict):
-        allowed = allowed_regions(self.view.published, request.team, request.profile)
+        allowed = get_allowed_regions(self.view.published, request.team, request.profile)
         route = verdict.route
         if isinstance(route, Away):
             assert not request.passed_on
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -182,9 +182,9 @@
     with caplog.at_level("INFO", logger="cloverway.dispatch.ends"):
         for number in range(MAX_CRASHES):
             ends.apply_update(CrashNews((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
-    told = [record for record in caplog.records if record.msg == "an endpoint has ended"]
+    logged = [record for record in caplog.records if record.msg == "an endpoint has ended"]
     held = [record for record in caplog.records if record.levelname == "WARNING"]
-    assert [record.life for record in told] == ["e0", "e1", "e2"]
+    assert [record.life for record in logged] == ["e0", "e1", "e2"]
     assert [(record.request_digest, record.ends) for record in held] == [(f"{CRASHING:016x}", 3)]
 
 
--- a/cloverway/tests/test_residency.py
+++ b/cloverway/tests/test_residency.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cloverway.config.published import Published
-from cloverway.dispatch.residency import allowed_regions, check_region_allowed
+from cloverway.dispatch.residency import check_region_allowed, get_allowed_regions
 from cloverway.errors import Kind, RequestError
 from cloverway.messages import Request
 
@@ -39,7 +39,7 @@
     ],
 )
 def test_regions_by_team_and_profile(team, profile, regions):
-    assert allowed_regions(PUBLISHED, team, profile) == regions
+    assert get_allowed_regions(PUBLISHED, team, profile) == regions
 
 
 @pytest.mark.parametrize(
@@ -50,8 +50,8 @@
     ],
 )
 def test_unknown_region_allows_nothing(broken):
-    assert not allowed_regions(broken, "bound", "stock")
-    assert not allowed_regions(broken, "free", "south")
+    assert not get_allowed_regions(broken, "bound", "stock")
+    assert not get_allowed_regions(broken, "free", "south")
 
 
 def make_request(team, profile, revision):
--- a/cloverway/tests/test_tenants.py
+++ b/cloverway/tests/test_tenants.py
@@ -16,7 +16,7 @@
 
 
 def test_labels_are_bounded_with_9000_teams():
-    labels = TenantLabels(0.0, tracked=96)
+    labels = TenantLabels(0.0, max_counted=96)
     seen = feed(labels, [(f"team-{n}", 1 + 3000 // (n + 1)) for n in range(300)])
     seen |= feed(labels, [(f"team-{n}", 1) for n in range(9000)])
     shared = {label for label in seen if label.startswith("_other_")}
@@ -26,7 +26,7 @@
 
 
 def test_growing_team_takes_over_the_label_of_a_quiet_one():
-    labels = TenantLabels(0.0, named=2)
+    labels = TenantLabels(0.0, max_named=2)
     feed(labels, [("a", 100), ("b", 20), ("c", 30)])
     assert labels.get("c").startswith("_other_")
     assert labels.review(REVIEW_PERIOD_S) == []
@@ -40,8 +40,8 @@
 @settings(max_examples=50)
 @given(st.lists(st.integers(0, 12), max_size=400))
 def test_frequent_team_is_always_counted(teams):
-    """Any team with more than 1/`tracked` of the requests is in the table."""
-    labels = TenantLabels(0.0, named=2, tracked=4)
+    """Any team with more than 1/`max_counted` of the requests is in the table."""
+    labels = TenantLabels(0.0, max_named=2, max_counted=4)
     for team in teams:
         labels.choose(str(team))
     for team in set(teams):
