--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Iterable
 
-from cloverway.core.quarantine import Crash, CrashNews, Hold, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Block, Crash, CrashUpdate, Quarantine, QuarantineTerms
 from cloverway.dispatch.tickets import Ticket
 from cloverway.errors import Kind
 from cloverway.membership.view import EndpointState, View
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, terms: QuarantineTerms) -> None:
-        self._quarantine = Quarantine(terms, unsure_ends=0)
+        self._quarantine = Quarantine(terms, ambiguous_crashes=0)
         self._lock = threading.Lock()
         self._has_urgent = False
 
@@ -39,13 +39,13 @@
         hold = self.find_hold(request.compute_digest(), now)
         if hold is None:
             return None
-        why = f"{hold.ends} endpoints ended while they ran it"
-        return Refused(Kind.QUARANTINED, why, hold.left_s)
+        why = f"{hold.crashes} endpoints ended while they ran it"
+        return Refused(Kind.QUARANTINED, why, hold.remaining_s)
 
-    def find_hold(self, digest: int, now: float) -> Hold | None:
+    def find_hold(self, digest: int, now: float) -> Block | None:
         """Return why a request is in quarantine now, or None if it may be sent."""
         with self._lock:
-            return self._quarantine.get_hold(digest, now)
+            return self._quarantine.get_block(digest, now)
 
     def record_outcome(self, ticket: Ticket, outcome: Outcome, view: View, now: float) -> None:
         """Record the outcome of an attempt at an endpoint of this failure domain."""
@@ -83,7 +83,7 @@
             if self._quarantine.note_served(digest, now):
                 self._has_urgent = True
 
-    def apply_update(self, update: CrashNews, now: float) -> None:
+    def apply_update(self, update: CrashUpdate, now: float) -> None:
         """Apply an update from another host; the next heartbeats forward it."""
         with self._lock:
             for digest in update.served:
@@ -97,7 +97,7 @@
             has_urgent, self._has_urgent = self._has_urgent, False
         return has_urgent
 
-    def list_updates(self, now: float, full: bool = False) -> CrashNews:
+    def list_updates(self, now: float, full: bool = False) -> CrashUpdate:
         """Return the recent crashes and served requests for other hosts.
 
         With `full`, include the crashes for which requests are in quarantine now. All other crashes
@@ -106,8 +106,10 @@
         would never be detected.
         """
         with self._lock:
-            recent = self._quarantine.list_news(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
-            held = self._quarantine.list_held(now, MAX_BROADCAST_REQUESTS) if full else ()
+            recent = self._quarantine.list_updates(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
+            held = (
+                self._quarantine.list_blocked_crashes(now, MAX_BROADCAST_REQUESTS) if full else ()
+            )
         return recent._replace(crashes=recent.crashes + held)
 
     def _log_crashes(
@@ -117,15 +119,19 @@
         for crash in filter(None, new_crashes):
             log.info(
                 "an endpoint has ended",
-                extra={"life": crash.life, "requests": len(crash.digests), "heard": is_remote},
+                extra={
+                    "life": crash.incarnation,
+                    "requests": len(crash.digests),
+                    "heard": is_remote,
+                },
             )
             for digest in crash.digests:
                 hold = self.find_hold(digest, now)
                 if hold is not None:
                     fields = {
                         "request_digest": f"{digest:016x}",
-                        "life": crash.life,
-                        "ends": hold.ends,
-                        "hold_s": round(hold.left_s, 1),
+                        "life": crash.incarnation,
+                        "ends": hold.crashes,
+                        "hold_s": round(hold.remaining_s, 1),
                     }
                     log.warning("a request is refused from now on", extra=fields)
--- a/cloverway/serving/http/client.py
+++ b/cloverway/serving/http/client.py
@@ -1,4 +1,4 @@
-"""Requests to endpoints and other hosts: kept connections, and one answer read as it comes."""
+"""HTTP client for endpoints and other hosts, with kept connections and streamed responses."""
 
 from __future__ import annotations
 
@@ -15,56 +15,56 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.transport import Connection, connect
 
-IDLE_S = 4.0
-"""How long a connection is kept where the other end names no time: below the shortest idle time
-of common servers, which is five seconds."""
+DEFAULT_IDLE_S = 4.0
+"""How long an idle connection is kept if the server states no idle timeout: below the shortest idle
+timeout of common servers, which is five seconds."""
 IDLE_MARGIN_S = 0.8
-"""A connection is given up this long before the other end does, or else a request may meet the
-close on its way, and whether it ran can't be known."""
-HEAD_BYTES = 64 * 1024
+"""A connection is closed this long before the server does so. Otherwise the server's close may
+cross a request, and it is unknown whether the request ran."""
+MAX_HEAD_BYTES = 64 * 1024
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class ConnectError(CloverwayError):
     """No connection could be opened; nothing was sent."""
 
-    def __init__(self, detail: str, *, nobody_listens: bool = False) -> None:
+    def __init__(self, detail: str, *, connection_refused: bool = False) -> None:
         super().__init__(detail)
-        self.nobody_listens = nobody_listens
-        """Whether the other machine refused it: what listened there has ended."""
+        self.connection_refused = connection_refused
+        """Whether the connection was refused: nothing listens at the address any more."""
 
 
-class AnswerError(CloverwayError):
-    """The answer broke off or is no HTTP; the request may have run."""
+class ResponseError(CloverwayError):
+    """The response broke off or is not valid HTTP; the request may have run."""
 
 
-class AnswerTooLongError(AnswerError):
-    """The answer is longer than what may be held in memory."""
+class ResponseTooLargeError(ResponseError):
+    """The response is larger than the limit on what is held in memory."""
 
 
-class ReplyHead(NamedTuple):
-    """The head of an answer."""
+class ResponseHead(NamedTuple):
+    """The head of a response."""
 
     status: int
     headers: Sequence[Header]
     """Names in lower case."""
 
     def get(self, name: bytes) -> bytes | None:
-        """Give the first header of a name in lower case."""
+        """Return the value of the first header with a name in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
-class Sending:
-    """One request on one connection, and its answer."""
+class ClientExchange:
+    """One request on a connection, and its response."""
 
     def __init__(self, connection: Connection, request: h11.Request, body: bytes) -> None:
         self.connection = connection
         self._request = request
         self._body = body
         self._http = self._begin()
-        self.head: ReplyHead | None = None
-        self.is_whole = False
-        """Whether the answer was read to its end."""
+        self.head: ResponseHead | None = None
+        self.is_complete = False
+        """Whether the response was read to its end."""
 
     def write(self) -> None:
         """Send the request."""
@@ -73,50 +73,50 @@
         data += http.send(h11.Data(data=self._body)) or b"" if self._body else b""
         self.connection.write(data + (http.send(h11.EndOfMessage()) or b""))
 
-    async def read_head(self, is_ours: Callable[[ReplyHead], bool]) -> ReplyHead:
-        """Give the head of the answer, past answers to others; raise AnswerError.
+    async def read_head(self, is_expected: Callable[[ResponseHead], bool]) -> ResponseHead:
+        """Return the head of the response, skipping those of other requests; raise ResponseError.
 
-        An endpoint may send an answer a second time, when the next one is due on the connection:
-        without the look at whom it answers, a caller would get the answer of another.
+        An endpoint may send a response twice, at the time when the next one is due on the
+        connection. Without this check a caller would get the response to another caller's request.
         """
         while True:
             event = await self._read_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerError("the answer has no head")
-            head = ReplyHead(event.status_code, list(event.headers))
-            if is_ours(head):
+                raise ResponseError("the response has no head")
+            head = ResponseHead(event.status_code, list(event.headers))
+            if is_expected(head):
                 self.head = head
                 return head
-            await self._skip_answer()
+            await self._skip_response()
 
-    async def read_part(self) -> bytes:
-        """Give the next part of the body, empty at its end; raise AnswerError."""
+    async def read_chunk(self) -> bytes:
+        """Return the next chunk of the body, empty at its end; raise ResponseError."""
         event = await self._read_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if not isinstance(event, h11.EndOfMessage):
-            raise AnswerError("the answer broke off")
-        self.is_whole = True
+            raise ResponseError("the response is incomplete")
+        self.is_complete = True
         return b""
 
     async def read_body(self, limit: int) -> bytes:
-        """Give the rest of the body; raise AnswerError, also when it is over a limit."""
+        """Return the rest of the body; raise ResponseError, also if it is over the limit."""
         parts: list[bytes] = []
         size = 0
-        while part := await self.read_part():
+        while part := await self.read_chunk():
             parts.append(part)
             size += len(part)
             if size > limit:
-                raise AnswerTooLongError("the answer is too long")
+                raise ResponseTooLargeError("the response is over the size limit")
         return b"".join(parts)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the connection may carry another request."""
+        """Whether the connection can be used for another request."""
         return (
-            self.is_whole
+            self.is_complete
             and self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
             and not self._http.trailing_data[0]
@@ -125,21 +125,21 @@
         )
 
     def _begin(self) -> h11.Connection:
-        """Give a parser that expects the answer to this request."""
-        http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+        """Return a parser that expects the response to this request."""
+        http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         http.send(self._request)
         if self._body:
             http.send(h11.Data(data=self._body))
         http.send(h11.EndOfMessage())
         return http
 
-    async def _skip_answer(self) -> None:
-        while await self.read_part():
+    async def _skip_response(self) -> None:
+        while await self.read_chunk():
             continue
         rest, closed = self._http.trailing_data
         if closed or self._http.their_state is not h11.DONE:
-            raise AnswerError("the connection ended after the answer to another request")
-        self.is_whole = False
+            raise ResponseError("the connection ended after the response to another request")
+        self.is_complete = False
         self._http = self._begin()
         self._http.receive_data(rest)
 
@@ -148,85 +148,92 @@
             while (event := self._http.next_event()) is h11.NEED_DATA:
                 self._http.receive_data(await self.connection.receive())
         except (h11.RemoteProtocolError, OSError) as error:
-            raise AnswerError(str(error) or "the connection broke") from error
+            raise ResponseError(str(error) or "the connection broke") from error
         return event
 
 
-class Place(NamedTuple):
-    """Whom a connection leads to."""
+class Destination(NamedTuple):
+    """The target of a connection."""
 
     address: str
-    life: str = ""
-    """The life of the endpoint; empty for hosts. The next one at the address may be another
-    endpoint, or know nothing of the one before: a connection of that time is never used for it."""
+    incarnation: str = ""
+    """The incarnation of the endpoint; empty for hosts. The next one at the address may be another
+    endpoint or have no state of the earlier one, so a connection to the earlier one is never reused
+    for it."""
 
 
-class _Kept(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: Connection
-    until: float
+    expires_at: float
 
 
-class Pool:
-    """Connections that are kept between requests, by the place that they lead to."""
+class ConnectionPool:
+    """Idle connections kept between requests, by destination."""
 
     def __init__(self, on_connect: Callable[[str], None] = lambda address: None) -> None:
-        self._kept: defaultdict[Place, list[_Kept]] = defaultdict(list)
+        self._idle: defaultdict[Destination, list[_IdleConnection]] = defaultdict(list)
         self._on_connect = on_connect
 
-    async def open(self, place: Place, timeout_s: float) -> Connection:
-        """Give a connection that is free, or a new one; raise ConnectError."""
+    async def acquire(self, destination: Destination, timeout_s: float) -> Connection:
+        """Return an idle connection, or a new one; raise ConnectError."""
         now = read_clock()
-        kept = self._kept[place]
-        while kept:
-            connection, until = kept.pop()
-            if now < until and not connection.has_input and not connection.lost.done():
+        idle = self._idle[destination]
+        while idle:
+            connection, expires_at = idle.pop()
+            if now < expires_at and not connection.has_input and not connection.lost.done():
                 return connection
             connection.abort()
-        return await self.open_new(place.address, timeout_s)
+        return await self.open_new(destination.address, timeout_s)
 
     async def open_new(self, address: str, timeout_s: float) -> Connection:
-        """Give a new connection; raise ConnectError."""
+        """Return a new connection; raise ConnectError."""
         self._on_connect(address)
         try:
             return await connect(address, timeout_s)
         except OSError as error:
             refused = isinstance(error, ConnectionRefusedError)
             detail = str(error) or type(error).__name__
-            raise ConnectError(detail, nobody_listens=refused) from error
+            raise ConnectError(detail, connection_refused=refused) from error
 
-    def release(self, place: Place, sending: Sending, idle_s: float | None = None) -> None:
-        """Keep the connection of a request that has ended, or close it.
+    def release(
+        self, destination: Destination, exchange: ClientExchange, idle_s: float | None = None
+    ) -> None:
+        """Keep the connection of a finished request, or close it.
 
-        It is kept for as long as the other end says, or else for `idle_s`.
+        It is kept for as long as the server states, or else for `idle_s`.
         """
-        if not sending.is_reusable or sending.head is None:
-            sending.connection.abort()
+        if not exchange.is_reusable or exchange.head is None:
+            exchange.connection.abort()
             return
-        until = read_clock() + _get_idle_s(sending.head, idle_s or IDLE_S) - IDLE_MARGIN_S
-        self._kept[place].append(_Kept(sending.connection, until))
+        expires_at = (
+            read_clock()
+            + _get_keep_alive_s(exchange.head, idle_s or DEFAULT_IDLE_S)
+            - IDLE_MARGIN_S
+        )
+        self._idle[destination].append(_IdleConnection(exchange.connection, expires_at))
 
-    def forget(self, place: Place) -> None:
-        """Close the kept connections to a place."""
-        for connection, _ in self._kept.pop(place, ()):
+    def close_idle(self, destination: Destination) -> None:
+        """Close the idle connections to a destination."""
+        for connection, _ in self._idle.pop(destination, ()):
             connection.abort()
 
-    def expire(self, now: float) -> None:
-        """Close the connections that are kept no longer."""
-        for place, kept in list(self._kept.items()):
+    def close_expired(self, now: float) -> None:
+        """Close the idle connections whose time is over."""
+        for destination, idle in list(self._idle.items()):
             live = []
-            for item in kept:
-                if now < item.until and not item.connection.lost.done():
+            for item in idle:
+                if now < item.expires_at and not item.connection.lost.done():
                     live.append(item)
                 else:
                     item.connection.abort()
             if live:
-                self._kept[place] = live
+                self._idle[destination] = live
             else:
-                del self._kept[place]
+                del self._idle[destination]
 
 
 def make_request(method: str, target: str, headers: Sequence[Header], body: bytes) -> h11.Request:
-    """Give the head of a request with the length of its body."""
+    """Return the head of a request with the length of its body."""
     framed = list(headers)
     if body or method not in ("GET", "HEAD", "DELETE"):
         framed.append((b"Content-Length", str(len(body)).encode()))
@@ -234,26 +241,32 @@
 
 
 async def fetch(
-    pool: Pool, address: str, request: h11.Request, body: bytes, *, timeout_s: float, limit: int
-) -> tuple[ReplyHead, bytes]:
-    """Send a small request and read its whole answer; raise ConnectError or AnswerError."""
-    place = Place(address)
-    sending: Sending | None = None
+    pool: ConnectionPool,
+    address: str,
+    request: h11.Request,
+    body: bytes,
+    *,
+    timeout_s: float,
+    limit: int,
+) -> tuple[ResponseHead, bytes]:
+    """Send a small request and read its response; raise ConnectError or ResponseError."""
+    destination = Destination(address)
+    exchange: ClientExchange | None = None
     try:
         async with asyncio.timeout(timeout_s):
-            connection = await pool.open(place, timeout_s)
-            sending = Sending(connection, request, body)
-            sending.write()
-            head = await sending.read_head(lambda head: True)
-            data = await sending.read_body(limit)
+            connection = await pool.acquire(destination, timeout_s)
+            exchange = ClientExchange(connection, request, body)
+            exchange.write()
+            head = await exchange.read_head(lambda head: True)
+            data = await exchange.read_body(limit)
     except TimeoutError as error:
-        raise AnswerError(f"no answer within {timeout_s:g} s") from error
+        raise ResponseError(f"no answer within {timeout_s:g} s") from error
     finally:
-        if sending is not None:
-            pool.release(place, sending)
+        if exchange is not None:
+            pool.release(destination, exchange)
     return head, data
 
 
-def _get_idle_s(head: ReplyHead, default_s: float) -> float:
+def _get_keep_alive_s(head: ResponseHead, default_s: float) -> float:
     match = KEEP_ALIVE_TIMEOUT.search(head.get(b"keep-alive") or b"")
     return float(match.group(1)) if match else default_s
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -17,7 +17,7 @@
 from cloverway.errors import Kind, Ran, RequestError, take_worse
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
-from cloverway.serving.http.client import AnswerError
+from cloverway.serving.http.client import ResponseError
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import (
     RETRY_STATUS,
@@ -195,9 +195,9 @@
             # The send counts as a run already: what is left tells whether there is another attempt.
             may_go_on = self._may_repeat(self.runs)
             await self.relay.copy(target, answered, may_go_on)
-        except (AnswerError, ValueError) as error:
-            self.relay.drop_rest()
-            is_end = isinstance(error, AnswerError) and not isinstance(error, SilenceError)
+        except (ResponseError, ValueError) as error:
+            self.relay.drop_incomplete()
+            is_end = isinstance(error, ResponseError) and not isinstance(error, SilenceError)
             self._note_failure(target, Broken(str(error), is_end=is_end))
             self._check_repeatable(str(error))
             return False
@@ -231,25 +231,25 @@
         if not outcome.blames_host:
             return
         if target.peer is not None:
-            target.peer.failed_until = now + PEER_FAILED_S
+            target.peer.backoff_until = now + PEER_FAILED_S
         self._blame_endpoint(target, now)
 
     def _blame_endpoint(self, target: Target, now: float) -> None:
         if target.candidate is not None:
             target.candidate.endpoint.load.note_failure(now)
-            self.context.pool.forget(target.place)
+            self.context.pool.close_idle(target.place)
 
     def _note_result(self, target: Target, failed: bool) -> None:
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
         now = read_clock()
-        usual = self.context.usual_failures
+        baseline = self.context.failure_baseline
         if failed:
-            load.note_failure(now, usual.weigh(self.route.name))
+            load.note_failure(now, baseline.weigh(self.route.name))
         else:
             load.note_success(now)
-        usual.note(self.route.name, failed)
+        baseline.note(self.route.name, failed)
 
     def _note_pauses(self, target: Target) -> None:
         objective_s = self.route.gap_objective_s
@@ -283,7 +283,7 @@
     def _fail(self, error: RequestError) -> None:
         if self.exchange.started:
             self._tell_end(error, 0)
-            self.exchange.cut()
+            self.exchange.abort()
             return
         raise error
 
--- a/cloverway/serving/requests/lives.py
+++ b/cloverway/serving/requests/lives.py
@@ -9,7 +9,13 @@
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch, make_request
+from cloverway.serving.http.client import (
+    ConnectError,
+    ConnectionPool,
+    ResponseError,
+    fetch,
+    make_request,
+)
 from cloverway.serving.ports import Dialect, LifeFacts
 from cloverway.serving.telemetry import Figures, tell
 
@@ -45,7 +51,7 @@
     """
 
     def __init__(
-        self, quarantine: Quarantine, pool: Pool, dialect: Dialect, figures: Figures
+        self, quarantine: Quarantine, pool: ConnectionPool, dialect: Dialect, figures: Figures
     ) -> None:
         self._quarantine = quarantine
         self._pool = pool
@@ -58,8 +64,8 @@
 
     async def may_send(self, endpoint: Endpoint, digest: int) -> bool:
         """Tell whether an endpoint may be sent a request, as far as it hasn't ended under it."""
-        life = endpoint.entry.life
-        if endpoint.entry.born_ms is None or not self._quarantine.has_ended(digest, life):
+        life = endpoint.entry.incarnation
+        if endpoint.entry.started_ms is None or not self._quarantine.has_crashed(digest, life):
             return True
         asking = self._asking.get(life)
         if asking is None:
@@ -77,8 +83,8 @@
             standing = self._note_facts(endpoint, facts)
         except ConnectError as error:
             why = str(error)
-            standing = Standing.GONE if error.nobody_listens else Standing.SILENT
-        except AnswerError as error:
+            standing = Standing.GONE if error.connection_refused else Standing.SILENT
+        except ResponseError as error:
             why, standing = str(error), Standing.SILENT
         now = read_clock()
         if standing is Standing.GONE:
@@ -88,7 +94,7 @@
         self._figures.note_event(f"life_{standing.value}")
         tell(
             "life_asked",
-            life=endpoint.entry.life,
+            life=endpoint.entry.incarnation,
             standing=standing.value,
             born_ms=born_ms,
             why=why or None,
@@ -111,13 +117,13 @@
         if facts.elsewhere:
             endpoint.misdirected_at = now
             return Standing.GONE
-        if facts.born_ms is None or entry.born_ms is None:
+        if facts.born_ms is None or entry.started_ms is None:
             return Standing.UNKNOWN
-        if facts.born_ms > entry.born_ms:
+        if facts.born_ms > entry.started_ms:
             self.on_born(entry.id, facts.born_ms)
             return Standing.REBORN
-        if facts.born_ms < entry.born_ms:
+        if facts.born_ms < entry.started_ms:
             # An answer of the life before this one: it says nothing of whether this one is there.
             return Standing.UNKNOWN
-        self._quarantine.note_found(entry.life, now)
+        self._quarantine.note_confirmed_alive(entry.incarnation, now)
         return Standing.SAME
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from cloverway.core.calls import Header
-from cloverway.core.pauses import Gap
 from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
+from cloverway.core.token_gaps import Gap
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import ReplyHead, Sending
-from cloverway.serving.http.events import EventSplitter
+from cloverway.serving.http.client import ClientExchange, ResponseHead
+from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import Answered, bear_silence
 from cloverway.serving.requests.targeting import Target
@@ -50,12 +50,12 @@
         """The id of the last whole event that the caller got."""
         return self._events.last_id
 
-    def drop_rest(self) -> None:
+    def drop_incomplete(self) -> None:
         """Forget the part of an event that will never be whole."""
-        self._events.drop_rest()
+        self._events.drop_incomplete()
 
     async def copy(self, target: Target, answered: Answered, may_go_on: bool) -> None:
-        """Copy the events of an endpoint to their end; raise AnswerError or ValueError.
+        """Copy the events of an endpoint to their end; raise ResponseError or ValueError.
 
         `may_go_on` tells whether the stream may go on elsewhere when the endpoint falls silent.
         """
@@ -72,16 +72,16 @@
             await self._exchange.send(b"".join(events))
             waiting_since = read_clock()
         self._start(answered.head)
-        rest = self._events.take_rest()
+        rest = self._events.take_incomplete()
         if rest:
             await self._exchange.send(rest)
         self._exchange.finish()
 
-    async def _read(self, sending: Sending, patience_s: float | None) -> bytes:
+    async def _read(self, sending: ClientExchange, patience_s: float | None) -> bytes:
         async with bear_silence(patience_s):
-            return await sending.read_part()
+            return await sending.read_chunk()
 
-    def _start(self, head: ReplyHead) -> None:
+    def _start(self, head: ResponseHead) -> None:
         if not self._exchange.started:
             self._exchange.start(head.status, list_end_to_end(head))
 
@@ -99,7 +99,7 @@
 
     def _make_gap(self, seconds: float, events: int) -> Gap:
         shape = self._wanted.service.engine
-        tokens = events * shape.event_tokens if shape is not None else 0
+        tokens = events * shape.tokens_per_event if shape is not None else 0
         return Gap(seconds, self._wanted.route.gap_objective_s or DEFAULT_GAP_S, tokens)
 
 
@@ -112,7 +112,7 @@
 """Headers that concern one connection only; the length is set anew where the body is known."""
 
 
-def list_end_to_end(head: ReplyHead) -> list[Header]:
+def list_end_to_end(head: ResponseHead) -> list[Header]:
     """Give the headers of an answer that are the caller's."""
     named = {
         token.strip().lower()
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.core.quarantine import SERVED_S, Crash, CrashNews
+from cloverway.core.quarantine import SERVED_IMMUNITY_S, Crash, CrashUpdate
 from cloverway.dispatch.ends import REBROADCAST_S, CrashTracker
 from cloverway.errors import Kind
 from cloverway.membership.gossip import FULL_EVERY
@@ -129,7 +129,7 @@
     """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
     world = make_world(hosts=4)
     quiet = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
-    assert quiet == [CrashNews((), ())] * 4
+    assert quiet == [CrashUpdate((), ())] * 4
 
 
 def test_crashes_without_quarantine_are_broadcast_for_a_short_time():
@@ -143,7 +143,7 @@
     assert all(len(each.crashes) >= 20 for each in news)
     world.run(REBROADCAST_S + 1.0)
     news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
-    assert news == [CrashNews((), ())] * 3
+    assert news == [CrashUpdate((), ())] * 3
 
 
 def test_many_crashes_at_once_fit_into_datagrams():
@@ -168,7 +168,7 @@
     request = make_request(1, 0.0, 20.0)
     for number in range(MAX_CRASHES):
         ends.apply_update(
-            CrashNews((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0
+            CrashUpdate((Crash(f"e{number}", (request.compute_digest(),), 5.0),), ()), 6.0
         )
     refused = ends.find_refusal(request, 10.0)
     assert refused is not None
@@ -181,7 +181,7 @@
     ends = CrashTracker(make_settings().quarantine)
     with caplog.at_level("INFO", logger="cloverway.dispatch.ends"):
         for number in range(MAX_CRASHES):
-            ends.apply_update(CrashNews((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
+            ends.apply_update(CrashUpdate((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
     logged = [record for record in caplog.records if record.msg == "an endpoint has ended"]
     held = [record for record in caplog.records if record.levelname == "WARNING"]
     assert [record.life for record in logged] == ["e0", "e1", "e2"]
@@ -206,7 +206,10 @@
     for host in world.hosts.values():
         hold = host.gossip.ends.find_hold(CRASHING, world.now)
         assert hold is not None
-        assert world.now + hold.left_s <= begun_at + hold_s * 2 ** (hold.ends - MAX_CRASHES) + 5.0
+        assert (
+            world.now + hold.remaining_s
+            <= begun_at + hold_s * 2 ** (hold.crashes - MAX_CRASHES) + 5.0
+        )
 
 
 def test_request_cleared_once_is_quarantined_when_it_crashes_endpoints_later():
@@ -220,6 +223,6 @@
     caller.ask(first)
     world.run(1.0)
     world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
-    world.run(SERVED_S + 10.0)
+    world.run(SERVED_IMMUNITY_S + 10.0)
     caller.ask_all([*world.hosts] * 3, pause_s=0.5)
     assert caller.crashed == 1 + MAX_CRASHES
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -10,7 +10,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import MEETING_S
 from cloverway.serving.early import knock_early
-from cloverway.serving.hosts.peerwire import CODEC, CrashReport, Heartbeat
+from cloverway.serving.hosts.messages import CODEC, CrashReport, Heartbeat
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import take_ports
 
@@ -35,7 +35,7 @@
     for host in fleet.hosts:
         for number in range(3):
             host.context.quarantine.note_crash(Crash(f"gone-{number}", (DEADLY,), now - 30.0))
-        life = host.directory.endpoints["desk-0"].entry.life
+        life = host.directory.endpoints["desk-0"].entry.incarnation
         host.directory.note_statement(life, Statement(0.5, now, True))
     await asyncio.sleep(0.1)
 
@@ -50,10 +50,12 @@
         async with run_fleet(hosts=3) as fleet:
             await teach(fleet)
             for old in list(fleet.hosts):
-                await wait_for(lambda: all(len(h.gossip._alive) == 2 for h in fleet.hosts))
+                await wait_for(lambda: all(len(h.gossip._alive_names) == 2 for h in fleet.hosts))
                 began_at = read_clock()
                 new = await restart(fleet, old)
-                await wait_for(lambda new=new: new.context.quarantine.count_held(read_clock()), 1)
+                await wait_for(
+                    lambda new=new: new.context.quarantine.count_blocked(read_clock()), 1
+                )
                 await wait_for(
                     lambda new=new: "desk-0" in new.directory.endpoints
                     and new.directory.endpoints["desk-0"].has_said_leaving,
@@ -83,7 +85,7 @@
 
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
-            await wait_for(lambda: all(len(h.gossip._alive) == 1 for h in fleet.hosts))
+            await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
             digest = compute_digest(("POST", "shop.example", "/safe/a"), b"deadly")
             for host in fleet.hosts:
                 for number in range(3):
@@ -105,7 +107,7 @@
 
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
-            await wait_for(lambda: all(len(h.gossip._alive) == 1 for h in fleet.hosts))
+            await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
             old, sibling = fleet.hosts
             delay_words(sibling, 3600.0)
             new = await restart(fleet, old)
