--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -384,10 +384,12 @@
         safe = may_retry(outcome, profile is not None and profile.idempotent)
         passed_back = outcome is Outcome.REFUSED and len(destinations) > 1
         late = entry.latest_start <= context.now
-        hold = self._crash_tracker.find_refusal(entry.request, context.now)
-        if hold is not None:
+        refusal = self._crash_tracker.find_refusal(entry.request, context.now)
+        if refusal is not None:
             self._open.remove(entry.request.id)
-            return [Decision(entry_id, refuse(entry, hold.kind, hold.retry_after, hold.detail))]
+            return [
+                Decision(entry_id, refuse(entry, refusal.kind, refusal.retry_after, refusal.detail))
+            ]
         if not safe or late or not (passed_back or self._budget.try_take(context.now)):
             self._open.remove(entry.request.id)
             wait_s = jitter(CAPACITY_RETRY_AFTER_S, context.random)
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -36,13 +36,13 @@
 
     def find_refusal(self, request: Request, now: float) -> Refused | None:
         """Return the refusal of a request that has crashed too many endpoints, or None."""
-        hold = self.find_hold(request.compute_digest(), now)
-        if hold is None:
+        block = self.find_block(request.compute_digest(), now)
+        if block is None:
             return None
-        why = f"{hold.crashes} endpoints ended while they ran it"
-        return Refused(Kind.QUARANTINED, why, hold.remaining_s)
+        why = f"{block.crashes} endpoints ended while they ran it"
+        return Refused(Kind.QUARANTINED, why, block.remaining_s)
 
-    def find_hold(self, digest: int, now: float) -> Block | None:
+    def find_block(self, digest: int, now: float) -> Block | None:
         """Return why a request is in quarantine now, or None if it may be sent."""
         with self._lock:
             return self._quarantine.get_block(digest, now)
@@ -107,10 +107,10 @@
         """
         with self._lock:
             recent = self._quarantine.list_updates(now - REBROADCAST_S, MAX_BROADCAST_REQUESTS)
-            held = (
+            blocked = (
                 self._quarantine.list_blocked_crashes(now, MAX_BROADCAST_REQUESTS) if full else ()
             )
-        return recent._replace(crashes=recent.crashes + held)
+        return recent._replace(crashes=recent.crashes + blocked)
 
     def _log_crashes(
         self, new_crashes: Iterable[Crash | None], is_remote: bool, now: float
@@ -126,12 +126,12 @@
                 },
             )
             for digest in crash.digests:
-                hold = self.find_hold(digest, now)
-                if hold is not None:
+                block = self.find_block(digest, now)
+                if block is not None:
                     fields = {
                         "request_digest": f"{digest:016x}",
                         "life": crash.incarnation,
-                        "ends": hold.crashes,
-                        "hold_s": round(hold.remaining_s, 1),
+                        "ends": block.crashes,
+                        "hold_s": round(block.remaining_s, 1),
                     }
                     log.warning("a request is refused from now on", extra=fields)
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -21,32 +21,32 @@
 class Caller:
     """Sends one request to one host after another; each endpoint that runs it crashes."""
 
-    def __init__(self, world: GossipSimulation) -> None:
-        self.world = world
+    def __init__(self, simulation: GossipSimulation) -> None:
+        self.simulation = simulation
         self.incarnations = itertools.count(1)
         self.crashed = 0
 
-    def ask(self, name: str, digest: int = CRASHING) -> bool:
+    def send(self, name: str, digest: int = CRASHING) -> bool:
         """Send the request to a host and return whether an endpoint ran it."""
-        ends = self.world.hosts[name].gossip.ends
-        if ends.find_hold(digest, self.world.now) is not None:
+        ends = self.simulation.hosts[name].gossip.ends
+        if ends.find_block(digest, self.simulation.now) is not None:
             return False
-        ends.record_crash(Crash(f"life-{next(self.incarnations)}", (digest,), self.world.now))
+        ends.record_crash(Crash(f"life-{next(self.incarnations)}", (digest,), self.simulation.now))
         self.crashed += 1
         return True
 
-    def ask_all(self, names, pause_s: float) -> None:
+    def send_to_all(self, names, pause_s: float) -> None:
         """Send the request to each host once, with pauses."""
         for name in names:
-            self.ask(name)
-            self.world.run(pause_s)
+            self.send(name)
+            self.simulation.run(pause_s)
 
 
-def make_world(**more) -> GossipSimulation:
-    world = GossipSimulation(Shape(**more))
-    world.run_until(world.sees_all)
-    world.run(5.0)
-    return world
+def make_simulation(**more) -> GossipSimulation:
+    simulation = GossipSimulation(Shape(**more))
+    simulation.run_until(simulation.sees_all)
+    simulation.run(5.0)
+    return simulation
 
 
 def test_quarantine_applies_at_all_hosts():
@@ -55,9 +55,9 @@
     Guards against three crashes for each host: a host counted only the crashes that it had observed
     itself, and so none when it got the request for the first time.
     """
-    world = make_world(hosts=8)
-    caller = Caller(world)
-    caller.ask_all([*world.hosts] * 3, pause_s=0.3)
+    simulation = make_simulation(hosts=8)
+    caller = Caller(simulation)
+    caller.send_to_all([*simulation.hosts] * 3, pause_s=0.3)
     assert caller.crashed == MAX_CRASHES
 
 
@@ -66,26 +66,28 @@
 
     Failure domains exchange updates once a second, through one host each.
     """
-    world = make_world(domains=4, hosts=3, regions=2)
-    caller = Caller(world)
-    first = min(world.published.domains)
-    caller.ask_all([name for name in world.hosts if name.startswith(first)], pause_s=0.3)
+    simulation = make_simulation(domains=4, hosts=3, regions=2)
+    caller = Caller(simulation)
+    first = min(simulation.published.domains)
+    caller.send_to_all([name for name in simulation.hosts if name.startswith(first)], pause_s=0.3)
     assert caller.crashed == MAX_CRASHES
-    world.run(4.0)
-    caller.ask_all([name for name in world.hosts if not name.startswith(first)], pause_s=0.0)
+    simulation.run(4.0)
+    caller.send_to_all(
+        [name for name in simulation.hosts if not name.startswith(first)], pause_s=0.0
+    )
     assert caller.crashed == MAX_CRASHES
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_crashes_are_rebroadcast_after_datagram_loss(seed):
     """Every fifth datagram is lost; a host that missed an update would run the request."""
-    world = GossipSimulation(Shape(hosts=6), seed=seed, loss=0.2)
-    world.run_until(world.sees_all)
-    caller = Caller(world)
-    caller.ask_all([*world.hosts][:MAX_CRASHES], pause_s=0.5)
-    world.run(4.0)
+    simulation = GossipSimulation(Shape(hosts=6), seed=seed, loss=0.2)
+    simulation.run_until(simulation.sees_all)
+    caller = Caller(simulation)
+    caller.send_to_all([*simulation.hosts][:MAX_CRASHES], pause_s=0.5)
+    simulation.run(4.0)
     crashed = caller.crashed
-    caller.ask_all(world.hosts, pause_s=0.0)
+    caller.send_to_all(simulation.hosts, pause_s=0.0)
     assert caller.crashed == crashed <= MAX_CRASHES + 1
 
 
@@ -94,18 +96,20 @@
 
     Updates that are broadcast only for some seconds after a crash would never reach them.
     """
-    world = make_world(hosts=4)
-    restarts, cut, *rest = world.hosts
-    links = {(cut, other) for other in world.hosts} | {(other, cut) for other in world.hosts}
-    world.cuts |= links
-    caller = Caller(world)
-    caller.ask_all([*rest, *rest], pause_s=0.5)
-    world.run(REBROADCAST_S + 10.0)
-    world.cuts -= links
-    world.kill(restarts)
-    world.start(restarts)
-    world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
-    caller.ask_all([restarts, cut], pause_s=0.0)
+    simulation = make_simulation(hosts=4)
+    restarts, cut, *rest = simulation.hosts
+    links = {(cut, other) for other in simulation.hosts} | {
+        (other, cut) for other in simulation.hosts
+    }
+    simulation.cuts |= links
+    caller = Caller(simulation)
+    caller.send_to_all([*rest, *rest], pause_s=0.5)
+    simulation.run(REBROADCAST_S + 10.0)
+    simulation.cuts -= links
+    simulation.kill(restarts)
+    simulation.start(restarts)
+    simulation.run(FULL_EVERY * simulation.timing.heartbeat_s + 5.0)
+    caller.send_to_all([restarts, cut], pause_s=0.0)
     assert caller.crashed == MAX_CRASHES
 
 
@@ -114,53 +118,64 @@
 
     Guards against refusing it at other hosts.
     """
-    world = make_world(hosts=3)
-    caller = Caller(world)
-    first, second, third = world.hosts
-    caller.ask_all([first, second], pause_s=1.0)
-    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
-    world.run(2.0)
-    caller.ask(second)
-    world.run(2.0)
-    assert world.hosts[third].gossip.ends.find_hold(CRASHING, world.now) is None
+    simulation = make_simulation(hosts=3)
+    caller = Caller(simulation)
+    first, second, third = simulation.hosts
+    caller.send_to_all([first, second], pause_s=1.0)
+    simulation.hosts[first].gossip.ends.record_served(CRASHING, simulation.now)
+    simulation.run(2.0)
+    caller.send(second)
+    simulation.run(2.0)
+    assert simulation.hosts[third].gossip.ends.find_block(CRASHING, simulation.now) is None
 
 
 def test_heartbeats_stay_the_same_without_crashes():
     """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
-    world = make_world(hosts=4)
-    quiet = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
+    simulation = make_simulation(hosts=4)
+    quiet = [
+        host.gossip.ends.list_updates(simulation.now, full=True)
+        for host in simulation.hosts.values()
+    ]
     assert quiet == [CrashUpdate((), ())] * 4
 
 
 def test_crashes_without_quarantine_are_broadcast_for_a_short_time():
     """Endpoints crash from time to time over months, each while it runs other requests."""
-    world = make_world(hosts=3)
-    first, *_ = world.hosts
+    simulation = make_simulation(hosts=3)
+    first, *_ = simulation.hosts
     for number in range(20):
-        world.hosts[first].gossip.ends.record_crash(Crash(f"e{number}", (number,), world.now))
-    world.run(1.0)
-    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
-    assert all(len(each.crashes) >= 20 for each in news)
-    world.run(REBROADCAST_S + 1.0)
-    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
-    assert news == [CrashUpdate((), ())] * 3
+        simulation.hosts[first].gossip.ends.record_crash(
+            Crash(f"e{number}", (number,), simulation.now)
+        )
+    simulation.run(1.0)
+    updates = [
+        host.gossip.ends.list_updates(simulation.now, full=True)
+        for host in simulation.hosts.values()
+    ]
+    assert all(len(each.crashes) >= 20 for each in updates)
+    simulation.run(REBROADCAST_S + 1.0)
+    updates = [
+        host.gossip.ends.list_updates(simulation.now, full=True)
+        for host in simulation.hosts.values()
+    ]
+    assert updates == [CrashUpdate((), ())] * 3
 
 
 def test_many_crashes_at_once_fit_into_datagrams():
     """Engines crash with all of their requests; each datagram stays within its size limit."""
-    world = make_world(hosts=3)
+    simulation = make_simulation(hosts=3)
     longest = []
-    world.tap = lambda name, to, datagram: longest.append(len(datagram))
-    first, *others = world.hosts
-    ends = world.hosts[first].gossip.ends
+    simulation.tap = lambda name, to, datagram: longest.append(len(datagram))
+    first, *others = simulation.hosts
+    ends = simulation.hosts[first].gossip.ends
     for engine in range(64):
         incarnation = f"region-00-domain-000-engine-{engine:03}@start-{engine}"
-        ends.record_crash(Crash(incarnation, (engine, CRASHING * 100), world.now))
-    world.run(3.0)
+        ends.record_crash(Crash(incarnation, (engine, CRASHING * 100), simulation.now))
+    simulation.run(3.0)
     assert max(longest) <= MAX_DATAGRAM_BYTES
     for name in others:
-        news = world.hosts[name].gossip.ends.list_updates(world.now, full=True)
-        assert sum(len(crash.digests) for crash in news.crashes) > 32
+        updates = simulation.hosts[name].gossip.ends.list_updates(simulation.now, full=True)
+        assert sum(len(crash.digests) for crash in updates.crashes) > 32
 
 
 def test_host_refuses_with_the_remaining_time_after_an_update():
@@ -183,9 +198,11 @@
         for number in range(MAX_CRASHES):
             ends.apply_update(CrashUpdate((Crash(f"e{number}", (CRASHING,), 5.0),), ()), 6.0)
     logged = [record for record in caplog.records if record.msg == "an endpoint has ended"]
-    held = [record for record in caplog.records if record.levelname == "WARNING"]
+    refused_records = [record for record in caplog.records if record.levelname == "WARNING"]
     assert [record.life for record in logged] == ["e0", "e1", "e2"]
-    assert [(record.request_digest, record.ends) for record in held] == [(f"{CRASHING:016x}", 3)]
+    assert [(record.request_digest, record.ends) for record in refused_records] == [
+        (f"{CRASHING:016x}", 3)
+    ]
 
 
 def test_quarantine_counts_from_the_time_of_the_crash_at_all_hosts():
@@ -193,22 +210,22 @@
 
     The request would be refused for as long as hosts broadcast the crash.
     """
-    world = make_world(domains=2, hosts=3)
-    caller = Caller(world)
-    begun_at = world.now
-    caller.ask_all([*world.hosts], pause_s=0.5)
-    world.run(60.0)
-    restarts = [*world.hosts][1]
-    world.kill(restarts)
-    world.start(restarts)
-    world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
+    simulation = make_simulation(domains=2, hosts=3)
+    caller = Caller(simulation)
+    begun_at = simulation.now
+    caller.send_to_all([*simulation.hosts], pause_s=0.5)
+    simulation.run(60.0)
+    restarts = [*simulation.hosts][1]
+    simulation.kill(restarts)
+    simulation.start(restarts)
+    simulation.run(FULL_EVERY * simulation.timing.heartbeat_s + 5.0)
     hold_s = make_settings().quarantine.hold_s
-    for host in world.hosts.values():
-        hold = host.gossip.ends.find_hold(CRASHING, world.now)
-        assert hold is not None
+    for host in simulation.hosts.values():
+        block = host.gossip.ends.find_block(CRASHING, simulation.now)
+        assert block is not None
         assert (
-            world.now + hold.remaining_s
-            <= begun_at + hold_s * 2 ** (hold.crashes - MAX_CRASHES) + 5.0
+            simulation.now + block.remaining_s
+            <= begun_at + hold_s * 2 ** (block.crashes - MAX_CRASHES) + 5.0
         )
 
 
@@ -217,12 +234,12 @@
 
     A host that kept broadcasting that it was served would prevent it from ever being suspected.
     """
-    world = make_world(hosts=3)
-    caller = Caller(world)
-    first, *_ = world.hosts
-    caller.ask(first)
-    world.run(1.0)
-    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
-    world.run(SERVED_IMMUNITY_S + 10.0)
-    caller.ask_all([*world.hosts] * 3, pause_s=0.5)
+    simulation = make_simulation(hosts=3)
+    caller = Caller(simulation)
+    first, *_ = simulation.hosts
+    caller.send(first)
+    simulation.run(1.0)
+    simulation.hosts[first].gossip.ends.record_served(CRASHING, simulation.now)
+    simulation.run(SERVED_IMMUNITY_S + 10.0)
+    caller.send_to_all([*simulation.hosts] * 3, pause_s=0.5)
     assert caller.crashed == 1 + MAX_CRASHES
