--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -108,14 +108,14 @@
     def _log_blocked_requests(self, crash: Crash, now: float) -> None:
         """Log the requests that are blocked from now on."""
         for digest in crash.digests:
-            hold = self._quarantine.get_block(digest, now)
-            if hold is not None:
+            block = self._quarantine.get_block(digest, now)
+            if block is not None:
                 self._figures.note_event("request_held")
                 tell(
                     "request_held",
                     request_digest=f"{digest:016x}",
-                    ends=hold.crashes,
-                    hold_s=round(hold.remaining_s, 1),
+                    ends=block.crashes,
+                    hold_s=round(block.remaining_s, 1),
                     life=crash.incarnation,
                 )
 
@@ -131,16 +131,16 @@
     for first in range(0, len(updates.served), MAX_DIGESTS):
         yield CrashUpdate((), updates.served[first : first + MAX_DIGESTS])
     batch: list[Crash] = []
-    room = MAX_DIGESTS
+    space = MAX_DIGESTS
     for crash in updates.crashes:
         for first in range(0, len(crash.digests), MAX_DIGESTS):
             piece = crash._replace(digests=crash.digests[first : first + MAX_DIGESTS])
             size = len(piece.digests) + INCARNATION_SIZE
-            if batch and size > room:
+            if batch and size > space:
                 yield CrashUpdate(tuple(batch), ())
-                batch, room = [], MAX_DIGESTS
+                batch, space = [], MAX_DIGESTS
             batch.append(piece)
-            room -= size
+            space -= size
     if batch:
         yield CrashUpdate(tuple(batch), ())
 
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -226,12 +226,12 @@
         """
         alive = self.members.list_alive(now)
         is_remote = not self._is_same_region(peer.member)
-        offers = self._list_region_capacity(now) if is_remote else ()
-        if known_hosts and known_hosts + MAX_RELAYED_HOSTS >= len(alive) and not offers:
+        capacity = self._list_region_capacity(now) if is_remote else ()
+        if known_hosts and known_hosts + MAX_RELAYED_HOSTS >= len(alive) and not capacity:
             return
         alive.sort(key=lambda other: other.member.region != peer.member.region)
         others = tuple(_describe_peer(other, now) for other in alive[:MAX_SYNC_HOSTS])
-        self._send(peer.member.name, self._encode(now, others, offers))
+        self._send(peer.member.name, self._encode(now, others, capacity))
 
     def _answer_join_request(self, address: str, now: float) -> None:
         """Send all current updates and then the known hosts to a host that is still loading."""
@@ -269,8 +269,8 @@
         self._idle_remote_at = now + idle_hosts / IDLE_REMOTE_HEARTBEATS_PER_S * random.uniform(
             0.8, 1.2
         )
-        offers = self._list_region_capacity(now)
-        data = self._encode(now, self._list_relayed_hosts(now, True), offers)
+        capacity = self._list_region_capacity(now)
+        data = self._encode(now, self._list_relayed_hosts(now, True), capacity)
         for region, peers in regions.items():
             for peer in self._choose_remote_hosts(
                 region, peers, HOSTS_PER_REMOTE_REGION if is_serving_callers else 1
@@ -305,7 +305,7 @@
         self,
         now: float,
         others: tuple[HostState, ...],
-        offers: tuple[RegionOffer, ...],
+        capacity: tuple[RegionOffer, ...],
     ) -> bytes:
         age_ms = min(now - self.catalogue.read_at, 1e6) * 1000
         configuration = self.directory.configuration
@@ -315,7 +315,7 @@
             self.catalogue.table.revision,
             int(age_ms),
             others,
-            offers,
+            capacity,
             int(self.members.get_own_request_rate(now) * 1000),
             self.catalogue.table.digest,
             len(self.members.peers),
--- a/cloverway/serving/hosts/region_capacity.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -27,7 +27,7 @@
     configuration = directory.configuration
     if configuration is None:
         return ()
-    offers = []
+    capacity = []
     for service in configuration.services.values():
         endpoints = [
             endpoint
@@ -39,12 +39,12 @@
         ]
         if endpoints:
             room = offer_region(service, endpoints, get_queued_work_s(service.name), now)
-            offers.append(_encode_region_offer(service.name, room))
+            capacity.append(_encode_region_offer(service.name, room))
         else:
             # If it were left out, the last advertised capacity would stay valid and grow with its
             # age.
-            offers.append(RegionOffer(service.name, 0, 0))
-    return tuple(offers)
+            capacity.append(RegionOffer(service.name, 0, 0))
+    return tuple(capacity)
 
 
 def decode_region_offer(offer: RegionOffer) -> AdvertisedCapacity:
