--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -1,4 +1,4 @@
-"""What is predicted of a request at an endpoint: its wait, and what it costs others."""
+"""Predict the latency of a request at an endpoint and its cost for other requests."""
 
 from __future__ import annotations
 
@@ -9,131 +9,134 @@
 from cloverway.core.calls import Call, Prompt
 from cloverway.core.deployment import Route, Service
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.engine_speed import START_S_PER_TOKEN
-from cloverway.core.kv_fetch import Source, count_fetched, estimate_fetch
-from cloverway.core.load import DUTY, EngineState, Work
+from cloverway.core.engine_speed import INITIAL_PREFILL_S_PER_TOKEN
+from cloverway.core.kv_fetch import FetchSource, count_fetched_tokens, estimate_fetch_s
+from cloverway.core.load import PREFILL_DUTY, EngineState, Work
 from cloverway.core.members import AdvertisedCapacity
-from cloverway.core.token_gaps import STRAINED_S
+from cloverway.core.token_gaps import SATURATION_S
 
-FAILURE_S = 0.5
-"""Time that each recent failure of an endpoint adds to its prediction: about what a caller loses
-when a request fails there and is run elsewhere. It orders endpoints and shuts none out, so the
-last one is always used."""
+FAILURE_PENALTY_S = 0.5
+"""Added to the prediction of an endpoint for each recent failure: about the time that a caller
+loses when a request fails there and is retried elsewhere. It orders endpoints and excludes none, so
+the last one is always used."""
 STALLED_AFTER_S = 1.5
-"""An endpoint with requests that said nothing for this long is taken for stalled."""
-STALLED_S = 3.0
-"""Time that a stall adds: longer than any wait that a sound endpoint is chosen with."""
-SPREAD_S = 0.004
-"""Spread of predictions by the request's id, so that hosts that see the same loads don't all
-choose the same idle endpoint: about the time that one small prompt takes."""
-STREAM_WEIGHT = 0.15
-"""Weight of the time by which a prompt delays the streams that run at an endpoint, each of them by
-the time to read it, against the request's own time."""
-STALL_PART = 0.75
-"""Part of the longest wanted pause from which on a prompt, read without a break, makes each running
-stream pause too long: tokens and the work of the hosts take the rest."""
-DEFAULT_GAP_S = 0.6
-"""The longest wanted pause where a route names none: the least of the deployments known."""
-STALL_WEIGHT_S = 0.3
-"""Time that each such pause counts. One large prompt in 25 is that long; sent to the engine with
-the fewest streams, callers had 0.645 of a day's worth instead of 0.611 on one of four days played
-with and without, and the same within 0.01 on the others."""
-READ_WEIGHT = 0.5
-"""Weight of the time to read a prompt, on top of the request's own wait: whoever comes next waits
-for it too, so a place that has read a shared part is worth a wait."""
+"""An endpoint with running requests and no events for this long is treated as stalled."""
+STALL_PENALTY_S = 3.0
+"""Added for a stalled endpoint: longer than any wait at which a healthy one is chosen."""
+PREDICTION_SPREAD_S = 0.004
+"""Range of an offset derived from the request id, so that hosts that see the same loads don't all
+choose the same idle endpoint: about the prefill time of one small prompt."""
+STREAM_DELAY_WEIGHT = 0.15
+"""Weight of the delay of running streams, relative to the request's own wait. The prefill of a
+prompt delays each stream of the endpoint by the time it takes."""
+STALL_FRACTION = 0.75
+"""Fraction of the gap objective from which an uninterrupted prefill stalls each running stream: the
+rest of the gap is taken by decoding and by the hosts."""
+DEFAULT_GAP_OBJECTIVE_S = 0.6
+"""Gap objective for routes without one: the smallest of the known deployments."""
+STALL_COST_S = 0.3
+"""Cost of each such stall. One large prompt in 25 is that long. Sending it to the engine with the
+fewest streams raised the score of one of four simulated days from 0.611 to 0.645 of the maximum;
+the others stayed the same within 0.01."""
+PREFILL_WEIGHT = 0.5
+"""Weight of the prefill time, on top of the request's own wait. The next requests wait for it too,
+so an endpoint that has a shared prefix cached is worth a longer wait."""
 DECODE_WEIGHT = 0.3
-"""Weight of the time that the tokens of an answer take at an endpoint, at the pace of those that
-run there. Long answers then gather where few prompts are read, and long prompts elsewhere."""
-RISK_S = 3.0
-"""Time that an answer counts which would not be whole when the time of its route is over: what was
-generated is lost, and the caller gets nothing."""
-RISK_FROM = 0.5
-"""Part of the time left from which on that begins to count: estimates of tokens are off by half."""
-LARGE_PART = 0.5
-"""Part of the burst that a prompt counts at most against it for its own reading. A larger one would
-wait for an engine that has nothing to read, and each smaller one that comes meanwhile passes it."""
-SMALL_S = 0.065
-"""A prompt that is read within this is small: it adds next to nothing to the pauses of others, for
-engines read in chunks that take about as long."""
-SMALL_FACTOR = 2.0
-"""How many bursts a small prompt may wait behind."""
-HOME_BONUS = 0.3
-"""Part of the time to read a shared part that its own endpoint, by hash, is preferred by, while
-none is known to have it. All hosts then read it at the same one, without a word between them."""
-PLACE_S = 0.5
-"""Time until an endpoint is free where that isn't a matter of prompts: a stream ends about as often
-at an engine with all of its places taken."""
-FETCH_PART = 0.1
-"""Part of the time to read them that tokens count which an endpoint fetches from another one: the
-links of both carry them, and they fill the memory of two engines."""
-CROSS_S_PER_BYTE = 3e-6
-"""Time that each byte counts which goes to an endpoint of another failure domain of the region, and
-back. Bytes between domains are paid for: a body of 9 KB costs as much as a twentieth of what a
-caller gets of a large request, about as much as 30 ms of an engine's time."""
-ANSWER_BYTES_PER_TOKEN = 12
-"""Bytes of an answer for each token: an event of 65 bytes and its frame for six of them."""
-KV_USED_PART = 0.92
-"""Part of an engine's memory that is filled; the rest is left for answers longer than expected,
-since an engine that runs out stops a stream midway."""
-DECODE_LIKELY = 0.6
-"""Part of the most tokens out that an answer is taken to have without an estimate."""
-CELLS = 1 << 32
-
-
-class Wanted(NamedTuple):
-    """A request that looks for a place."""
+"""Weight of the decode time of the answer at the current speed of the endpoint. It sends long
+answers to endpoints with little prefill work, and long prompts to the others."""
+TRUNCATION_COST_S = 3.0
+"""Cost of an answer that is truncated by the timeout of its route: the generated tokens are lost,
+and the caller gets nothing."""
+TRUNCATION_RISK_START = 0.5
+"""Fraction of the remaining time from which a truncation is a risk: token estimates are off by
+half."""
+LARGE_PROMPT_FRACTION = 0.5
+"""Maximum prefill time that a prompt counts against the burst limit, as a fraction of the limit. A
+larger prompt would otherwise wait for an engine without queue, and be overtaken by each smaller one
+that arrives meanwhile."""
+SMALL_PREFILL_S = 0.065
+"""Maximum prefill time of a small prompt. It hardly extends the gaps of other answers, because
+engines prefill in chunks that take about as long."""
+SMALL_PROMPT_BURSTS = 2.0
+"""Number of full bursts that a small prompt may be queued behind."""
+AFFINITY_BONUS = 0.3
+"""Bonus of the endpoint that a hash assigns to a shared prefix, as a fraction of the prefill time
+of its last segment. It counts while no endpoint is known to have the prefix cached. All hosts then
+send it to the same endpoint without communication."""
+SLOT_WAIT_S = 0.5
+"""Time until a full endpoint has a free slot: about the interval at which streams end at an engine
+with all slots in use."""
+FETCH_COST_FRACTION = 0.1
+"""Cost of fetched tokens as a fraction of their prefill time: they load the links of both endpoints
+and occupy KV cache at two engines."""
+CROSS_DOMAIN_S_PER_BYTE = 3e-6
+"""Cost of each byte exchanged with an endpoint of another failure domain of the region. Traffic
+between domains is billed: a body of 9 KB costs a twentieth of the value of a large request, about
+as much as 30 ms of an engine's time."""
+RESPONSE_BYTES_PER_TOKEN = 12
+"""Bytes of an answer per token: an event of 65 bytes plus framing holds six tokens."""
+MAX_KV_FILL = 0.92
+"""Fraction of an engine's KV cache that is reserved for requests. The rest is for answers longer
+than estimated, because an engine that runs out aborts a stream."""
+EXPECTED_OUTPUT_FRACTION = 0.6
+"""Expected fraction of the maximum output tokens, for requests without an estimate."""
+CRC32_RANGE = 1 << 32
+
+
+class RoutedCall(NamedTuple):
+    """A request to be placed: a call with the route and service that it matched."""
 
     call: Call
     route: Route
     service: Service
     tried: Counter[str]
-    """Failed sends by endpoint, host and region."""
+    """Failed attempts by endpoint incarnation, host and region."""
     digest: int = 0
-    """What all repeats of the request have in common; 0 where nothing hangs on it."""
+    """Digest that all repeats of the request share; 0 where it is not needed."""
 
 
 class Candidate(NamedTuple):
-    """One endpoint with what is predicted of a request there. Times are seconds."""
+    """An endpoint with the predictions for a request there. Times are seconds."""
 
     endpoint: Endpoint
     wait_s: float
-    """Until the first event or the answer."""
+    """Time to the first event of a stream, or to a plain answer."""
     cost_s: float
-    """The wait, and what the request costs others and itself later."""
+    """The wait plus later costs for this request and for others."""
     work: Work
-    full: bool
-    """Whether it would have to wait for another request to end."""
-    free_s: float = 0.0
-    """Until it is no longer full, as far as that can be told."""
-    source: Endpoint | None = None
-    """The endpoint that it would fetch parts of the prompt from."""
-    read_s: float = 0.0
-    """Time to read its prompt there."""
-    answer_s: float = 0.0
-    """Time from the first event of its answer to the last one."""
+    is_full: bool
+    """Whether the request can't be sent there now."""
+    available_in_s: float = 0.0
+    """Estimated time until it is no longer full."""
+    fetch_source: Endpoint | None = None
+    """The endpoint that it would fetch KV cache from."""
+    prefill_s: float = 0.0
+    """Prefill time of the prompt."""
+    decode_s: float = 0.0
+    """Time from the first event of the answer to the last one."""
     running: int = 0
-    """Requests that run there, of all hosts."""
+    """Requests of all hosts that are running there."""
 
-    def add_cost(self, seconds: float) -> Candidate:
-        """Give the candidate with a higher cost."""
+    def with_added_cost(self, seconds: float) -> Candidate:
+        """Return the candidate with an added cost."""
         return self._replace(cost_s=self.cost_s + seconds) if seconds else self
 
-    def delay(self, seconds: float) -> Candidate:
-        """Give the candidate as it is when it may get nothing for some time."""
+    def with_delay(self, seconds: float) -> Candidate:
+        """Return the candidate as full for at least some seconds."""
         if seconds <= 0:
             return self
-        return self._replace(full=True, free_s=max(self.free_s, seconds))
+        return self._replace(is_full=True, available_in_s=max(self.available_in_s, seconds))
 
 
-class Far(NamedTuple):
-    """Another region, and the time of the way there and back."""
+class RemoteRegion(NamedTuple):
+    """Another region and the round-trip time to it."""
 
     region: str
-    trip_s: float
+    round_trip_s: float
 
 
-class RegionOffer(NamedTuple):
-    """Another region with what is predicted of a request there, the way counted in."""
+class RegionCandidate(NamedTuple):
+    """A remote region with the predictions for a request there, including the round trip."""
 
     region: str
     wait_s: float
@@ -145,184 +148,216 @@
 
     domain: str
     hosts: int = 1
-    """Hosts of its region, itself counted."""
-    is_young: bool = False
-    """Whether it has just started, and may not know what others sent. An engine that it believes to
-    be idle then gets one long prompt and no more: with all hosts started at once, each would
+    """Number of hosts in its region, including itself."""
+    is_recently_started: bool = False
+    """Whether it has just started and may not know the load of the other hosts. It then sends one
+    long prompt at a time to an engine that seems idle: when all hosts start together, each would
     otherwise fill every engine by itself."""
 
 
-def estimate_work(call: Call, endpoint: Endpoint, source: Source | None = None) -> Work:
-    """Estimate what a request asks of an endpoint that may fetch from a source."""
+def estimate_work(call: Call, endpoint: Endpoint, source: FetchSource | None = None) -> Work:
+    """Estimate the work of a request at an endpoint that may fetch KV cache from a source."""
     prompt = call.prompt
     if prompt is None:
         return Work()
-    fetched = count_fetched(prompt, endpoint, source)
-    unread = endpoint.load.count_unread(prompt) - fetched
-    return Work(unread, prompt.tokens_in + estimate_out(prompt), fetched)
+    fetched_tokens = count_fetched_tokens(prompt, endpoint, source)
+    prefill_tokens = endpoint.load.count_uncached(prompt) - fetched_tokens
+    return Work(
+        prefill_tokens, prompt.input_tokens + estimate_output_tokens(prompt), fetched_tokens
+    )
 
 
-def estimate_far_work(call: Call) -> Work:
-    """Estimate what a request asks of an endpoint in another region.
+def estimate_remote_work(call: Call) -> Work:
+    """Estimate the work of a request at an endpoint in another region.
 
-    Its own part is to be read, and half of the shared ones, of which nobody here knows whether
-    they lie there.
+    Its own last segment is counted in full, and the shared prefix by half, since it isn't known
+    here whether that is cached there.
     """
     prompt = call.prompt
     if prompt is None:
         return Work()
-    own = prompt.parts[-1].tokens if prompt.parts else prompt.tokens_in
-    unread = own + (prompt.tokens_in - own) // 2
-    return Work(unread, prompt.tokens_in + estimate_out(prompt))
+    own = prompt.segments[-1].tokens if prompt.segments else prompt.input_tokens
+    prefill_tokens = own + (prompt.input_tokens - own) // 2
+    return Work(prefill_tokens, prompt.input_tokens + estimate_output_tokens(prompt))
 
 
-def estimate_read(wanted: Wanted) -> float:
-    """Estimate the seconds that an engine takes to read a prompt, not knowing which one it is."""
-    if wanted.service.engine is None:
+def estimate_prefill_s(routed: RoutedCall) -> float:
+    """Estimate the prefill time of a request at an unspecified engine, in seconds."""
+    if routed.service.engine is None:
         return 0.0
-    return estimate_far_work(wanted.call).unread * START_S_PER_TOKEN
+    return estimate_remote_work(routed.call).prefill_tokens * INITIAL_PREFILL_S_PER_TOKEN
 
 
 def predict(
-    wanted: Wanted,
+    routed: RoutedCall,
     endpoint: Endpoint,
     *,
     sender: Sender,
     now: float,
-    source: Source | None = None,
+    source: FetchSource | None = None,
 ) -> Candidate:
-    """Predict when a request would have its first answer at an endpoint.
+    """Predict the wait and the cost of a request at an endpoint.
 
-    `source` is where the parts of its prompt lie that the endpoint may fetch.
+    `source` is the endpoint that this one may fetch KV cache of the prompt from.
     """
-    call, service = wanted.call, wanted.service
+    call, service = routed.call, routed.service
     load = endpoint.load
-    total = load.sum_all(now)
-    penalty = FAILURE_S * load.failures(now)
-    if total.running and now - load.progress_at > STALLED_AFTER_S and load.sum_own().running:
-        penalty += STALLED_S
-    spread = SPREAD_S * _point(call.id, endpoint.entry.id)
+    total = load.sum_region_load(now)
+    penalty = FAILURE_PENALTY_S * load.failures(now)
+    if (
+        total.running
+        and now - load.last_progress_at > STALLED_AFTER_S
+        and load.get_own_load().running
+    ):
+        penalty += STALL_PENALTY_S
+    spread = PREDICTION_SPREAD_S * _hash_to_fraction(call.id, endpoint.entry.id)
     slots = max(1, endpoint.entry.slots)
     connections = service.max_connections // max(1, sender.hosts)
-    full = load.sum_own().running >= max(1, connections) or total.running >= slots
+    is_full = load.get_own_load().running >= max(1, connections) or total.running >= slots
     if service.engine is None or call.prompt is None:
         queue = max(0.0, (total.running + 1 - slots) / slots)
-        wait_s = load.work_s * (1 + queue) + penalty + spread
-        cost_s = wait_s + _estimate_crossing(call, endpoint, sender.domain)
+        wait_s = load.service_time_s * (1 + queue) + penalty + spread
+        cost_s = wait_s + _estimate_crossing_cost(call, endpoint, sender.domain)
         work = estimate_work(call, endpoint)
-        free_s = load.work_s if full else 0.0
-        return Candidate(endpoint, wait_s, cost_s, work, full, free_s, running=total.running)
+        available_in_s = load.service_time_s if is_full else 0.0
+        return Candidate(
+            endpoint, wait_s, cost_s, work, is_full, available_in_s, running=total.running
+        )
     work = estimate_work(call, endpoint, source)
     state = describe_engine(endpoint, total.running, now)
-    fetch_s = estimate_fetch(work.fetched, service.engine)
-    read_s = work.unread * state.read_s_per_token
-    wait_s = state.queue_s + read_s + fetch_s + penalty + spread
-    is_long = read_s > SMALL_S
-    burst_s = load.burst_part * (wanted.route.gap_objective_s or DEFAULT_GAP_S)
-    over_s = _estimate_over(state.queue_s, read_s, burst_s, sender.is_young)
-    strained = load.is_strained(now) and is_long
-    cost_s = wait_s + _estimate_harm(wanted, work, state, now)
+    fetch_s = estimate_fetch_s(work.fetched_tokens, service.engine)
+    prefill_s = work.prefill_tokens * state.prefill_s_per_token
+    wait_s = state.queue_s + prefill_s + fetch_s + penalty + spread
+    is_long = prefill_s > SMALL_PREFILL_S
+    burst_s = load.burst_ratio * (routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S)
+    excess_s = _estimate_burst_excess(state.queue_s, prefill_s, burst_s, sender.is_recently_started)
+    saturated = load.is_saturated(now) and is_long
+    cost_s = wait_s + _estimate_later_cost(routed, work, state, now)
     if source is None:
-        cost_s -= _home_bonus(call, endpoint)
-    cost_s += _estimate_crossing(call, endpoint, sender.domain)
-    load.kv_tokens = service.engine.kv_tokens
-    kv_limit = service.engine.kv_tokens * KV_USED_PART
-    full = full or (total.running > 0 and total.held + work.held > kv_limit)
-    free_s = max(PLACE_S if full else 0.0, over_s / DUTY, STRAINED_S if strained else 0.0)
-    chosen = source.endpoint if source is not None and work.fetched else None
-    answer_s = (work.held - call.prompt.tokens_in) * state.token_s
+        cost_s -= _compute_affinity_bonus(call, endpoint)
+    cost_s += _estimate_crossing_cost(call, endpoint, sender.domain)
+    load.kv_capacity = service.engine.kv_tokens
+    kv_limit = service.engine.kv_tokens * MAX_KV_FILL
+    is_full = is_full or (
+        total.running > 0 and total.reserved_kv_tokens + work.reserved_kv_tokens > kv_limit
+    )
+    available_in_s = max(
+        SLOT_WAIT_S if is_full else 0.0, excess_s / PREFILL_DUTY, SATURATION_S if saturated else 0.0
+    )
+    fetch_source = source.endpoint if source is not None and work.fetched_tokens else None
+    decode_s = (work.reserved_kv_tokens - call.prompt.input_tokens) * state.decode_s_per_token
     return Candidate(
-        *(endpoint, wait_s, cost_s, work, free_s > 0, free_s, chosen, read_s, answer_s),
+        *(
+            endpoint,
+            wait_s,
+            cost_s,
+            work,
+            available_in_s > 0,
+            available_in_s,
+            fetch_source,
+            prefill_s,
+            decode_s,
+        ),
         running=total.running,
     )
 
 
-def _estimate_over(queue_s: float, read_s: float, burst_s: float, is_young: bool) -> float:
-    """Give by how many seconds of reading an engine would have more than may wait there."""
+def _estimate_burst_excess(
+    queue_s: float, prefill_s: float, burst_s: float, is_recently_started: bool
+) -> float:
+    """Return the prefill seconds by which a request would exceed an engine's burst limit."""
     if queue_s <= 0:
         return 0.0
-    if read_s <= SMALL_S:
-        return queue_s + read_s - SMALL_FACTOR * burst_s
-    counted_s = min(read_s, LARGE_PART * burst_s)
-    return queue_s + counted_s - (0.0 if is_young else burst_s)
+    if prefill_s <= SMALL_PREFILL_S:
+        return queue_s + prefill_s - SMALL_PROMPT_BURSTS * burst_s
+    counted_s = min(prefill_s, LARGE_PROMPT_FRACTION * burst_s)
+    return queue_s + counted_s - (0.0 if is_recently_started else burst_s)
 
 
 def describe_engine(endpoint: Endpoint, running: int, now: float) -> EngineState:
-    """Give what is known of an engine with some requests."""
+    """Return the state of an engine with `running` requests."""
     load = endpoint.load
-    read_s = load.read_s_per_token
-    return EngineState(load.backlog(now) * read_s, read_s, load.estimate_token_s(now), running)
-
-
-def predict_region(wanted: Wanted, offer: AdvertisedCapacity, far: Far, now: float) -> RegionOffer:
-    """Predict how a request would fare in another region, by what that region offers."""
-    call = wanted.call
-    wait_s = offer.wait_s + far.trip_s
-    crossing_s = CROSS_S_PER_BYTE * _estimate_bytes(call)
-    if wanted.service.engine is None or call.prompt is None:
-        return RegionOffer(far.region, wait_s, wait_s + crossing_s)
-    work = estimate_far_work(call)
-    wait_s += work.unread * offer.engine.read_s_per_token
-    cost_s = wait_s + _estimate_harm(wanted, work, offer.engine, now) + crossing_s
-    return RegionOffer(far.region, wait_s, cost_s)
-
-
-def _estimate_harm(wanted: Wanted, work: Work, state: EngineState, now: float) -> float:
-    """Estimate what a request costs later: streams that wait, and its own answer stretched."""
-    read_s = work.unread * state.read_s_per_token
-    stall_s = STALL_PART * (wanted.route.gap_objective_s or DEFAULT_GAP_S)
-    delay_s = read_s * (READ_WEIGHT + STREAM_WEIGHT * state.running)
-    first_s = state.queue_s + read_s
-    if first_s > stall_s:
-        delay_s += STALL_WEIGHT_S * state.running
-    assert wanted.call.prompt is not None
-    tokens_out = work.held - wanted.call.prompt.tokens_in
-    answer_s = tokens_out * state.token_s
-    fetch_s = FETCH_PART * work.fetched * state.read_s_per_token
-    risk_s = RISK_S * _estimate_risk(wanted, first_s + answer_s, now)
-    return delay_s + fetch_s + DECODE_WEIGHT * answer_s + risk_s
-
-
-def estimate_out(prompt: Prompt) -> int:
-    """Give the tokens that an answer is taken to have."""
-    if prompt.likely_out is not None:
-        return min(prompt.likely_out, prompt.tokens_out)
-    return int(prompt.tokens_out * DECODE_LIKELY)
-
-
-def _estimate_risk(wanted: Wanted, total_s: float, now: float) -> float:
-    """Estimate how likely an answer is cut because the time of its route is over."""
-    call, route = wanted.call, wanted.route
+    prefill_s = load.prefill_s_per_token
+    return EngineState(
+        load.backlog(now) * prefill_s, prefill_s, load.estimate_decode_s_per_token(now), running
+    )
+
+
+def predict_region(
+    routed: RoutedCall, offer: AdvertisedCapacity, remote: RemoteRegion, now: float
+) -> RegionCandidate:
+    """Predict the wait and the cost of a request in another region from its offer."""
+    call = routed.call
+    wait_s = offer.wait_s + remote.round_trip_s
+    crossing_s = CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
+    if routed.service.engine is None or call.prompt is None:
+        return RegionCandidate(remote.region, wait_s, wait_s + crossing_s)
+    work = estimate_remote_work(call)
+    wait_s += work.prefill_tokens * offer.engine.prefill_s_per_token
+    cost_s = wait_s + _estimate_later_cost(routed, work, offer.engine, now) + crossing_s
+    return RegionCandidate(remote.region, wait_s, cost_s)
+
+
+def _estimate_later_cost(routed: RoutedCall, work: Work, state: EngineState, now: float) -> float:
+    """Estimate the costs after the wait: delayed streams, decode time, risk of truncation."""
+    prefill_s = work.prefill_tokens * state.prefill_s_per_token
+    stall_s = STALL_FRACTION * (routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S)
+    delay_s = prefill_s * (PREFILL_WEIGHT + STREAM_DELAY_WEIGHT * state.running)
+    first_event_s = state.queue_s + prefill_s
+    if first_event_s > stall_s:
+        delay_s += STALL_COST_S * state.running
+    assert routed.call.prompt is not None
+    output_tokens = work.reserved_kv_tokens - routed.call.prompt.input_tokens
+    decode_s = output_tokens * state.decode_s_per_token
+    fetch_s = FETCH_COST_FRACTION * work.fetched_tokens * state.prefill_s_per_token
+    risk_s = TRUNCATION_COST_S * _estimate_truncation_risk(routed, first_event_s + decode_s, now)
+    return delay_s + fetch_s + DECODE_WEIGHT * decode_s + risk_s
+
+
+def estimate_output_tokens(prompt: Prompt) -> int:
+    """Return the expected output tokens."""
+    if prompt.expected_output_tokens is not None:
+        return min(prompt.expected_output_tokens, prompt.max_output_tokens)
+    return int(prompt.max_output_tokens * EXPECTED_OUTPUT_FRACTION)
+
+
+def _estimate_truncation_risk(routed: RoutedCall, total_s: float, now: float) -> float:
+    """Estimate the probability that the timeout of the route truncates the answer."""
+    call, route = routed.call, routed.route
     left_s = min(call.deadline, call.arrived_at + route.timeout_s) - now
     if left_s <= 0:
         return 1.0
-    return min(1.0, max(0.0, total_s / left_s - RISK_FROM) / (1 - RISK_FROM))
+    return min(
+        1.0, max(0.0, total_s / left_s - TRUNCATION_RISK_START) / (1 - TRUNCATION_RISK_START)
+    )
 
 
-def _estimate_crossing(call: Call, endpoint: Endpoint, domain: str) -> float:
-    """Give the time that the bytes count which go to another failure domain."""
+def _estimate_crossing_cost(call: Call, endpoint: Endpoint, domain: str) -> float:
+    """Return the cost of the bytes sent to another failure domain, in seconds."""
     if endpoint.entry.domain == domain:
         return 0.0
-    return CROSS_S_PER_BYTE * _estimate_bytes(call)
+    return CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
 
 
 def _estimate_bytes(call: Call) -> float:
-    """Give the bytes of a request and its answer."""
-    tokens = call.prompt.tokens_out * DECODE_LIKELY if call.prompt is not None else 0.0
-    return len(call.body) + ANSWER_BYTES_PER_TOKEN * tokens
+    """Return the estimated bytes of a request and its answer."""
+    tokens = (
+        call.prompt.max_output_tokens * EXPECTED_OUTPUT_FRACTION if call.prompt is not None else 0.0
+    )
+    return len(call.body) + RESPONSE_BYTES_PER_TOKEN * tokens
 
 
-def _home_bonus(call: Call, endpoint: Endpoint) -> float:
-    """Prefer an endpoint for the shared parts that a hash gives to it, a little."""
+def _compute_affinity_bonus(call: Call, endpoint: Endpoint) -> float:
+    """Return the bonus for an endpoint that a hash assigns to the shared prefix."""
     assert call.prompt is not None
-    shared = call.prompt.parts[:-1]
+    shared = call.prompt.segments[:-1]
     if not shared:
         return 0.0
-    part = shared[-1]
-    point = _point(str(part.id), endpoint.entry.id)
-    return HOME_BONUS * part.tokens * endpoint.load.read_s_per_token * point
+    segment = shared[-1]
+    point = _hash_to_fraction(str(segment.id), endpoint.entry.id)
+    return AFFINITY_BONUS * segment.tokens * endpoint.load.prefill_s_per_token * point
 
 
-def _point(*names: str) -> float:
-    """Give a number from 0 to 1 that all hosts agree on; a checksum is even enough, and fast."""
-    return zlib.crc32(" ".join(names).encode()) / CELLS
+def _hash_to_fraction(*names: str) -> float:
+    """Hash names to a number from 0 to 1, the same on all hosts; CRC-32 is fast and uniform."""
+    return zlib.crc32(" ".join(names).encode()) / CRC32_RANGE
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -76,8 +76,8 @@
 def _add_penalty(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
     """Add the cost of suspects that run together; return None where they must not."""
     if level is Level.NONE:
-        return candidate.add_cost(SUSPECT_AVOIDANCE_S * (there is not Level.NONE))
+        return candidate.with_added_cost(SUSPECT_AVOIDANCE_S * (there is not Level.NONE))
     if Level.ALONE in (level, there) and there is not Level.NONE:
         return None
     penalty_s = SUSPECT_PENALTY_S * (there is not Level.NONE)
-    return candidate.add_cost(penalty_s + EXPOSURE_PENALTY_S * candidate.running)
+    return candidate.with_added_cost(penalty_s + EXPOSURE_PENALTY_S * candidate.running)
--- a/cloverway/serving/hosts/region_capacity.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -7,7 +7,7 @@
 from cloverway.core.endpoints import Directory
 from cloverway.core.load import EngineState
 from cloverway.core.members import AdvertisedCapacity
-from cloverway.core.selection import Room, offer_region
+from cloverway.core.selection import RegionCapacity, compute_region_capacity
 from cloverway.serving.hosts.messages import RegionOffer
 
 MAX_FREE_SLOTS = 1000
@@ -38,7 +38,7 @@
             and not directory.get_pause_s(endpoint, now)
         ]
         if endpoints:
-            room = offer_region(service, endpoints, get_queued_work_s(service.name), now)
+            room = compute_region_capacity(service, endpoints, get_queued_work_s(service.name), now)
             capacity.append(_encode_region_offer(service.name, room))
         else:
             # If it were left out, the last advertised capacity would stay valid and grow with its
@@ -54,13 +54,13 @@
     return AdvertisedCapacity(offer.service_name, wait_s, offer.free, offer.room, engine)
 
 
-def _encode_region_offer(service: str, room: Room) -> RegionOffer:
+def _encode_region_offer(service: str, room: RegionCapacity) -> RegionOffer:
     free = min(room.free, MAX_FREE_SLOTS)
     offer = RegionOffer(service, int(room.wait_s * 1000), free, room.tokens)
     if room.engine is None:
         return offer
     return offer._replace(
-        read_ns=int(room.engine.read_s_per_token * 1e9),
-        token_us=int(room.engine.token_s * 1e6),
+        read_ns=int(room.engine.prefill_s_per_token * 1e9),
+        token_us=int(room.engine.decode_s_per_token * 1e6),
         running=room.engine.running,
     )
--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -1,9 +1,9 @@
-"""Runs a host of a fleet with parts of its decisions switched off, to measure their worth.
+"""Run a host of a fleet with some of its decision mechanisms disabled, to measure their effect.
 
     python -m cloverway.tests.ablated fetch pace
 
-A copy of the deploy file runs this in place of `python -m cloverway.platform`; nothing of the
-product knows of it. `--list` names the mechanisms.
+A copy of the deploy file runs this instead of `python -m cloverway.platform`; the product doesn't
+depend on it. `--list` prints the mechanisms.
 """
 
 from __future__ import annotations
@@ -13,43 +13,43 @@
 from typing import NamedTuple
 
 NEVER = 1e9
-"""More seconds, tokens or hosts than there are."""
+"""More seconds, tokens or hosts than ever occur."""
 
 
 class Switch(NamedTuple):
-    """One constant and the value with which it decides nothing."""
+    """A constant and the value that disables its mechanism."""
 
     module: str
-    """Where it is defined, below cloverway."""
+    """Module that defines it, relative to cloverway."""
     name: str
     value: object
 
 
 MECHANISMS: dict[str, tuple[Switch, ...]] = {
-    "fetch": (Switch("core.kv_fetch", "LEAST_TOKENS", NEVER),),
-    "home_bonus": (Switch("core.prediction", "HOME_BONUS", 0.0),),
-    "blame": (Switch("core.prediction", "FAILURE_S", 0.0),),
+    "fetch": (Switch("core.kv_fetch", "MIN_TOKENS", NEVER),),
+    "home_bonus": (Switch("core.prediction", "AFFINITY_BONUS", 0.0),),
+    "blame": (Switch("core.prediction", "FAILURE_PENALTY_S", 0.0),),
     "usual_failures": (Switch("core.failures", "BASELINE_FACTOR", 0.0),),
-    "stalled": (Switch("core.prediction", "STALLED_S", 0.0),),
-    "spread": (Switch("core.prediction", "SPREAD_S", 0.0),),
-    "read_weight": (Switch("core.prediction", "READ_WEIGHT", 0.0),),
-    "stream_weight": (Switch("core.prediction", "STREAM_WEIGHT", 0.0),),
-    "stall_weight": (Switch("core.prediction", "STALL_WEIGHT_S", 0.0),),
+    "stalled": (Switch("core.prediction", "STALL_PENALTY_S", 0.0),),
+    "spread": (Switch("core.prediction", "PREDICTION_SPREAD_S", 0.0),),
+    "read_weight": (Switch("core.prediction", "PREFILL_WEIGHT", 0.0),),
+    "stream_weight": (Switch("core.prediction", "STREAM_DELAY_WEIGHT", 0.0),),
+    "stall_weight": (Switch("core.prediction", "STALL_COST_S", 0.0),),
     "decode_weight": (Switch("core.prediction", "DECODE_WEIGHT", 0.0),),
-    "risk": (Switch("core.prediction", "RISK_S", 0.0),),
-    "crossing": (Switch("core.prediction", "CROSS_S_PER_BYTE", 0.0),),
+    "risk": (Switch("core.prediction", "TRUNCATION_COST_S", 0.0),),
+    "crossing": (Switch("core.prediction", "CROSS_DOMAIN_S_PER_BYTE", 0.0),),
     "burst": (
-        Switch("core.token_gaps", "START_PART", NEVER),
-        Switch("core.token_gaps", "MOST_PART", NEVER),
+        Switch("core.token_gaps", "INITIAL_BURST_RATIO", NEVER),
+        Switch("core.token_gaps", "MAX_BURST_RATIO", NEVER),
     ),
-    "large": (Switch("core.prediction", "LARGE_PART", NEVER),),
-    "strain": (Switch("core.token_gaps", "STRAINED_S", 0.0),),
+    "large": (Switch("core.prediction", "LARGE_PROMPT_FRACTION", NEVER),),
+    "strain": (Switch("core.token_gaps", "SATURATION_S", 0.0),),
     "read_pace": (
-        Switch("core.engine_speed", "FIRST_STEP", 0.0),
+        Switch("core.engine_speed", "WARMUP_STEP", 0.0),
         Switch("core.engine_speed", "STEP", 0.0),
     ),
-    "token_pace": (Switch("core.engine_speed", "LEAST_SEEN_S", NEVER),),
-    "give_back": (Switch("core.load", "SURE_FACTOR", NEVER),),
+    "token_pace": (Switch("core.engine_speed", "MIN_OBSERVED_S", NEVER),),
+    "give_back": (Switch("core.load", "MAX_PREFILL_SPEEDUP", NEVER),),
     "other_regions": (Switch("serving.requests.targeting", "FAR_MARGIN_S", NEVER),),
     "line": (Switch("serving.requests.placement", "WAIT_PART", 0.0),),
     "young": (Switch("serving.requests.targeting", "LOADS_HEARD_S", 0.0),),
@@ -58,14 +58,14 @@
     "readers": (Switch("serving.documents.catalogue", "READERS_PER_DOMAIN", 10_000),),
     "few_named": (Switch("core.lookup", "TARGET_UTILIZATION", 0.0),),
     "settle": (Switch("core.lookup", "MIN_LOOKUP_AGE_S", 0.0),),
-    "retries": (Switch("core.retry_budget", "USED_PART", 0.0),),
+    "retries": (Switch("core.retry_budget", "USABLE_FRACTION", 0.0),),
 }
 
 
 def switch_off(name: str) -> None:
-    """Switch a mechanism off in this process; raise KeyError for one that isn't known.
+    """Disable a mechanism in this process; raise KeyError for an unknown one.
 
-    A constant is also set in the modules that have imported it by its name.
+    The constant is also set in the modules that have imported it by name.
     """
     importlib.import_module("cloverway.serving.host")
     for switch in MECHANISMS[name]:
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -58,7 +58,7 @@
                 )
                 await wait_for(
                     lambda new=new: "desk-0" in new.directory.endpoints
-                    and new.directory.endpoints["desk-0"].has_said_leaving,
+                    and new.directory.endpoints["desk-0"].has_announced_leaving,
                     1,
                 )
                 assert read_clock() - began_at < SYNC_TIMEOUT_S
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -96,7 +96,7 @@
             assert reply.body.count(b"id: ") == 5
             loads = [endpoint.load for endpoint in host.directory.endpoints.values()]
             last_event_at = read_clock() - pause_s
-            assert any(load.is_strained(last_event_at) for load in loads) == strained
+            assert any(load.is_saturated(last_event_at) for load in loads) == strained
 
     play(scenario)
 
@@ -164,7 +164,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 3000)
-            load.note_read(int(10 / load.read_s_per_token), read_clock())
+            load.note_prefill(int(10 / load.prefill_s_per_token), read_clock())
             sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,))
             assert reply.status == 503
@@ -185,7 +185,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 6000)
-            load.note_read(int(0.8 / load.read_s_per_token), read_clock())
+            load.note_prefill(int(0.8 / load.prefill_s_per_token), read_clock())
             sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,), deadline_ms=6000)
             assert reply.status == 200
