--- a/cloverway/platform/__main__.py
+++ b/cloverway/platform/__main__.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from cloverway.serving.early import Early
+from cloverway.serving.early import EarlySockets
 
 SETTINGS_VARIABLE = "CLOVERWAY_BOOT"
 """Holds the path of the settings, which the platform fills in from deploy/settings.toml."""
@@ -14,7 +14,7 @@
 def main() -> None:
     """Run until the process is told to stop."""
     path = os.environ.get(SETTINGS_VARIABLE, "/etc/cloverway/settings.json")
-    early = Early.from_settings(path)
+    early = EarlySockets.from_settings(path)
     # Loaded only now: this takes most of the time until callers can be served.
     from pathlib import Path
 
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -16,7 +16,7 @@
 from cloverway.platform.entries import decode_born
 from cloverway.serving.http.client import ReplyHead
 from cloverway.serving.http.server import Exchange
-from cloverway.serving.ports import LifeFacts, Lookup, ReplyFacts, SendTerms
+from cloverway.serving.ports import IncarnationFacts, Lookup, ReplyFacts, SendOptions
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
         """Give the body of the answer to a lookup."""
         return json.dumps({"addresses": list(addresses), "ttlS": ttl_s}).encode()
 
-    def encode_send(self, call: Call, terms: SendTerms) -> list[Header]:
+    def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
         """Give the headers of a request to an endpoint."""
         headers = [
             *call.headers,
@@ -97,7 +97,7 @@
             headers.append((names.FETCH, terms.fetch_from.encode("latin-1")))
         return headers
 
-    def encode_pass(self, call: Call, left_s: float) -> list[Header]:
+    def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
         """Give the headers of a request that another host is to run, in the callers' form."""
         headers = [*call.headers, (names.DEADLINE, _format_ms(left_s))]
         if call.last_event_id:
@@ -111,24 +111,24 @@
 
     def decode_reply(self, head: ReplyHead) -> ReplyFacts:
         """Decode the head of an endpoint's answer."""
-        elsewhere = head.status == MISDIRECTED
-        not_run = head.get(names.NOT_RUN) is not None or elsewhere
-        sealed = head.get(names.SIGNATURE) is not None
+        is_misdirected = head.status == MISDIRECTED
+        not_run = head.get(names.NOT_RUN) is not None or is_misdirected
+        is_signed = head.get(names.SIGNATURE) is not None
         limit = head.get(names.LIMIT)
         limit_per_s = _read_decimal(limit, "the limit that an endpoint names can't be read")
         leaving = head.get(names.LEAVING) == b"1"
         pause = head.get(names.RETRY_AFTER) if head.status == UNAVAILABLE else None
         pause_s = _read_decimal(pause, "the pause that an endpoint asks for can't be read")
-        return ReplyFacts(not_run, sealed, elsewhere, limit_per_s, leaving, pause_s)
+        return ReplyFacts(not_run, is_signed, is_misdirected, limit_per_s, leaving, pause_s)
 
-    def encode_life_question(self, endpoint_id: str) -> tuple[str, list[Header]]:
+    def encode_incarnation_query(self, endpoint_id: str) -> tuple[str, list[Header]]:
         """Give target and headers of the GET that asks an endpoint when it started."""
         return STATE_PATH, [(names.EXPECTED_ENDPOINT, endpoint_id.encode("latin-1"))]
 
-    def decode_life(self, head: ReplyHead, body: bytes) -> LifeFacts:
+    def decode_incarnation(self, head: ReplyHead, body: bytes) -> IncarnationFacts:
         """Decode the answer to it."""
         born_ms = decode_born(body) if head.status == OK else None
-        return LifeFacts(head.status == MISDIRECTED, born_ms)
+        return IncarnationFacts(head.status == MISDIRECTED, born_ms)
 
     def encode_refusal(self, error: RequestError, call_id: str) -> tuple[int, list[Header], bytes]:
         """Give status, headers and body of the answer to a request that failed here."""
--- a/cloverway/serving/clock.py
+++ b/cloverway/serving/clock.py
@@ -5,10 +5,10 @@
 import asyncio
 import time
 
-ORIGIN = time.monotonic()
+TICK_ORIGIN = time.monotonic()
 """Where the ticks of this process begin. Hosts start at different moments, so they don't tick in
 step with each other."""
-LEAST_PART = 0.25
+MIN_TICK_FRACTION = 0.25
 """A tick that is due sooner than this part of a period is left to the next one."""
 
 
@@ -18,13 +18,13 @@
     Tasks whose periods are multiples of each other wake up together. Each by itself, those of a
     host that serves nobody woke it 28 times a second, and each time costs more than what is done.
     """
-    await asyncio.sleep(count_to_tick(period_s))
+    await asyncio.sleep(compute_tick_delay(period_s))
 
 
-def count_to_tick(period_s: float) -> float:
+def compute_tick_delay(period_s: float) -> float:
     """Give the seconds until the next tick of a period."""
-    left_s = period_s - (time.monotonic() - ORIGIN) % period_s
-    return left_s if left_s >= LEAST_PART * period_s else left_s + period_s
+    left_s = period_s - (time.monotonic() - TICK_ORIGIN) % period_s
+    return left_s if left_s >= MIN_TICK_FRACTION * period_s else left_s + period_s
 
 
 def read_clock() -> float:
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -18,15 +18,15 @@
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Pool
 from cloverway.serving.ports import Dialect
-from cloverway.serving.requests.lives import LifeCheck
-from cloverway.serving.requests.targeting import Targeting
+from cloverway.serving.requests.lives import IncarnationCheck
+from cloverway.serving.requests.targeting import TargetSelector
 from cloverway.serving.settings import FleetSettings
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
-START_WAIT_S = 0.6
+CONFIGURATION_WAIT_S = 0.6
 """Age of a host up to which it lets requests wait for its first configuration: the store answers a
 host that is far within 0.35 s. A caller that is refused comes back later, and has one try less."""
-MEETING_S = 0.1
+PEER_SYNC_WAIT_S = 0.1
 """Age of a host up to which it lets requests wait until another host has told it what it knows. It
 has knocked at the others before it was loaded, so that even a far one has answered by now. What
 has just started would otherwise send a request on that all others refuse. With nobody there it
@@ -42,27 +42,27 @@
         directory: Directory,
         members: Members,
         dialect: Dialect,
-        figures: Figures,
+        metrics: Metrics,
     ) -> None:
         self.settings = settings
         self.directory = directory
         self.members = members
         self.dialect = dialect
-        self.figures = figures
-        self.pool = Pool(figures.note_connect)
+        self.metrics = metrics
+        self.pool = Pool(metrics.note_connect)
         self.usual_failures = UsualFailures()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
-        self.crashes = CrashExchange(own_name, self.quarantine, figures)
-        self.statements = StatementExchange(own_name, directory, figures)
+        self.crashes = CrashExchange(own_name, self.quarantine, metrics)
+        self.statements = StatementExchange(own_name, directory, metrics)
         suspects = SuspectWatch(own_name, self.quarantine)
-        self.targeting = Targeting(settings, directory, members, suspects)
+        self.target_selector = TargetSelector(settings, directory, members, suspects)
         self.news = NewsExchange(members, (self.crashes, self.statements, suspects))
-        self.lives = LifeCheck(self.quarantine, self.pool, dialect, figures)
+        self.incarnations = IncarnationCheck(self.quarantine, self.pool, dialect, metrics)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
         self._configured = asyncio.Event()
-        self._introduced = asyncio.Event()
+        self._synced = asyncio.Event()
         self._has_seeds = any(seed != own_name for seed in settings.peers.seeds)
 
     def get_budget(self, service: str) -> RetryBudget:
@@ -76,20 +76,20 @@
         """Note that a configuration is in force."""
         self._configured.set()
 
-    def note_introduced(self) -> None:
+    def note_synced(self) -> None:
         """Note that another host has told this one what it knows."""
-        self._introduced.set()
+        self._synced.set()
 
-    def is_introduced(self, now: float) -> bool:
+    def is_synced(self, now: float) -> bool:
         """Tell whether the host knows what the others know, as far as there are any."""
-        is_old = now >= self._started_at + MEETING_S
-        return self._introduced.is_set() or is_old or not self._has_seeds
+        is_old = now >= self._started_at + PEER_SYNC_WAIT_S
+        return self._synced.is_set() or is_old or not self._has_seeds
 
     async def wait_for_start(self) -> None:
         """Wait for the first configuration and for the word of another host, each for its time."""
-        await self._wait(self._configured, START_WAIT_S)
+        await self._wait(self._configured, CONFIGURATION_WAIT_S)
         if self._has_seeds:
-            await self._wait(self._introduced, MEETING_S)
+            await self._wait(self._synced, PEER_SYNC_WAIT_S)
 
     async def _wait(self, event: asyncio.Event, until_age_s: float) -> None:
         left_s = self._started_at + until_age_s - read_clock()
--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -14,7 +14,7 @@
 from cloverway.errors import PlatformError
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.ports import Dialect, HistoryGoneError, Store
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 WATCH_S = 1.0
 """How long one read waits for changes. A connection that has gone silent is noticed this much
@@ -51,7 +51,7 @@
         store: Store,
         dialect: Dialect,
         members: Members,
-        figures: Figures,
+        metrics: Metrics,
         *,
         reads_per_s: float,
     ) -> None:
@@ -61,7 +61,7 @@
         """When the store, or a peer that had read it, was read last."""
         self._store = store
         self._members = members
-        self._figures = figures
+        self._metrics = metrics
         self._reads_per_s = reads_per_s
         self._lost = False
         self._is_reader = False
@@ -85,8 +85,8 @@
                 retry_s = RETRY_S
                 pace_s = began_at + self._choose_pace() - read_clock()
             except HistoryGoneError:
-                self._figures.note_read("history_gone")
-                tell("store_history_gone", revision=self.table.revision)
+                self._metrics.note_read("history_gone")
+                log_event("store_history_gone", revision=self.table.revision)
                 whole = True
                 pace_s = 0.0
             except PlatformError as error:
@@ -105,7 +105,7 @@
         """Take over documents, from the store or from a peer; older ones change nothing."""
         if snapshot.revision < self.table.revision:
             own = self.table.revision
-            tell("snapshot_is_older", source=source, revision=snapshot.revision, own=own)
+            log_event("snapshot_is_older", source=source, revision=snapshot.revision, own=own)
             return
         self._tell(self.directory.apply(self.table.apply(snapshot), now))
 
@@ -141,10 +141,12 @@
         else:
             snapshot = await self._store.watch(self.table.revision, WATCH_S)
         now = read_clock()
-        self._figures.note_read("whole" if whole else "changes")
+        self._metrics.note_read("whole" if whole else "changes")
         if self._lost:
             self._lost = False
-            tell("store_regained", revision=snapshot.revision, age_s=round(now - self.read_at, 3))
+            log_event(
+                "store_regained", revision=snapshot.revision, age_s=round(now - self.read_at, 3)
+            )
         self.read_at = now
         digest = self.table.digest
         self.apply(snapshot, "store", now)
@@ -157,7 +159,7 @@
         age_s = now - self.read_at
         if is_reader != self._was_reader:
             self._was_reader = is_reader
-            tell("store_reader", reads=is_reader, age_s=round(age_s, 3))
+            log_event("store_reader", reads=is_reader, age_s=round(age_s, 3))
         return is_reader or age_s > FOLLOW_S
 
     def _choose_pace(self) -> float:
@@ -165,15 +167,15 @@
         return max(PACE_S, 1 / share)
 
     def _note_lost(self, error: PlatformError) -> None:
-        self._figures.note_read(type(error).__name__)
+        self._metrics.note_read(type(error).__name__)
         if not self._lost:
             self._lost = True
-            tell("store_lost", logging.WARNING, why=str(error), revision=self.table.revision)
+            log_event("store_lost", logging.WARNING, why=str(error), revision=self.table.revision)
 
     def _tell(self, changes: list[Change]) -> None:
         for change in changes:
-            self._figures.note_event(change.what)
-            tell(
+            self._metrics.note_event(change.what)
+            log_event(
                 "belief_changed",
                 what=change.what,
                 subject=change.subject,
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -12,11 +12,11 @@
 from cloverway.core.documents import DocumentTable
 from cloverway.core.members import Members, Peer
 from cloverway.errors import PeerError
-from cloverway.serving.clock import count_to_tick, read_clock
+from cloverway.serving.clock import compute_tick_delay, read_clock
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.hosts.peerwire import CODEC, StoredDocument, StoredSnapshot
 from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch
-from cloverway.serving.telemetry import tell
+from cloverway.serving.telemetry import log_event
 
 READ_STALE_S = 1.6
 """A host whose documents are older than this asks any host that knows more, also one that is far:
@@ -52,7 +52,7 @@
         """Fetch documents whenever another host knows more, for ever."""
         while True:
             try:
-                async with asyncio.timeout(count_to_tick(LOOK_S)):
+                async with asyncio.timeout(compute_tick_delay(LOOK_S)):
                     await self._news.wait()
             except TimeoutError:
                 pass
@@ -101,11 +101,11 @@
                 self._apply(snapshot)
         except (ConnectError, AnswerError, PeerError) as error:
             peer.failed_until = read_clock() + FETCH_S
-            tell("documents_not_fetched", peer=peer.member.name, why=str(error))
+            log_event("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
         read_at = asked_at - peer.read_age_s - TRIP_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
-        tell(
+        log_event(
             "documents_fetched",
             peer=peer.member.name,
             revision=snapshot.revision,
--- a/cloverway/serving/early.py
+++ b/cloverway/serving/early.py
@@ -14,14 +14,14 @@
 import tomllib
 from typing import Any, NamedTuple
 
-KNOCK = b"?"
+SYNC_REQUEST = b"?"
 """Asks another host for all that it knows; its answers wait in the socket until this one is
 loaded."""
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 """Connections that wait to be accepted; the kernel's own bound is commonly higher."""
 
 
-class Early(NamedTuple):
+class EarlySockets(NamedTuple):
     """Sockets of a host that isn't loaded yet; None for what could not be opened.
 
     Whatever is wrong with the settings or an address is told when the host itself starts.
@@ -33,12 +33,12 @@
     """Hears other hosts."""
 
     @classmethod
-    def from_settings(cls, path: str) -> Early:
+    def from_settings(cls, path: str) -> EarlySockets:
         """Open the sockets that a settings file names."""
-        return cls(listen_early(path), knock_early(path))
+        return cls(open_caller_socket(path), open_control_socket(path))
 
 
-def listen_early(path: str) -> socket.socket | None:
+def open_caller_socket(path: str) -> socket.socket | None:
     """Listen at the callers' address of a settings file; give None where that can't be done."""
     try:
         host, _, port = _read(path)["listen"]["callers"].rpartition(":")
@@ -47,7 +47,7 @@
         return None
 
 
-def knock_early(path: str) -> socket.socket | None:
+def open_control_socket(path: str) -> socket.socket | None:
     """Bind the address for other hosts, and knock at the seeds; give None where that can't be done.
 
     A seed that can't be reached is left to the host itself.
@@ -60,7 +60,7 @@
         sock.setblocking(False)
         for seed in settings.get("peers", {}).get("seeds", ()):
             if seed != own:
-                sock.sendto(KNOCK, _split(seed))
+                sock.sendto(SYNC_REQUEST, _split(seed))
     except (OSError, KeyError, TypeError, ValueError, AttributeError, OverflowError):
         sock.close()
         return None
@@ -82,7 +82,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
     except OSError:
         sock.close()
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -19,27 +19,27 @@
 from cloverway.core.entry import choose_for_caller, choose_ttl
 from cloverway.core.members import Member, Members
 from cloverway.errors import ConfigurationError, Kind, RequestError
-from cloverway.serving.clock import count_to_tick, read_clock, wait_for_tick
-from cloverway.serving.context import MEETING_S, Context
+from cloverway.serving.clock import compute_tick_delay, read_clock, wait_for_tick
+from cloverway.serving.context import PEER_SYNC_WAIT_S, Context
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync, answer_fetch
-from cloverway.serving.early import Early
+from cloverway.serving.early import EarlySockets
 from cloverway.serving.hosts.gossip import Gossip
 from cloverway.serving.http.server import REASONS, Exchange, Server, ServerTerms
 from cloverway.serving.ports import Dialect, Store
 from cloverway.serving.requests.forwarding import Forwarder
 from cloverway.serving.settings import FleetSettings
-from cloverway.serving.telemetry import Figures, LineWriter, configure_lines, tell
+from cloverway.serving.telemetry import LogLineHandler, Metrics, configure_logging, log_event
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.4
-SETTINGS_EVERY_S = 1.0
+TICK_INTERVAL_S = 0.4
+SETTINGS_POLL_INTERVAL_S = 1.0
 """How often the settings file is looked at: it may change without a signal."""
-NOTICE_S = 2.8
+LEAVE_NOTICE_S = 2.8
 """How long a leaving host takes requests as usual: callers keep the answer which hosts to use for
 two seconds, and other hosts hear of the leaving at once."""
-LEAST_LEAVE_S = 2.8
+MIN_LEAVE_S = 2.8
 """A leaving host stays at least this long, so that callers with an old answer find it there. It
 does not stay longer without need: in a series of restarts its successor would leave before it is
 back, and a small region would have no host at all."""
@@ -49,34 +49,34 @@
 TEXT = (b"Content-Type", b"text/plain; version=0.0.4")
 JSON = (b"Content-Type", b"application/json")
 
-MARGIN_S = 0.01
+CLOCK_MARGIN_S = 0.01
 """Between two readings of the clock, whose timers may be early by a millisecond."""
 
-NOTHING_EARLY = Early()
+NO_EARLY_SOCKETS = EarlySockets()
 
-MakeStore = Callable[[FleetSettings], Store]
+StoreFactory = Callable[[FleetSettings], Store]
 
 
 class Host:
     """The tasks of one host."""
 
     def __init__(
-        self, settings: FleetSettings, store: Store, dialect: Dialect, writer: LineWriter
+        self, settings: FleetSettings, store: Store, dialect: Dialect, writer: LogLineHandler
     ) -> None:
         self.settings = settings
         self.dialect = dialect
         self.writer = writer
-        self.figures = Figures()
+        self.metrics = Metrics()
         self.directory = Directory(settings.topology)
         self.members = Members(_describe_own(settings))
-        self.context = Context(settings, self.directory, self.members, dialect, self.figures)
+        self.context = Context(settings, self.directory, self.members, dialect, self.metrics)
         self.forwarder = Forwarder(self.context)
         self.catalogue = Catalogue(
             self.directory,
             store,
             dialect,
             self.members,
-            self.figures,
+            self.metrics,
             reads_per_s=settings.store.reads_per_s,
         )
         self.catalogue.on_change = self._note_changes
@@ -86,39 +86,39 @@
             self.directory,
             self.catalogue,
             self.sync,
-            self.figures,
+            self.metrics,
             news=self.context.news,
             seeds=settings.peers.seeds,
         )
         self.catalogue.on_news = self.gossip.announce_news
-        self.gossip.sum_waiting = self.context.targeting.sum_waiting
-        self.gossip.on_introduced = self._note_introduced
-        self.context.lives.on_born = self.catalogue.note_born
-        self.context.targeting.on_prompt = self.gossip.uses.tell_at_once
+        self.gossip.sum_waiting = self.context.target_selector.sum_waiting
+        self.gossip.on_introduced = self._note_synced
+        self.context.incarnations.on_restarted = self.catalogue.note_born
+        self.context.target_selector.on_large_prompt = self.gossip.uses.tell_at_once
         self.started_at = read_clock()
         self.leaving_at: float | None = None
         terms = ServerTerms(self._get_limits, self._is_leaving, self._format_refusal)
-        self.callers = Server(self._handle_call, terms)
-        self.inner = Server(self._handle_inner, terms)
+        self.caller_server = Server(self._handle_call, terms)
+        self.peer_server = Server(self._handle_inner, terms)
         brief = terms._replace(is_brief=True)
-        self.lookup = Server(self._handle_lookup, brief)
-        self.readiness = Server(self._handle_readiness, brief)
-        self.metrics = Server(self._handle_metrics, brief)
+        self.lookup_server = Server(self._handle_lookup, brief)
+        self.readiness_server = Server(self._handle_readiness, brief)
+        self.metrics_server = Server(self._handle_metrics, brief)
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def start(self, early: Early = NOTHING_EARLY) -> None:
+    async def start(self, early: EarlySockets = NO_EARLY_SOCKETS) -> None:
         """Bind all addresses and start all tasks; raise OSError when one can't be bound.
 
         `early` holds sockets that are open already.
         """
         listen = self.settings.listen
         await self.gossip.start(listen.control, early.control)
-        await self.inner.start(self.members.own.inner)
-        await self.readiness.start(listen.readiness)
-        await self.lookup.start(listen.lookup)
-        await self.callers.start(listen.callers, early.callers)
+        await self.peer_server.start(self.members.own.inner)
+        await self.readiness_server.start(listen.readiness)
+        await self.lookup_server.start(listen.lookup)
+        await self.caller_server.start(listen.callers, early.callers)
         ip, _ = split_address(listen.callers)
-        await self.metrics.start(f"{ip}:{listen.metrics_port}")
+        await self.metrics_server.start(f"{ip}:{listen.metrics_port}")
         runs = (
             self.gossip.run,
             self.gossip.uses.run,
@@ -128,8 +128,8 @@
             self.catalogue.forget,
             self._tick,
         )
-        self._tasks = [asyncio.create_task(_keep_running(run)) for run in runs]
-        asyncio.get_running_loop().call_later(MEETING_S + MARGIN_S, self._update_ready)
+        self._tasks = [asyncio.create_task(_run_with_restarts(run)) for run in runs]
+        asyncio.get_running_loop().call_later(PEER_SYNC_WAIT_S + CLOCK_MARGIN_S, self._update_ready)
 
     async def leave(self) -> None:
         """Lead callers and other hosts away, and wait for the requests in progress."""
@@ -137,17 +137,19 @@
         self.leaving_at = now
         self.members.begin_leaving(now)
         self.gossip.announce()
-        tell("leaving", in_progress=self.callers.in_progress + self.inner.in_progress)
+        log_event(
+            "leaving", in_progress=self.caller_server.in_progress + self.peer_server.in_progress
+        )
         end_at = now + self.settings.grace_s - KILL_MARGIN_S
         while (now := read_clock()) < end_at:
-            if now >= self.leaving_at + NOTICE_S:
-                self.callers.close_idle(now)
-            busy = self.callers.in_progress + self.inner.in_progress
-            if not busy and now >= self.leaving_at + LEAST_LEAVE_S:
+            if now >= self.leaving_at + LEAVE_NOTICE_S:
+                self.caller_server.close_idle(now)
+            busy = self.caller_server.in_progress + self.peer_server.in_progress
+            if not busy and now >= self.leaving_at + MIN_LEAVE_S:
                 break
             await asyncio.sleep(0.05)
-        cut = self.callers.in_progress + self.inner.in_progress
-        tell("stopped", cut=cut, dropped_lines=self.writer.dropped)
+        cut = self.caller_server.in_progress + self.peer_server.in_progress
+        log_event("stopped", cut=cut, dropped_lines=self.writer.dropped)
 
     def _is_leaving(self) -> bool:
         return self.leaving_at is not None
@@ -161,31 +163,31 @@
             self.context.note_configured()
         self._update_ready()
 
-    def _note_introduced(self) -> None:
-        self.context.note_introduced()
+    def _note_synced(self) -> None:
+        self.context.note_synced()
         self._update_ready()
 
     def _update_ready(self) -> None:
         own = self.members.own
-        knows_enough = self.context.is_introduced(read_clock())
+        has_synced = self.context.is_synced(read_clock())
         has_routes = self.directory.configuration is not None
-        ready = has_routes and knows_enough and not own.leaving
+        ready = has_routes and has_synced and not own.leaving
         if ready != own.ready:
             self.members.own = own._replace(ready=ready)
-            tell("ready" if ready else "not_ready")
+            log_event("ready" if ready else "not_ready")
             self.gossip.announce()
 
     async def _tick(self) -> None:
         while True:
-            await wait_for_tick(TICK_S)
+            await wait_for_tick(TICK_INTERVAL_S)
             self.context.pool.expire(read_clock())
 
     async def _handle_call(self, exchange: Exchange) -> None:
         leaving_at = self.leaving_at
-        if leaving_at is not None and read_clock() >= leaving_at + NOTICE_S:
+        if leaving_at is not None and read_clock() >= leaving_at + LEAVE_NOTICE_S:
             error = RequestError(Kind.LEAVING, retry_after=0.05)
             status, headers, body = self.dialect.encode_refusal(error, "")
-            tell("refused", kind=str(error.kind), ran="no", status=status, why="leaving")
+            log_event("refused", kind=str(error.kind), ran="no", status=status, why="leaving")
             await exchange.answer(status, headers, body)
             return
         self.members.note_arrival(read_clock())
@@ -206,14 +208,14 @@
         age_s = read_clock() - self.started_at
         ttl_s = choose_ttl(self.settings.lookup_ttl_s, age_s if self._has_seeds() else math.inf)
         if ttl_s is None:
-            tell("lookup_refused", domain=lookup.domain, age_s=round(age_s, 3))
+            log_event("lookup_refused", domain=lookup.domain, age_s=round(age_s, 3))
             await exchange.answer(503, [], b"")
             return
         homes = self.directory.routes.count_homes(lookup.host)
         addresses = choose_for_caller(
             self.members, lookup.domain, lookup.region, homes, read_clock()
         )
-        tell(
+        log_event(
             "hosts_named",
             service_host=lookup.host,
             domain=lookup.domain,
@@ -236,22 +238,24 @@
         if exchange.target != METRICS_PATH:
             await exchange.answer(404, [], b"")
             return
-        held = self.context.quarantine.count_held(read_clock())
+        quarantined = self.context.quarantine.count_held(read_clock())
         limited = self.directory.count_limited()
-        figures = self.figures.render(self.writer.dropped, held, limited)
-        await exchange.answer(200, [TEXT], figures)
+        metrics = self.metrics.render(self.writer.dropped, quarantined, limited)
+        await exchange.answer(200, [TEXT], metrics)
 
     def _format_refusal(self, exchange: Exchange | None, error: RequestError) -> bytes:
         """Give the whole answer to a request that could not be read."""
         status, headers, body = self.dialect.encode_refusal(error, "")
-        tell("refused", kind=str(error.kind), ran=str(error.ran), status=status, why=error.detail)
+        log_event(
+            "refused", kind=str(error.kind), ran=str(error.ran), status=status, why=error.detail
+        )
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b""))]
         lines += [name + b": " + value for name, value in headers]
         lines += [b"Content-Length: %d" % len(body), b"Connection: close", b"", body]
         return b"\r\n".join(lines)
 
 
-async def _keep_running(run: Callable[[], Awaitable[None]]) -> None:
+async def _run_with_restarts(run: Callable[[], Awaitable[None]]) -> None:
     """Run a task for ever, and again after a fault of ours.
 
     A host whose heartbeats or reads of the store ended with a fault would go on with what it
@@ -262,7 +266,7 @@
             await run()
         except Exception:
             log.exception("a task failed and is started again")
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
 
 def _describe_own(settings: FleetSettings) -> Member:
@@ -281,7 +285,7 @@
     )
 
 
-async def _run(path: Path, settings: FleetSettings, host: Host, early: Early) -> None:
+async def _run(path: Path, settings: FleetSettings, host: Host, early: EarlySockets) -> None:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     reload = asyncio.Event()
@@ -289,7 +293,7 @@
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     await host.start(early)
-    tell("started", version=__version__, callers=settings.listen.callers)
+    log_event("started", version=__version__, callers=settings.listen.callers)
     watcher = asyncio.create_task(_watch_settings(path, settings, host, reload))
     await stop.wait()
     await host.leave()
@@ -303,27 +307,27 @@
     seen = path.read_bytes()
     while True:
         try:
-            async with asyncio.timeout(count_to_tick(SETTINGS_EVERY_S)):
+            async with asyncio.timeout(compute_tick_delay(SETTINGS_POLL_INTERVAL_S)):
                 await reload.wait()
         except TimeoutError:
             pass
-        asked = reload.is_set()
+        is_requested = reload.is_set()
         reload.clear()
         try:
             content = path.read_bytes()
-            if content == seen and not asked:
+            if content == seen and not is_requested:
                 continue
             seen = content
             settings = FleetSettings.from_toml(path)
         except (OSError, ConfigurationError) as error:
-            tell("settings_refused", logging.ERROR, why=str(error))
+            log_event("settings_refused", logging.ERROR, why=str(error))
             continue
         host.gossip.seeds = settings.peers.seeds
-        tell("settings_reloaded", seeds=settings.peers.seeds)
+        log_event("settings_reloaded", seeds=settings.peers.seeds)
 
 
 def run_host(
-    path: Path, make_store: MakeStore, dialect: Dialect, early: Early = NOTHING_EARLY
+    path: Path, make_store: StoreFactory, dialect: Dialect, early: EarlySockets = NO_EARLY_SOCKETS
 ) -> None:
     """Run one host until it is told to stop; raise ConfigurationError.
 
@@ -331,7 +335,7 @@
     """
     settings = FleetSettings.from_toml(path)
     incarnation = secrets.token_hex(4)
-    writer = configure_lines(settings.host, incarnation, settings.log_level)
+    writer = configure_logging(settings.host, incarnation, settings.log_level)
     # What was imported lives as long as the process: the collector need not look at it again.
     gc.collect()
     gc.freeze()
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -9,7 +9,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.news import TELL_AFTER_S, FreshNews
 from cloverway.serving.hosts.peerwire import CODEC, CrashReport, EndpointCrash
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 RETOLD_S = 6.0
 """How long an end is told again after it happened."""
@@ -32,10 +32,10 @@
     message = CrashReport
     is_regional = False
 
-    def __init__(self, own_name: str, quarantine: Quarantine, figures: Figures) -> None:
+    def __init__(self, own_name: str, quarantine: Quarantine, metrics: Metrics) -> None:
         self._own_name = own_name
         self._quarantine = quarantine
-        self._figures = figures
+        self._metrics = metrics
         self._own: defaultdict[str, list[Crash]] = defaultdict(list)
         """Ends that this host saw and hasn't told yet, by the life of the endpoint."""
         self._served: list[int] = []
@@ -65,7 +65,7 @@
         fresh = [news for crash in heard if (news := self._quarantine.note_crash(crash))]
         for crash in fresh:
             requests = len(crash.digests)
-            tell("end_heard", life=crash.life, requests=requests, peer=report.host)
+            log_event("end_heard", life=crash.life, requests=requests, peer=report.host)
             self._tell_held(crash, now)
         if is_far:
             self._passed.extend(fresh)
@@ -77,7 +77,7 @@
         passed = CrashNews(tuple(self._passed), ())
         self._own, self._served, self._passed = defaultdict(list), [], []
         for crash in own.crashes:
-            tell("endpoint_ended", life=crash.life, requests=len(crash.digests))
+            log_event("endpoint_ended", life=crash.life, requests=len(crash.digests))
         messages = self._encode(own, now)
         return FreshNews([*messages, *self._encode(passed, now)], messages)
 
@@ -99,8 +99,8 @@
         for digest in crash.digests:
             hold = self._quarantine.get_hold(digest, now)
             if hold is not None:
-                self._figures.note_event("request_held")
-                tell(
+                self._metrics.note_event("request_held")
+                log_event(
                     "request_held",
                     request_digest=f"{digest:016x}",
                     ends=hold.ends,
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -16,7 +16,7 @@
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync
-from cloverway.serving.early import KNOCK
+from cloverway.serving.early import SYNC_REQUEST
 from cloverway.serving.hosts.news import NewsExchange
 from cloverway.serving.hosts.offers import list_offers, read_offer
 from cloverway.serving.hosts.peerwire import (
@@ -27,7 +27,7 @@
     RegionOffer,
 )
 from cloverway.serving.hosts.uses import UseExchange
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
         directory: Directory,
         catalogue: Catalogue,
         sync: DocumentSync,
-        figures: Figures,
+        metrics: Metrics,
         *,
         news: NewsExchange,
         seeds: tuple[str, ...],
@@ -90,7 +90,7 @@
         self.directory = directory
         self.catalogue = catalogue
         self.sync = sync
-        self.figures = figures
+        self.metrics = metrics
         self.seeds = seeds
         self._transport: asyncio.DatagramTransport
         self.uses = UseExchange(members, directory, self._send)
@@ -120,7 +120,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Hear a heartbeat, or what another host tells of endpoints."""
-        if data == KNOCK:
+        if data == SYNC_REQUEST:
             self._answer_knock(format_address(addr), read_clock())
             return
         try:
@@ -225,7 +225,7 @@
 
     def _answer_knock(self, address: str, now: float) -> None:
         """Tell a host that is being loaded what it must know, and then who is there."""
-        self.figures.note_event("knock_heard")
+        self.metrics.note_event("knock_heard")
         self.news.tell_all(address, now)
         others = self.members.list_alive(now)[:MOST_WELCOME]
         described = tuple(_describe_peer(other, now) for other in others)
@@ -361,7 +361,7 @@
             return
         self._is_introduced = True
         age_s = round(now - self._started_at, 3)
-        tell("introduced", peer=peer.member.name, hosts=len(self.members.peers), age_s=age_s)
+        log_event("introduced", peer=peer.member.name, hosts=len(self.members.peers), age_s=age_s)
         self.on_introduced()
 
     def _hear_of(self, state: HostState, now: float) -> None:
@@ -386,12 +386,12 @@
             if self._is_near(peer.member) or peer.rate >= ACTIVE_RATE
         }
         for name in alive - self._alive:
-            self.figures.note_event("host_heard")
-            tell("host_heard", peer=name, region=self.members.peers[name].member.region)
+            self.metrics.note_event("host_heard")
+            log_event("host_heard", peer=name, region=self.members.peers[name].member.region)
             self.news.welcome(name, now)
         for name in self._alive - alive:
-            self.figures.note_event("host_silent")
-            tell("host_silent", peer=name)
+            self.metrics.note_event("host_silent")
+            log_event("host_silent", peer=name)
         self._alive = alive
 
 
--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -10,7 +10,7 @@
 from cloverway.serving.hosts.news import TELL_AFTER_S, FreshNews
 from cloverway.serving.hosts.peerwire import CODEC, EndpointStatement, StatementReport
 from cloverway.serving.ports import ReplyFacts
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 TELL_EVERY_S = 0.2
 """Least time between two tellings: an endpoint may name another limit with each answer."""
@@ -33,10 +33,10 @@
     message = StatementReport
     is_regional = True
 
-    def __init__(self, own_name: str, directory: Directory, figures: Figures) -> None:
+    def __init__(self, own_name: str, directory: Directory, metrics: Metrics) -> None:
         self._own_name = own_name
         self._directory = directory
-        self._figures = figures
+        self._metrics = metrics
         self._fresh: dict[str, None] = {}
         """Lives of endpoints of which news is to be told, in the order in which it came."""
         self._told_at = float("-inf")
@@ -53,11 +53,11 @@
         """
         if facts.pause_s is not None:
             self._directory.note_pause(life, facts.pause_s, now)
-            self._figures.note_event("pause_asked")
-            tell("pause_asked", life=life, pause_s=facts.pause_s, request_id=request_id)
+            self._metrics.note_event("pause_asked")
+            log_event("pause_asked", life=life, pause_s=facts.pause_s, request_id=request_id)
         if facts.limit_per_s is not None:
             statement = Statement(facts.limit_per_s, now, facts.leaving)
-        elif facts.sealed:
+        elif facts.is_signed:
             statement = Statement(None, sent_at, facts.leaving)
         else:
             statement = Statement(leaving=facts.leaving)
@@ -84,9 +84,9 @@
     ) -> None:
         statement = self._directory.statements.get(life)
         for what in news:
-            self._figures.note_event(what)
+            self._metrics.note_event(what)
             is_leaving = what is News.LEAVING
-            tell(
+            log_event(
                 what,
                 life=life,
                 limit_per_s=statement.limit_per_s,
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -9,7 +9,7 @@
 from cloverway.core.suspects import SuspectRun, SuspectRuns, keep_apart
 from cloverway.serving.hosts.news import FreshNews
 from cloverway.serving.hosts.peerwire import CODEC, SuspectReport, SuspectSend
-from cloverway.serving.telemetry import tell
+from cloverway.serving.telemetry import log_event
 
 MOST_TOLD = 20
 """Suspects in one message: some 60 bytes each, within one packet of 1,500 bytes. More than that are
@@ -45,7 +45,7 @@
             return
         self._own[number] = SuspectRun(wanted.digest, life, level, until)
         self._note_own()
-        tell(
+        log_event(
             "suspect_sent",
             request_id=wanted.call.id,
             request_digest=f"{wanted.digest:016x}",
--- a/cloverway/serving/http/transport.py
+++ b/cloverway/serving/http/transport.py
@@ -9,7 +9,7 @@
 
 from cloverway.addresses import format_address, split_address
 from cloverway.serving.clock import read_clock
-from cloverway.serving.early import BACKLOG
+from cloverway.serving.early import LISTEN_BACKLOG
 
 READ_AHEAD_BYTES = 128 * 1024
 """Bytes that are received before they are asked for; then the sender is made to wait."""
@@ -181,6 +181,6 @@
 
     loop = asyncio.get_running_loop()
     if early is not None and format_address(early.getsockname()) == address:
-        return await loop.create_server(make, sock=early, backlog=BACKLOG)
+        return await loop.create_server(make, sock=early, backlog=LISTEN_BACKLOG)
     host, port = split_address(address)
-    return await loop.create_server(make, host, port, backlog=BACKLOG, reuse_address=True)
+    return await loop.create_server(make, host, port, backlog=LISTEN_BACKLOG, reuse_address=True)
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -37,9 +37,9 @@
 
     not_run: bool
     """Whether the endpoint says that it did not run the request, and never will."""
-    sealed: bool
+    is_signed: bool
     """Whether the endpoint's signature is there: without it the bytes are not the endpoint's."""
-    elsewhere: bool = False
+    is_misdirected: bool = False
     """Whether it came from another endpoint than the one that was meant."""
     limit_per_s: float | None = None
     """Requests a second that the endpoint takes from all hosts together; None for no limit."""
@@ -49,7 +49,7 @@
     """How long the endpoint wants nothing from this host; None where it doesn't say."""
 
 
-class SendTerms(NamedTuple):
+class SendOptions(NamedTuple):
     """What the system sets itself on a request that it sends to an endpoint."""
 
     endpoint_id: str
@@ -61,10 +61,10 @@
     """The address of an endpoint that has read parts of the prompt already."""
 
 
-class LifeFacts(NamedTuple):
+class IncarnationFacts(NamedTuple):
     """What an endpoint that was asked for it says of itself."""
 
-    elsewhere: bool
+    is_misdirected: bool
     """Whether another endpoint answered."""
     born_ms: int | None
     """Unix time of its start; None where it doesn't say."""
@@ -101,11 +101,11 @@
         """Give the body of the answer to a lookup."""
         ...
 
-    def encode_send(self, call: Call, terms: SendTerms) -> list[Header]:
+    def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
         """Give the headers of a request to an endpoint."""
         ...
 
-    def encode_pass(self, call: Call, left_s: float) -> list[Header]:
+    def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
         """Give the headers of a request that another host is to run, in the callers' form."""
         ...
 
@@ -117,11 +117,11 @@
         """Decode the head of an endpoint's answer."""
         ...
 
-    def encode_life_question(self, endpoint_id: str) -> tuple[str, list[Header]]:
+    def encode_incarnation_query(self, endpoint_id: str) -> tuple[str, list[Header]]:
         """Give target and headers of the GET that asks an endpoint when it started."""
         ...
 
-    def decode_life(self, head: ReplyHead, body: bytes) -> LifeFacts:
+    def decode_incarnation(self, head: ReplyHead, body: bytes) -> IncarnationFacts:
         """Decode the answer to it."""
         ...
 
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -22,26 +22,26 @@
     Sending,
     make_request,
 )
-from cloverway.serving.ports import ReplyFacts, SendTerms
-from cloverway.serving.requests.placement import LEAST_S
+from cloverway.serving.ports import ReplyFacts, SendOptions
+from cloverway.serving.requests.placement import MIN_SEND_TIME_S
 from cloverway.serving.requests.targeting import Target
 
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Time to open a connection within the region: a lost opening packet is sent again only after a
 second, and another endpoint answers sooner."""
-FAR_CONNECT_S = 1.0
+REMOTE_CONNECT_TIMEOUT_S = 1.0
 """The same to another region: the way there and back, and one packet lost."""
-PEER_IDLE_S = 8.0
+PEER_IDLE_TIMEOUT_S = 8.0
 """How long connections between hosts are kept: under the time after which hosts close them, and
 long, since a new one to another region takes as long as the request itself."""
-BODY_LIMIT = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 """The longest answer that isn't a stream. It is read whole before it is passed on, so that one that
 breaks off can be had elsewhere; a longer one counts as broken."""
-HOLD_BYTES = 256 * 1024
+MAX_REFUSAL_BYTES = 256 * 1024
 """The longest answer of an endpoint or a host that did not run a request."""
-RETRY_STATUS = 500
+MIN_FAILURE_STATUS = 500
 """From this status on an endpoint has failed, and one that may be repeated is run elsewhere."""
-PASS_HEADER = b"cloverway-passed-on"
+PASSED_ON_HEADER = b"cloverway-passed-on"
 """Says by which configuration, for which service and from where a request is passed on."""
 RAN_HEADER = b"cloverway-ran"
 """What a host that could not serve a request knows of its run."""
@@ -53,7 +53,7 @@
 """How many sends a host wrote out to endpoints before it gave up: only those draw on the budget."""
 
 
-class SilenceError(AnswerError):
+class IdleTimeoutError(AnswerError):
     """Nothing was heard for longer than is borne; the other end may be there."""
 
 
@@ -61,9 +61,9 @@
     """A send that did not run and never will."""
 
     reason: str
-    blames_host: bool = True
+    is_target_fault: bool = True
     """Whether the place itself failed; otherwise it had no room, or isn't meant any more."""
-    arrived: bool = True
+    reached_endpoint: bool = True
     """Whether it reached an endpoint: only then it draws on the retry budget."""
     is_quarantined: bool = False
     """Whether the other host refuses this request, whatever room there is."""
@@ -75,11 +75,11 @@
     """A send that may have run."""
 
     reason: str
-    blames_host: bool = True
-    arrived: bool = True
-    is_end: bool = False
+    is_target_fault: bool = True
+    reached_endpoint: bool = True
+    is_disconnect: bool = False
     """Whether the connection broke, as it does when the endpoint ends."""
-    ended: tuple[str, ...] = ()
+    crashed: tuple[str, ...] = ()
     """The lives of endpoints that ended at the other host while they ran the request."""
 
 
@@ -90,19 +90,19 @@
     head: ReplyHead
     body: bytes | None
     """The whole body, where it was read; None for a stream."""
-    arrived: bool = True
+    reached_endpoint: bool = True
 
 
 Outcome = Declined | Broken | Answered
 
 
-class AttemptTerms(NamedTuple):
+class AttemptOptions(NamedTuple):
     """What one send may take. Times are seconds."""
 
-    limit_at: float
+    expires_at: float
     """When the answer is no longer wanted."""
     last_event_id: str
-    patience_s: float | None
+    first_byte_timeout_s: float | None
     """How long silence before the answer is borne; None for no limit."""
 
 
@@ -114,34 +114,34 @@
         context: Context,
         wanted: Wanted,
         target: Target,
-        terms: AttemptTerms,
+        options: AttemptOptions,
         on_written: Callable[[], None],
     ) -> None:
         self._context = context
         self._wanted = wanted
         self._target = target
-        self._terms = terms
+        self._options = options
         self._on_written = on_written
         """Called just before the first byte leaves: from then on the request may run."""
 
     async def run(self) -> Outcome:
         """Send the request and read the head of its answer, or all of it."""
         target = self._target
-        timeout_s = CONNECT_S if target.peer is None else FAR_CONNECT_S
+        timeout_s = CONNECT_TIMEOUT_S if target.peer is None else REMOTE_CONNECT_TIMEOUT_S
         pool = self._context.pool
         try:
             connection = await pool.open(target.place, timeout_s)
         except ConnectError as error:
             is_down = error.nobody_listens and target.candidate is not None
-            return Declined(f"no connection: {error}", arrived=False, is_down=is_down)
-        objection = self._find_objection()
-        if objection is not None:
+            return Declined(f"no connection: {error}", reached_endpoint=False, is_down=is_down)
+        veto = self._find_veto()
+        if veto is not None:
             connection.abort()
-            return Declined(objection, blames_host=False, arrived=False)
+            return Declined(veto, is_target_fault=False, reached_endpoint=False)
         request = self._make_request()
         if request is None:
             connection.abort()
-            return Declined("no time is left", blames_host=False, arrived=False)
+            return Declined("no time is left", is_target_fault=False, reached_endpoint=False)
         sending = Sending(connection, request, self._wanted.call.body)
         kept = False
         try:
@@ -152,12 +152,12 @@
             kept = isinstance(outcome, Answered) and outcome.body is None
             return outcome
         except AnswerError as error:
-            return Broken(str(error), is_end=not isinstance(error, SilenceError))
+            return Broken(str(error), is_disconnect=not isinstance(error, IdleTimeoutError))
         finally:
             if not kept:
-                pool.release(target.place, sending, get_idle_s(target))
+                pool.release(target.place, sending, get_idle_timeout_s(target))
 
-    def _find_objection(self) -> str | None:
+    def _find_veto(self) -> str | None:
         """Say why the endpoint must not get the request, by what has come since it was chosen."""
         candidate, now = self._target.candidate, read_clock()
         if candidate is None:
@@ -176,26 +176,26 @@
         """
         target = self._target
         call, route = self._wanted.call, self._wanted.route
-        left_s = self._terms.limit_at - read_clock()
-        if left_s < LEAST_S:
+        left_s = self._options.expires_at - read_clock()
+        if left_s < MIN_SEND_TIME_S:
             return None
         dialect = self._context.dialect
         if target.candidate is not None:
-            terms = SendTerms(
+            options = SendOptions(
                 target.candidate.endpoint.entry.id,
                 left_s,
                 route.priority,
-                self._terms.last_event_id,
+                self._options.last_event_id,
                 target.fetch_from,
             )
-            headers = dialect.encode_send(call, terms)
+            headers = dialect.encode_endpoint_headers(call, options)
         else:
-            resumed = call._replace(last_event_id=self._terms.last_event_id)
-            headers = dialect.encode_pass(resumed, left_s)
-            headers.append((PASS_HEADER, self._encode_pass()))
+            resumed = call._replace(last_event_id=self._options.last_event_id)
+            headers = dialect.encode_peer_headers(resumed, left_s)
+            headers.append((PASSED_ON_HEADER, self._encode_passed_on()))
         return make_request(call.method, call.target, headers, call.body)
 
-    def _encode_pass(self) -> bytes:
+    def _encode_passed_on(self) -> bytes:
         version = self._context.get_configuration().version
         region = self._context.settings.region
         return f"{version};{self._wanted.service.name};{region}".encode()
@@ -204,33 +204,33 @@
         dialect = self._context.dialect
         target = self._target
         call, route = self._wanted.call, self._wanted.route
-        async with bear_silence(self._terms.patience_s):
+        async with limit_idle_time(self._options.first_byte_timeout_s):
             head = await sending.read_head(lambda head: dialect.is_answer_to(head, call))
         facts = dialect.decode_reply(head)
         said = head.get(RAN_HEADER) if target.peer is not None else None
         if said is not None:
-            await sending.read_body(HOLD_BYTES)
+            await sending.read_body(MAX_REFUSAL_BYTES)
             return self._read_refusal(head, said, sent_at)
         self._note_statement(facts, sent_at)
-        if facts.elsewhere and target.candidate is not None:
+        if facts.is_misdirected and target.candidate is not None:
             target.candidate.endpoint.misdirected_at = read_clock()
         if facts.not_run:
-            await sending.read_body(HOLD_BYTES)
+            await sending.read_body(MAX_REFUSAL_BYTES)
             why = f"the endpoint did not run it: {head.status}"
-            return Declined(why, blames_host=False)
-        if not facts.sealed:
+            return Declined(why, is_target_fault=False)
+        if not facts.is_signed:
             return Broken(f"an answer {head.status} without a signature")
         if route.kind is CallKind.STREAM and head.status < 300:
             return Answered(sending, head, None)
-        body = await sending.read_body(BODY_LIMIT)
-        if target.candidate is not None and head.status < RETRY_STATUS:
+        body = await sending.read_body(MAX_BODY_BYTES)
+        if target.candidate is not None and head.status < MIN_FAILURE_STATUS:
             target.candidate.endpoint.load.learn_work(read_clock() - sent_at)
         return Answered(sending, head, body)
 
     def _note_statement(self, facts: ReplyFacts, sent_at: float) -> None:
         """Note what an endpoint says of itself in an answer."""
         target, now = self._target, read_clock()
-        if target.candidate is None or facts.elsewhere:
+        if target.candidate is None or facts.is_misdirected:
             return
         call_id = self._wanted.call.id
         self._context.statements.note_answer(
@@ -242,19 +242,23 @@
         target = self._target
         why = f"host {target.name} could not serve it: {head.status}"
         if said != b"no":
-            ended = (head.get(ENDED_HEADER) or b"").decode("latin-1")
-            return Broken(why, blames_host=False, ended=tuple(filter(None, ended.split(","))))
-        arrived = head.get(ARRIVALS_HEADER) != b"0"
+            crashed = (head.get(ENDED_HEADER) or b"").decode("latin-1")
+            return Broken(
+                why, is_target_fault=False, crashed=tuple(filter(None, crashed.split(",")))
+            )
+        reached_endpoint = head.get(ARRIVALS_HEADER) != b"0"
         if head.get(KIND_HEADER) == Kind.QUARANTINED.encode():
             # That says nothing of the room in its region, which stays offered to other requests.
-            return Declined(why, blames_host=False, arrived=arrived, is_quarantined=True)
+            return Declined(
+                why, is_target_fault=False, reached_endpoint=reached_endpoint, is_quarantined=True
+            )
         service = self._wanted.service.name
-        self._context.targeting.withdraw_offer(target.region, service, sent_at)
-        return Declined(why, blames_host=False, arrived=arrived)
+        self._context.target_selector.discard_offers(target.region, service, sent_at)
+        return Declined(why, is_target_fault=False, reached_endpoint=reached_endpoint)
 
 
 @asynccontextmanager
-async def bear_silence(seconds: float | None) -> AsyncIterator[None]:
+async def limit_idle_time(seconds: float | None) -> AsyncIterator[None]:
     """Raise SilenceError when what is awaited inside takes longer; None for no limit."""
     try:
         async with asyncio.timeout(seconds):
@@ -262,15 +266,15 @@
     except TimeoutError:
         if seconds is None:
             raise
-        raise SilenceError(f"nothing was heard for {seconds:g} s") from None
+        raise IdleTimeoutError(f"nothing was heard for {seconds:g} s") from None
 
 
-def get_idle_s(target: Target) -> float | None:
+def get_idle_timeout_s(target: Target) -> float | None:
     """Give how long a connection is kept where the other end doesn't say."""
-    return PEER_IDLE_S if target.peer is not None else None
+    return PEER_IDLE_TIMEOUT_S if target.peer is not None else None
 
 
-def decode_pass(value: bytes) -> PassedOn | None:
+def decode_passed_on(value: bytes) -> PassedOn | None:
     """Decode what the host says that passed a request on; None when it can't be read."""
     parts = value.decode("latin-1").split(";")
     if len(parts) != 3 or not parts[0].isdigit():
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -20,31 +20,31 @@
 from cloverway.serving.http.client import AnswerError
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import (
-    RETRY_STATUS,
+    MIN_FAILURE_STATUS,
     Answered,
     Attempt,
-    AttemptTerms,
+    AttemptOptions,
     Broken,
     Declined,
+    IdleTimeoutError,
     Outcome,
-    SilenceError,
-    get_idle_s,
+    get_idle_timeout_s,
 )
 from cloverway.serving.requests.placement import Placement
-from cloverway.serving.requests.streaming import EventRelay, list_end_to_end
-from cloverway.serving.requests.suspicion import Suspicion
+from cloverway.serving.requests.streaming import EventRelay, list_end_to_end_headers
+from cloverway.serving.requests.suspicion import CrashTracker
 from cloverway.serving.requests.targeting import Target
-from cloverway.serving.telemetry import format_digest, tell
+from cloverway.serving.telemetry import format_digest, log_event
 
-FIRST_PATIENCE = 2.5
+FIRST_BYTE_TIMEOUT_OBJECTIVES = 2.5
 """Silence before the answer, in objectives, after which a request that may be repeated is run
 elsewhere. A connection may have gone silent for good, and its endpoint may hang: neither says so.
 Requests wait at the hosts and not at endpoints, so a sound one answers well within it."""
-PEER_FAILED_S = 1.0
+PEER_RETRY_DELAY_S = 1.0
 """How long a host that could not be reached is not tried again."""
 
 
-class Course:
+class RequestExecution:
     """The state of one request while it is run."""
 
     def __init__(self, context: Context, exchange: Exchange, call: Call, route: Route) -> None:
@@ -52,43 +52,43 @@
         self.exchange = exchange
         self.call = call
         self.route = route
-        self.limit_at = min(call.deadline, call.arrived_at + route.timeout_s)
+        self.expires_at = min(call.deadline, call.arrived_at + route.timeout_s)
         self.service = self._get_service()
         self.ran = Ran.NO
         self.runs = 0
         """Sends that ran or may have run."""
         self.sends = 0
-        self.arrivals = 0
+        self.endpoint_sends = 0
         """Sends that were written out: only those draw on the retry budget."""
         self.sent_at = call.arrived_at
         """When the last send began."""
         self.tried: Counter[str] = Counter()
         self.wanted = Wanted(call, route, self.service, self.tried, call.compute_digest())
-        self.placement = Placement(context, self.wanted, self.limit_at)
+        self.placement = Placement(context, self.wanted, self.expires_at)
         self.relay = EventRelay(exchange, self.wanted)
-        self.suspicion = Suspicion(context, self.wanted, self.relay.timing)
+        self.crash_tracker = CrashTracker(context, self.wanted, self.relay.timing)
 
     async def run(self) -> None:
         """Run the request to the end of its answer; raise RequestError."""
         if self.call.passed_on is None:
             self.context.get_budget(self.service.name).note_request(self.call.arrived_at)
-        left_s = self.limit_at - read_clock()
+        left_s = self.expires_at - read_clock()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
                 await self._run_attempts()
         except TimeoutError:
-            self._note_given_up()
+            self._note_abandoned()
             error = RequestError(Kind.TIMED_OUT, "the time of the route is over", ran=self.ran)
             self._fail(error)
         except asyncio.CancelledError:
-            self._note_given_up()
-            self._tell_end(RequestError(Kind.CALLER_LEFT, "the caller left", ran=self.ran), 0)
+            self._note_abandoned()
+            self._log_end(RequestError(Kind.CALLER_LEFT, "the caller left", ran=self.ran), 0)
             raise
 
     async def _run_attempts(self) -> None:
         while True:
-            self.suspicion.check(self.ran)
-            target = await self._take_place()
+            self.crash_tracker.check(self.ran)
+            target = await self._choose_target()
             outcome = await self._send(target)
             if isinstance(outcome, Answered):
                 if await self._relay(target, outcome):
@@ -100,24 +100,24 @@
             elif outcome.is_quarantined:
                 raise RequestError(Kind.QUARANTINED, outcome.reason, ran=self.ran)
 
-    async def _take_place(self) -> Target:
+    async def _choose_target(self) -> Target:
         while True:
-            target = await self.placement.choose(self.ran, self.arrivals > 0)
-            is_kept = False
+            target = await self.placement.choose(self.ran, self.endpoint_sends > 0)
+            is_accepted = False
             try:
                 # It may have waited, and the news may have come meanwhile.
-                self.suspicion.check(self.ran)
-                is_kept = await self.suspicion.may_send(target)
+                self.crash_tracker.check(self.ran)
+                is_accepted = await self.crash_tracker.may_send(target)
             finally:
-                if not is_kept:
-                    self.context.targeting.release(target)
-            if is_kept:
+                if not is_accepted:
+                    self.context.target_selector.release(target)
+            if is_accepted:
                 return target
             self.tried[target.name] += 1
 
     def _get_service(self) -> Service:
-        passed = self.call.passed_on
-        name = passed.service if passed is not None else self.route.pick_service(random.random())
+        origin = self.call.passed_on
+        name = origin.service if origin is not None else self.route.pick_service(random.random())
         configuration = self.context.get_configuration()
         allowed = {share.service for share in self.route.services}
         service = configuration.services.get(name)
@@ -129,15 +129,17 @@
 
     async def _send(self, target: Target) -> Outcome:
         now = self.sent_at = read_clock()
-        self.suspicion.note_sent(target, now)
+        self.crash_tracker.note_sent(target, now)
         self.sends += 1
-        self._tell_choice(target, now)
-        attempt = Attempt(self.context, self.wanted, target, self._make_terms(), self._note_written)
+        self._log_sent(target, now)
+        attempt = Attempt(
+            self.context, self.wanted, target, self._make_options(), self._note_written
+        )
         ran_before = self.ran
         outcome: Outcome = Broken("cancelled")
         try:
             outcome = await attempt.run()
-            self.arrivals += outcome.arrived
+            self.endpoint_sends += outcome.reached_endpoint
             if isinstance(outcome, Declined):
                 self.ran = ran_before
             else:
@@ -145,15 +147,15 @@
             return outcome
         finally:
             if not isinstance(outcome, Answered) or outcome.body is not None:
-                self.context.targeting.release(target)
+                self.context.target_selector.release(target)
             label = type(outcome).__name__.lower()
-            self.context.figures.note_attempt(self.service.name, label)
+            self.context.metrics.note_attempt(self.service.name, label)
 
-    def _make_terms(self) -> AttemptTerms:
-        patience_s = None
+    def _make_options(self) -> AttemptOptions:
+        first_byte_timeout_s = None
         if self._may_repeat(self.runs + 1):
-            patience_s = FIRST_PATIENCE * self.route.objective_s
-        return AttemptTerms(self.limit_at, self.relay.last_id, patience_s)
+            first_byte_timeout_s = FIRST_BYTE_TIMEOUT_OBJECTIVES * self.route.objective_s
+        return AttemptOptions(self.expires_at, self.relay.last_id, first_byte_timeout_s)
 
     def _note_written(self) -> None:
         """Note that the request may run from now on.
@@ -168,13 +170,13 @@
     async def _relay(self, target: Target, answered: Answered) -> bool:
         """Pass an answer on; tell whether the request has ended."""
         if answered.body is not None:
-            return await self._relay_whole(target, answered, answered.body)
+            return await self._relay_complete(target, answered, answered.body)
         return await self._relay_stream(target, answered)
 
-    async def _relay_whole(self, target: Target, answered: Answered, body: bytes) -> bool:
-        failed = answered.head.status >= RETRY_STATUS
+    async def _relay_complete(self, target: Target, answered: Answered, body: bytes) -> bool:
+        failed = answered.head.status >= MIN_FAILURE_STATUS
         self._note_result(target, failed)
-        self.suspicion.note_whole(target, answered)
+        self.crash_tracker.note_completed(target, answered)
         self.ran = Ran.YES
         if self.exchange.started:
             # A stream that began can't get another head: it ends visibly cut.
@@ -182,10 +184,10 @@
             return True
         if failed and self._may_repeat(self.runs) and self._has_alternative(target):
             return False
-        headers = list_end_to_end(answered.head)
+        headers = list_end_to_end_headers(answered.head)
         self.relay.timing.note(read_clock())
         await self.exchange.answer(answered.head.status, headers, body)
-        self._tell_end(None, answered.head.status)
+        self._log_end(None, answered.head.status)
         return True
 
     async def _relay_stream(self, target: Target, answered: Answered) -> bool:
@@ -193,31 +195,33 @@
         self.ran = Ran.YES
         try:
             # The send counts as a run already: what is left tells whether there is another attempt.
-            may_go_on = self._may_repeat(self.runs)
-            await self.relay.copy(target, answered, may_go_on)
+            is_resumable = self._may_repeat(self.runs)
+            await self.relay.copy(target, answered, is_resumable)
         except (AnswerError, ValueError) as error:
-            self.relay.drop_rest()
-            is_end = isinstance(error, AnswerError) and not isinstance(error, SilenceError)
-            self._note_failure(target, Broken(str(error), is_end=is_end))
+            self.relay.discard_partial_event()
+            is_disconnect = isinstance(error, AnswerError) and not isinstance(
+                error, IdleTimeoutError
+            )
+            self._note_failure(target, Broken(str(error), is_disconnect=is_disconnect))
             self._check_repeatable(str(error))
             return False
         finally:
-            self.context.targeting.release(target)
-            self.context.pool.release(target.place, sending, get_idle_s(target))
+            self.context.target_selector.release(target)
+            self.context.pool.release(target.place, sending, get_idle_timeout_s(target))
         self._note_result(target, False)
-        self.suspicion.note_whole(target, answered)
-        self._note_pauses(target)
-        self._tell_end(None, answered.head.status)
+        self.crash_tracker.note_completed(target, answered)
+        self._note_gaps(target)
+        self._log_end(None, answered.head.status)
         return True
 
     # Failures
 
     def _note_failure(self, target: Target, outcome: Declined | Broken) -> None:
         now = read_clock()
-        self.suspicion.note_failed()
-        self._tell_failure(target, outcome, now)
+        self.crash_tracker.note_failed()
+        self._log_failure(target, outcome, now)
         if isinstance(outcome, Broken):
-            self.suspicion.note_broken(target, outcome, now)
+            self.crash_tracker.note_broken(target, outcome, now)
         elif outcome.is_down and target.candidate is not None:
             # Nothing was sent: when it listens again, it may be tried like one that is new.
             target.candidate.endpoint.refused_at = now
@@ -225,13 +229,13 @@
             return
         if target.peer is not None:
             self.tried[target.region] += 1
-        if target.peer is None or outcome.blames_host:
+        if target.peer is None or outcome.is_target_fault:
             # A host that had no place may have one when its region offers again.
             self.tried[target.name] += 1
-        if not outcome.blames_host:
+        if not outcome.is_target_fault:
             return
         if target.peer is not None:
-            target.peer.failed_until = now + PEER_FAILED_S
+            target.peer.failed_until = now + PEER_RETRY_DELAY_S
         self._blame_endpoint(target, now)
 
     def _blame_endpoint(self, target: Target, now: float) -> None:
@@ -251,15 +255,15 @@
             load.note_success(now)
         usual.note(self.route.name, failed)
 
-    def _note_pauses(self, target: Target) -> None:
+    def _note_gaps(self, target: Target) -> None:
         objective_s = self.route.gap_objective_s
         if target.candidate is not None and objective_s:
-            isolation = self.context.targeting.get_isolation(self.service.name)
+            isolation = self.context.target_selector.get_isolation(self.service.name)
             isolation.note_answer(self.relay.timing.longest_gap_s, objective_s, read_clock())
 
-    def _note_given_up(self) -> None:
+    def _note_abandoned(self) -> None:
         now = read_clock()
-        silent = self.suspicion.note_given_up(now)
+        silent = self.crash_tracker.note_abandoned(now)
         if silent is not None:
             self._blame_endpoint(silent, now)
 
@@ -271,9 +275,9 @@
     def _has_alternative(self, target: Target) -> bool:
         self.tried[target.name] = 1
         now = read_clock()
-        if self.limit_at - now < self.route.objective_s * 0.3:
+        if self.expires_at - now < self.route.objective_s * 0.3:
             return False
-        return self.context.targeting.has_place(self.wanted, now)
+        return self.context.target_selector.has_alternative(self.wanted, now)
 
     def _check_repeatable(self, reason: str) -> None:
         """Raise RequestError unless a request that may have run may be sent again."""
@@ -282,16 +286,16 @@
 
     def _fail(self, error: RequestError) -> None:
         if self.exchange.started:
-            self._tell_end(error, 0)
+            self._log_end(error, 0)
             self.exchange.cut()
             return
         raise error
 
     # Log
 
-    def _tell_choice(self, target: Target, now: float) -> None:
+    def _log_sent(self, target: Target, now: float) -> None:
         candidate = target.candidate
-        tell(
+        log_event(
             "sent",
             request_id=self.call.id,
             route=self.route.name,
@@ -307,7 +311,7 @@
             fetch_from=candidate.source.entry.id if candidate and candidate.source else None,
             limit_per_s=self.context.directory.statements.get(target.name).limit_per_s,
             waited_s=round(now - self.call.arrived_at, 3),
-            left_s=round(self.limit_at - now, 3),
+            left_s=round(self.expires_at - now, 3),
             send=self.sends,
             version=(
                 self.context.directory.configuration.version
@@ -316,9 +320,9 @@
             ),
         )
 
-    def _tell_failure(self, target: Target, outcome: Declined | Broken, now: float) -> None:
+    def _log_failure(self, target: Target, outcome: Declined | Broken, now: float) -> None:
         is_broken = isinstance(outcome, Broken)
-        tell(
+        log_event(
             "attempt_failed",
             request_id=self.call.id,
             request_digest=format_digest(self.call) if is_broken else None,
@@ -328,12 +332,12 @@
             lasted_s=round(now - self.sent_at, 3),
         )
 
-    def _tell_end(self, error: RequestError | None, status: int) -> None:
+    def _log_end(self, error: RequestError | None, status: int) -> None:
         now = read_clock()
         timing = self.relay.timing
         first_s = None if timing.first_at is None else timing.first_at - self.call.arrived_at
         total_s = now - self.call.arrived_at
-        tell(
+        log_event(
             "answered" if error is None else "cut",
             request_id=self.call.id,
             route=self.route.name,
@@ -345,6 +349,6 @@
             total_s=round(total_s, 3),
         )
         kind = error.kind if error is not None else None
-        self.context.figures.note_request(
+        self.context.metrics.note_request(
             self.route.name, kind, first_s, total_s, timing.longest_gap_s
         )
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -12,12 +12,12 @@
     ARRIVALS_HEADER,
     ENDED_HEADER,
     KIND_HEADER,
-    PASS_HEADER,
+    PASSED_ON_HEADER,
     RAN_HEADER,
-    decode_pass,
+    decode_passed_on,
 )
-from cloverway.serving.requests.course import Course
-from cloverway.serving.telemetry import format_digest, tell
+from cloverway.serving.requests.course import RequestExecution
+from cloverway.serving.telemetry import format_digest, log_event
 
 
 class Forwarder:
@@ -32,26 +32,26 @@
 
     async def handle_passed_on(self, exchange: Exchange) -> None:
         """Run a request that another host passed on, without passing it on again."""
-        values = [value for name, value in exchange.headers if name == PASS_HEADER]
-        passed = decode_pass(values[0]) if len(values) == 1 else None
-        if passed is None:
+        values = [value for name, value in exchange.headers if name == PASSED_ON_HEADER]
+        origin = decode_passed_on(values[0]) if len(values) == 1 else None
+        if origin is None:
             error = RequestError(Kind.MALFORMED, "nothing says who passed it on")
             await self._refuse(exchange, None, error)
             return
-        exchange.headers = [item for item in exchange.headers if item[0] != PASS_HEADER]
-        await self._run(exchange, passed)
+        exchange.headers = [item for item in exchange.headers if item[0] != PASSED_ON_HEADER]
+        await self._run(exchange, origin)
 
-    async def _run(self, exchange: Exchange, passed: PassedOn | None) -> None:
+    async def _run(self, exchange: Exchange, origin: PassedOn | None) -> None:
         call: Call | None = None
-        course: Course | None = None
+        execution: RequestExecution | None = None
         try:
-            call = self._context.dialect.decode_call(exchange)._replace(passed_on=passed)
+            call = self._context.dialect.decode_call(exchange)._replace(passed_on=origin)
             await self._context.wait_for_start()
             route = self._find_route(call)
-            course = Course(self._context, exchange, call, route)
-            await course.run()
+            execution = RequestExecution(self._context, exchange, call, route)
+            await execution.run()
         except RequestError as error:
-            await self._refuse(exchange, call, error, course)
+            await self._refuse(exchange, call, error, execution)
 
     def _find_route(self, call: Call) -> Route:
         configuration = self._context.directory.configuration
@@ -69,18 +69,23 @@
         exchange: Exchange,
         call: Call | None,
         error: RequestError,
-        course: Course | None = None,
+        execution: RequestExecution | None = None,
     ) -> None:
         call_id = call.id if call is not None else ""
         status, headers, body = self._context.dialect.encode_refusal(error, call_id)
         headers += [
             (RAN_HEADER, str(error.ran).encode()),
             (KIND_HEADER, str(error.kind).encode()),
-            (ARRIVALS_HEADER, str(course.arrivals if course is not None else 0).encode()),
+            (
+                ARRIVALS_HEADER,
+                str(execution.endpoint_sends if execution is not None else 0).encode(),
+            ),
         ]
-        if course is not None and course.suspicion.ended:
-            headers.append((ENDED_HEADER, ",".join(course.suspicion.ended).encode("latin-1")))
-        tell(
+        if execution is not None and execution.crash_tracker.crashed:
+            headers.append(
+                (ENDED_HEADER, ",".join(execution.crash_tracker.crashed).encode("latin-1"))
+            )
+        log_event(
             "refused",
             request_id=call_id,
             request_digest=format_digest(call) if call is not None else None,
@@ -92,7 +97,7 @@
             target=exchange.target[:200],
         )
         total_s = read_clock() - exchange.arrived_at
-        self._context.figures.note_request("", error.kind, None, total_s, 0.0)
+        self._context.metrics.note_request("", error.kind, None, total_s, 0.0)
         if exchange.started:
             exchange.cut()
             return
--- a/cloverway/serving/requests/shares.py
+++ b/cloverway/serving/requests/shares.py
@@ -6,7 +6,7 @@
 from cloverway.core.limits import Allowance, Share, compute_share
 from cloverway.core.members import Members
 
-HOSTS_FOR_S = 0.2
+SENDING_HOSTS_TTL_S = 0.2
 """How long the list of hosts that send holds: it is asked for at each endpoint with each choice."""
 
 
@@ -62,7 +62,7 @@
 
         In a large region most hosts serve nobody: shares of theirs would be lost.
         """
-        if now - self._hosts_at >= HOSTS_FOR_S:
+        if now - self._hosts_at >= SENDING_HOSTS_TTL_S:
             self._hosts_at = now
             serving = self._members.list_serving(self._members.own.region)
             is_serving = self._members.is_serving(now)
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -9,13 +9,13 @@
 from cloverway.serving.http.client import ReplyHead, Sending
 from cloverway.serving.http.events import EventSplitter
 from cloverway.serving.http.server import Exchange
-from cloverway.serving.requests.attempt import Answered, bear_silence
+from cloverway.serving.requests.attempt import Answered, limit_idle_time
 from cloverway.serving.requests.targeting import Target
 
-GAP_PATIENCE = 4.0
+GAP_TIMEOUT_OBJECTIVES = 4.0
 """Silence between two events, in wanted pauses, after which a stream goes on elsewhere where it
 may: over the longest pause of a loaded engine."""
-LEAST_GAP_PATIENCE_S = 2.0
+MIN_GAP_TIMEOUT_S = 2.0
 """The same at least: callers give a stream up after two seconds at the earliest."""
 
 
@@ -50,19 +50,19 @@
         """The id of the last whole event that the caller got."""
         return self._events.last_id
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the part of an event that will never be whole."""
         self._events.drop_rest()
 
-    async def copy(self, target: Target, answered: Answered, may_go_on: bool) -> None:
+    async def copy(self, target: Target, answered: Answered, is_resumable: bool) -> None:
         """Copy the events of an endpoint to their end; raise AnswerError or ValueError.
 
         `may_go_on` tells whether the stream may go on elsewhere when the endpoint falls silent.
         """
-        gap_s = max(LEAST_GAP_PATIENCE_S, GAP_PATIENCE * self._wanted.route.gap_objective_s)
-        patience_s = gap_s if may_go_on else None
+        gap_s = max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_OBJECTIVES * self._wanted.route.gap_objective_s)
+        timeout_s = gap_s if is_resumable else None
         waiting_since: float | None = None
-        while part := await self._read(answered.sending, patience_s):
+        while part := await self._read(answered.sending, timeout_s):
             events = self._events.split(part)
             if not events:
                 continue
@@ -77,13 +77,13 @@
             await self._exchange.send(rest)
         self._exchange.finish()
 
-    async def _read(self, sending: Sending, patience_s: float | None) -> bytes:
-        async with bear_silence(patience_s):
+    async def _read(self, sending: Sending, timeout_s: float | None) -> bytes:
+        async with limit_idle_time(timeout_s):
             return await sending.read_part()
 
     def _start(self, head: ReplyHead) -> None:
         if not self._exchange.started:
-            self._exchange.start(head.status, list_end_to_end(head))
+            self._exchange.start(head.status, list_end_to_end_headers(head))
 
     def _note_events(
         self, target: Target, events: int, waiting_since: float | None, now: float
@@ -112,7 +112,7 @@
 """Headers that concern one connection only; the length is set anew where the body is known."""
 
 
-def list_end_to_end(head: ReplyHead) -> list[Header]:
+def list_end_to_end_headers(head: ReplyHead) -> list[Header]:
     """Give the headers of an answer that are the caller's."""
     named = {
         token.strip().lower()
--- a/cloverway/serving/requests/suspicion.py
+++ b/cloverway/serving/requests/suspicion.py
@@ -12,18 +12,18 @@
 from cloverway.serving.requests.targeting import Target
 
 
-class Suspicion:
+class CrashTracker:
     """Notes the ends of endpoints under one request, and stops it where there were too many."""
 
     def __init__(self, context: Context, wanted: Wanted, timing: Timing) -> None:
         self._context = context
         self._digest = wanted.digest
         self._timing = timing
-        self._awaited: Target | None = None
+        self._pending_target: Target | None = None
         """Where the answer to it is awaited from."""
         self._sent_at = wanted.call.arrived_at
         """When the last send began."""
-        self.ended: list[str] = []
+        self.crashed: list[str] = []
         """The lives of endpoints that ended, by all signs, while they ran it."""
 
     def check(self, ran: Ran) -> None:
@@ -41,30 +41,30 @@
         """Tell whether it may be sent to a place, after asking an endpoint that may be gone."""
         if target.candidate is None:
             return True
-        return await self._context.lives.may_send(target.candidate.endpoint, self._digest)
+        return await self._context.incarnations.may_send(target.candidate.endpoint, self._digest)
 
     def note_sent(self, target: Target, now: float) -> None:
         """Note that a send begins."""
-        self._awaited = target
+        self._pending_target = target
         self._sent_at = now
 
     def note_failed(self) -> None:
         """Note that the send has failed; nothing is awaited any more."""
-        self._awaited = None
+        self._pending_target = None
 
     def note_broken(self, target: Target, outcome: Broken, now: float) -> None:
         """Note what a send that may have run tells of the ends of endpoints."""
-        if outcome.is_end:
-            self._note_end(target, now)
+        if outcome.is_disconnect:
+            self._note_crash(target, now)
         elif _is_stalled(target, now):
-            self._note_end(target, self._heard_at)
-        for life in outcome.ended:
+            self._note_crash(target, self._last_activity_at)
+        for life in outcome.crashed:
             # Not told on: the host that saw it does so, but its answer is here before its word.
             self._context.quarantine.note_crash(Crash(life, (self._digest,), now))
 
-    def note_whole(self, target: Target, answered: Answered) -> None:
+    def note_completed(self, target: Target, answered: Answered) -> None:
         """Note that the request had a whole answer, so that it ends nothing."""
-        self._awaited = None
+        self._pending_target = None
         self._context.crashes.note_served(self._digest)
         if target.candidate is not None:
             # Only the life that a connection was opened to answers on it. By its entry alone, one
@@ -73,27 +73,27 @@
             opened_at = answered.sending.connection.opened_at
             self._context.quarantine.note_alive(life, opened_at, read_clock())
 
-    def note_given_up(self, now: float) -> Target | None:
+    def note_abandoned(self, now: float) -> Target | None:
         """Take an endpoint for ended that was silent when the request was given up, and give it.
 
         One that loses power with the request says nothing, and the connection neither.
         """
-        target = self._awaited
-        is_silent = now - self._heard_at >= STALLED_AFTER_S
+        target = self._pending_target
+        is_silent = now - self._last_activity_at >= STALLED_AFTER_S
         if target is None or not is_silent or not _is_stalled(target, now):
             return None
-        self._note_end(target, self._heard_at)
+        self._note_crash(target, self._last_activity_at)
         return target
 
     @property
-    def _heard_at(self) -> float:
+    def _last_activity_at(self) -> float:
         """When the last send began, or its answer was last heard of."""
         return max(self._sent_at, self._timing.last_at)
 
-    def _note_end(self, target: Target, at: float) -> None:
+    def _note_crash(self, target: Target, at: float) -> None:
         if target.candidate is not None:
             life = target.candidate.endpoint.entry.life
-            self.ended.append(life)
+            self.crashed.append(life)
             self._context.crashes.note_end(life, self._digest, at)
 
 
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/targeting.py
@@ -34,22 +34,22 @@
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Place
 from cloverway.serving.requests.shares import LimitShares
-from cloverway.serving.requests.waiting import WaitingLine
+from cloverway.serving.requests.waiting import RequestQueue
 from cloverway.serving.settings import FleetSettings
-from cloverway.serving.telemetry import tell
+from cloverway.serving.telemetry import log_event
 
-LOADS_HEARD_S = 1.5
+LOAD_SYNC_S = 1.5
 """Age up to which a host may not have heard yet what the others have at endpoints: its own start,
 their heartbeats, and one period in which uses are told again."""
-FAR_S = 0.2
+INTER_REGION_RTT_S = 0.2
 """Time that the way to another region and back takes, as far as it isn't measured."""
-FAR_MARGIN_S = 0.3
+REMOTE_REGION_MARGIN_S = 0.3
 """By how much another region must be better before a request leaves its own: its prompt parts lie
 here, and bytes between regions cost."""
-TOLD_TOKENS = 1_000
+MIN_BROADCAST_TOKENS = 1_000
 """Prompt tokens from which other hosts are told of a send at once: 26 ms of an engine. Smaller ones
 are told with the next heartbeat."""
-FAR_TRIES = 3
+MAX_REGION_DECLINES = 3
 """Times that a request is passed on to a region that declines it: the bytes of each are dear."""
 
 
@@ -64,7 +64,7 @@
     """Names the request in the load of the endpoint."""
     candidate: Candidate | None = None
     peer: Peer | None = None
-    lent_by: str = ""
+    reserved_service: str = ""
     """The service of which another region has lent a place for as long as the request runs."""
 
     @property
@@ -79,7 +79,7 @@
         return Place(self.address, self.name if self.candidate is not None else "")
 
 
-class Targeting:
+class TargetSelector:
     """Finds and takes places; owns the counts of what is under way."""
 
     def __init__(
@@ -95,21 +95,21 @@
         self._suspects = suspects
         self._started_at = read_clock()
         self._numbers = itertools.count(1)
-        self._lines: dict[str, WaitingLine[Target]] = {}
+        self._queues: dict[str, RequestQueue[Target]] = {}
         self._isolations: dict[str, Isolation] = {}
         self._shares = LimitShares(members, directory, self._started_at)
-        self._apart: dict[str, frozenset[str]] = {}
+        self._isolated: dict[str, frozenset[str]] = {}
         """The engines that large prompts of each service were last kept to."""
-        self.on_prompt: Callable[[], None] = lambda: None
+        self.on_large_prompt: Callable[[], None] = lambda: None
         """Called when a prompt was sent that other hosts should hear of at once."""
 
-    def get_line(self, service: str) -> WaitingLine[Target]:
+    def get_queue(self, service: str) -> RequestQueue[Target]:
         """Give the line of requests that wait for a place at a service."""
-        return self._lines.setdefault(service, WaitingLine())
+        return self._queues.setdefault(service, RequestQueue())
 
     def sum_waiting(self, service: str) -> float:
         """Give the seconds of work of the requests that wait here for a service."""
-        return self.get_line(service).sum_work()
+        return self.get_queue(service).sum_work()
 
     def take(self, wanted: Wanted, ahead_s: float, now: float) -> Target | None:
         """Take a place for a request, or give None when there is none now.
@@ -117,15 +117,15 @@
         `ahead_s` is the work of the requests that wait before it.
         """
         candidates = self.list_candidates(wanted, now)
-        here = choose_endpoint(candidates)
+        local = choose_endpoint(candidates)
         if wanted.call.passed_on is None:
             offers = self._list_offers(wanted, now)
-            stay_s = here.cost_s if here is not None else estimate_wait(candidates, ahead_s)
-            away = choose_region(stay_s, offers, FAR_MARGIN_S)
-            peer = self._choose_peer(wanted, away.region, now) if away is not None else None
+            local_cost_s = local.cost_s if local is not None else estimate_wait(candidates, ahead_s)
+            remote = choose_region(local_cost_s, offers, REMOTE_REGION_MARGIN_S)
+            peer = self._choose_peer(wanted, remote.region, now) if remote is not None else None
             if peer is not None:
-                return self._pass_to(peer, wanted.service)
-        return self._take_here(wanted, here, now) if here is not None else None
+                return self._take_remote(peer, wanted.service)
+        return self._take_local(wanted, local, now) if local is not None else None
 
     def estimate_start(self, wanted: Wanted, ahead_s: float, now: float) -> float | None:
         """Estimate when a request would have a place here, behind others; None where unknown."""
@@ -136,10 +136,10 @@
         if target.candidate is not None:
             target.candidate.endpoint.load.end(target.number)
             self._suspects.end(target.number)
-        if target.lent_by:
-            self._change_free(target.region, target.lent_by, 1)
+        if target.reserved_service:
+            self._adjust_free(target.region, target.reserved_service, 1)
 
-    def withdraw_offer(self, region: str, service: str, sent_at: float) -> None:
+    def discard_offers(self, region: str, service: str, sent_at: float) -> None:
         """Forget what a region had offered before a request was sent there that it declined.
 
         It declines what waited in its line in vain. What its hosts have said since then, they have
@@ -161,7 +161,7 @@
         by_limit = f", {limited} name a limit" if limited else ""
         return f"{full} of {len(candidates)} endpoints here are full{by_limit}"
 
-    def has_place(self, wanted: Wanted, now: float) -> bool:
+    def has_alternative(self, wanted: Wanted, now: float) -> bool:
         """Tell whether an endpoint here or another region may run a request that has failed once.
 
         A region with one endpoint of a service would otherwise give up where larger ones try again.
@@ -178,34 +178,36 @@
         sender = Sender(
             self._settings.domain,
             len(self._members.list_region()) + 1,
-            now - self._started_at < LOADS_HEARD_S,
+            now - self._started_at < LOAD_SYNC_S,
         )
-        near = [
+        local_endpoints = [
             endpoint
             for endpoint in self._directory.list_usable(wanted.service.name, now)
             if endpoint.region == region
         ]
-        source = _find_source(wanted, near, now)
+        source = _find_source(wanted, local_endpoints, now)
         predicted = (
             predict(wanted, endpoint, sender=sender, now=now, source=source)
-            for endpoint in near
+            for endpoint in local_endpoints
             if not wanted.tried[endpoint.entry.life]
-            and self._may_load(endpoint, wanted.service, now)
+            and self._allows_cold_send(endpoint, wanted.service, now)
         )
-        wished = list(self._keep_wishes(predicted, wanted.service, now))
-        candidates = self._suspects.keep_apart(wanted, wished, now)
+        allowed = list(self._filter_by_limit(predicted, wanted.service, now))
+        candidates = self._suspects.keep_apart(wanted, allowed, now)
         if wanted.service.engine is None or wanted.call.prompt is None:
             return candidates
-        return keep_apart(wanted, candidates, self._choose_apart(wanted.service.name, near, now))
+        return keep_apart(
+            wanted, candidates, self._choose_isolated(wanted.service.name, local_endpoints, now)
+        )
 
-    def _keep_wishes(
+    def _filter_by_limit(
         self, candidates: Iterable[Candidate], service: Service, now: float
     ) -> Iterator[Candidate]:
         """Leave out endpoints whose limit gives this host no share.
 
         Others wait for their part of it, or for the end of a pause that they asked for.
         """
-        waiting = len(self.get_line(service.name))
+        waiting = len(self.get_queue(service.name))
         for candidate in candidates:
             wait_s = self._shares.estimate_wait(candidate.endpoint, waiting, now)
             if wait_s is not None:
@@ -216,17 +218,17 @@
         """Give what was seen of prompts and pauses at a service."""
         return self._isolations.setdefault(service, Isolation(service))
 
-    def _choose_apart(
+    def _choose_isolated(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> frozenset[str]:
         """Choose the engines that large prompts are kept to, and log when others are chosen."""
         chosen = self.get_isolation(service).choose(endpoints, now)
-        if chosen != self._apart.get(service, frozenset()):
-            self._apart[service] = chosen
-            tell("large_prompts_kept", service=service, endpoints=sorted(chosen))
+        if chosen != self._isolated.get(service, frozenset()):
+            self._isolated[service] = chosen
+            log_event("large_prompts_kept", service=service, endpoints=sorted(chosen))
         return chosen
 
-    def _pass_to(self, peer: Peer, service: Service) -> Target:
+    def _take_remote(self, peer: Peer, service: Service) -> Target:
         """Take a place that another region offers, until it offers anew.
 
         A place of a plain service is free again when the request has ended: counted as taken until
@@ -234,35 +236,42 @@
         takes of an engine shows in the next offer only.
         """
         member = peer.member
-        self._change_free(member.region, service.name, -1)
-        lent_by = service.name if service.engine is None else ""
+        self._adjust_free(member.region, service.name, -1)
+        reserved_service = service.name if service.engine is None else ""
         number = next(self._numbers)
-        return Target(member.inner, member.name, member.region, number, peer=peer, lent_by=lent_by)
+        return Target(
+            member.inner,
+            member.name,
+            member.region,
+            number,
+            peer=peer,
+            reserved_service=reserved_service,
+        )
 
-    def _change_free(self, region: str, service: str, by: int) -> None:
+    def _adjust_free(self, region: str, service: str, by: int) -> None:
         """Change the count of places that a region is taken to have."""
         for peer in self._members.peers.values():
             offer = peer.offers.get(service)
             if peer.member.region == region and offer is not None:
                 peer.offers[service] = offer._replace(free=offer.free + by)
 
-    def _take_here(self, wanted: Wanted, here: Candidate, now: float) -> Target:
-        endpoint = here.endpoint
+    def _take_local(self, wanted: Wanted, local: Candidate, now: float) -> Target:
+        endpoint = local.endpoint
         number = next(self._numbers)
-        endpoint.load.begin(number, here.work, wanted.call.prompt, now)
-        if here.work.unread:
-            self.get_isolation(wanted.service.name).note_prompt(wanted, here, now)
-        if here.work.unread >= TOLD_TOKENS:
-            self.on_prompt()
+        endpoint.load.begin(number, local.work, wanted.call.prompt, now)
+        if local.work.unread:
+            self.get_isolation(wanted.service.name).note_prompt(wanted, local, now)
+        if local.work.unread >= MIN_BROADCAST_TOKENS:
+            self.on_large_prompt()
         if endpoint.is_cold(now):
             endpoint.last_cold_send = now
         self._shares.take(endpoint, now)
         entry = endpoint.entry
         until = min(wanted.call.deadline, wanted.call.arrived_at + wanted.route.timeout_s)
         self._suspects.begin(number, wanted, entry.life, until, now)
-        return Target(entry.address, entry.life, self._settings.region, number, candidate=here)
+        return Target(entry.address, entry.life, self._settings.region, number, candidate=local)
 
-    def _may_load(self, endpoint: Endpoint, service: Service, now: float) -> bool:
+    def _allows_cold_send(self, endpoint: Endpoint, service: Service, now: float) -> bool:
         """Tell whether an endpoint may get a request just now, as far as it is cold."""
         if not endpoint.is_cold(now) or not service.cold_per_s:
             return True
@@ -283,8 +292,10 @@
         for region, offer in self._find_latest_offers(wanted.service.name, now).items():
             is_home = not wanted.route.homes or region in wanted.route.homes
             has_room = offer.free > 0 and offer.room >= work.unread
-            if is_home and has_room and wanted.tried[region] < FAR_TRIES:
-                predicted.append(predict_region(wanted, offer, Far(region, FAR_S), now))
+            if is_home and has_room and wanted.tried[region] < MAX_REGION_DECLINES:
+                predicted.append(
+                    predict_region(wanted, offer, Far(region, INTER_REGION_RTT_S), now)
+                )
         return predicted
 
     def _find_latest_offers(self, service: str, now: float) -> dict[str, Offer]:
--- a/cloverway/serving/requests/waiting.py
+++ b/cloverway/serving/requests/waiting.py
@@ -10,51 +10,51 @@
 
 T = TypeVar("T")
 
-TICK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """How often waiting requests are tried: a fraction of the time in which a prompt is read."""
-FIRST_TRIED = 4
+MAX_HEAD_POLLED = 4
 """Requests at the head of the line that are tried each time."""
-NEXT_TRIED = 4
+MAX_TAIL_POLLED = 4
 """Requests behind them that are tried by turns: a small one may have a place where large ones have
 none. An attempt costs 0.5 ms before 15 endpoints, so a long line would take a weak host's core."""
 
 
-class Rank(NamedTuple):
+class QueueRank(NamedTuple):
     """The place of a request in the line: the most urgent first, then who came first."""
 
     priority: int
     arrived_at: float
 
 
-class Ask(NamedTuple):
+class QueueTicket(NamedTuple):
     """What a request asks of the line."""
 
-    rank: Rank
+    rank: QueueRank
     work_s: float = 0.0
     """Seconds of an endpoint's work that it will take."""
-    late_at: float = float("inf")
+    latest_start_at: float = float("inf")
     """From when on its answer can't begin within the objective any more."""
 
-    def get_order(self, now: float) -> tuple[int, bool, float]:
+    def get_sort_key(self, now: float) -> tuple[int, bool, float]:
         """Give the place in the line.
 
         Of one priority, those that can still be answered in time go first. In the order of their
         arrival alone, after one burst every request would wait until it is late.
         """
-        return self.rank.priority, now > self.late_at, self.rank.arrived_at
+        return self.rank.priority, now > self.latest_start_at, self.rank.arrived_at
 
 
-Attempt = Callable[[float], T | None]
+Acquire = Callable[[float], T | None]
 """Tries to take a place, with the work in seconds that waits before."""
 
 
 class _Waiter(NamedTuple, Generic[T]):
-    ask: Ask
-    attempt: Attempt[T]
-    taken: asyncio.Future[T]
+    ticket: QueueTicket
+    acquire: Acquire[T]
+    granted: asyncio.Future[T]
 
 
-class WaitingLine(Generic[T]):
+class RequestQueue(Generic[T]):
     """One line for each service.
 
     Without it whoever asks just when a place gets free would have it: requests that came late or
@@ -69,31 +69,31 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def sum_ahead(self, ask: Ask, now: float) -> float:
+    def sum_work_ahead(self, ticket: QueueTicket, now: float) -> float:
         """Give the seconds of work of the requests that go before one."""
-        order = ask.get_order(now)
-        return sum(w.ask.work_s for w in self._waiters if w.ask.get_order(now) <= order)
+        sort_key = ticket.get_sort_key(now)
+        return sum(w.ticket.work_s for w in self._waiters if w.ticket.get_sort_key(now) <= sort_key)
 
     def sum_work(self) -> float:
         """Give the seconds of an endpoint's work that all waiting requests ask for."""
-        return sum(waiter.ask.work_s for waiter in self._waiters)
+        return sum(waiter.ticket.work_s for waiter in self._waiters)
 
-    def try_now(self, ask: Ask, attempt: Attempt[T], now: float) -> T | None:
+    def try_acquire(self, ticket: QueueTicket, acquire: Acquire[T], now: float) -> T | None:
         """Give what the attempt gives, unless another request goes first."""
-        order = ask.get_order(now)
-        if any(waiter.ask.get_order(now) <= order for waiter in self._waiters):
+        sort_key = ticket.get_sort_key(now)
+        if any(waiter.ticket.get_sort_key(now) <= sort_key for waiter in self._waiters):
             return None
-        return attempt(0.0)
+        return acquire(0.0)
 
     async def wait(
-        self, ask: Ask, attempt: Attempt[T], until: float, undo: Callable[[T], None]
+        self, ticket: QueueTicket, acquire: Acquire[T], until: float, release: Callable[[T], None]
     ) -> T | None:
         """Give what the attempt gives when its turn has come, or None when the time is over."""
         left_s = until - read_clock()
         if left_s <= 0:
             return None
         future: asyncio.Future[T] = asyncio.get_running_loop().create_future()
-        waiter = _Waiter(ask, attempt, future)
+        waiter = _Waiter(ticket, acquire, future)
         self._waiters.append(waiter)
         if self._ticker is None or self._ticker.done():
             self._ticker = asyncio.create_task(self._tick())
@@ -101,7 +101,7 @@
             await asyncio.wait((future,), timeout=left_s)
         except asyncio.CancelledError:
             if future.done():
-                undo(future.result())
+                release(future.result())
             raise
         finally:
             if waiter in self._waiters:
@@ -110,21 +110,21 @@
 
     async def _tick(self) -> None:
         while self._waiters:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self._try_waiters(read_clock())
 
     def _try_waiters(self, now: float) -> None:
         """Try the requests at the head of the line, and some of the others."""
-        ordered = sorted(self._waiters, key=lambda waiter: waiter.ask.get_order(now))
-        behind = max(1, len(ordered) - FIRST_TRIED)
-        turns = {FIRST_TRIED + (self._turn + step) % behind for step in range(NEXT_TRIED)}
-        self._turn += NEXT_TRIED
+        ordered = sorted(self._waiters, key=lambda waiter: waiter.ticket.get_sort_key(now))
+        behind = max(1, len(ordered) - MAX_HEAD_POLLED)
+        turns = {MAX_HEAD_POLLED + (self._turn + step) % behind for step in range(MAX_TAIL_POLLED)}
+        self._turn += MAX_TAIL_POLLED
         ahead_s = 0.0
         for place, waiter in enumerate(ordered):
-            is_tried = place < FIRST_TRIED or place in turns
-            taken = waiter.attempt(ahead_s) if is_tried else None
-            if taken is not None:
+            is_tried = place < MAX_HEAD_POLLED or place in turns
+            granted = waiter.acquire(ahead_s) if is_tried else None
+            if granted is not None:
                 self._waiters.remove(waiter)
-                waiter.taken.set_result(taken)
+                waiter.granted.set_result(granted)
             else:
-                ahead_s += waiter.ask.work_s
+                ahead_s += waiter.ticket.work_s
--- a/cloverway/serving/telemetry.py
+++ b/cloverway/serving/telemetry.py
@@ -15,16 +15,16 @@
 
 log = logging.getLogger(__name__)
 
-LINES_PER_S = 500
+MAX_LINES_PER_S = 500
 """Lines that are written in a second; more are counted and dropped. A host serves about 30
 requests a second at its peak, with three lines each: this is five times that."""
-PENDING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 """Bytes that wait for a reader of the log that is slow; further lines are dropped."""
-TIME_BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0)
+TIME_BUCKETS_S = (0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0)
 """Upper bounds of the buckets of times, in seconds."""
 
 
-class LineWriter(logging.Handler):
+class LogLineHandler(logging.Handler):
     """Writes lines to a descriptor without ever waiting; counts what it has to drop."""
 
     def __init__(self, descriptor: int) -> None:
@@ -42,7 +42,7 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        if self._lines > LINES_PER_S or len(self._pending) > PENDING_BYTES:
+        if self._lines > MAX_LINES_PER_S or len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
         try:
@@ -57,9 +57,11 @@
             self.dropped += 1
 
 
-def configure_lines(host: str, incarnation: str, level: str, descriptor: int = 1) -> LineWriter:
+def configure_logging(
+    host: str, incarnation: str, level: str, descriptor: int = 1
+) -> LogLineHandler:
     """Log to a descriptor as JSON lines; give the handler, which counts what it drops."""
-    writer = LineWriter(descriptor)
+    writer = LogLineHandler(descriptor)
     writer.setFormatter(make_formatter(host, incarnation))
     root = logging.getLogger()
     root.handlers[:] = [writer]
@@ -68,20 +70,26 @@
     return writer
 
 
-class Figures:
+class Metrics:
     """Counters and histograms, in the text format of Prometheus."""
 
     def __init__(self) -> None:
         self._registry = aioprometheus.Registry()
-        self._requests = self._count("requests_total", "Requests by route and outcome")
-        self._attempts = self._count("attempts_total", "Sends to endpoints by service and outcome")
-        self._connects = self._count("connections_total", "New connections to endpoints and hosts")
-        self._reads = self._count("store_reads_total", "Reads of the store by outcome")
-        self._events = self._count("events_total", "Changes of what this host believes, by kind")
+        self._requests = self._make_counter("requests_total", "Requests by route and outcome")
+        self._attempts = self._make_counter(
+            "attempts_total", "Sends to endpoints by service and outcome"
+        )
+        self._connects = self._make_counter(
+            "connections_total", "New connections to endpoints and hosts"
+        )
+        self._reads = self._make_counter("store_reads_total", "Reads of the store by outcome")
+        self._events = self._make_counter(
+            "events_total", "Changes of what this host believes, by kind"
+        )
         self._dropped = aioprometheus.Gauge(
             "cloverway_log_lines_dropped", "Log lines dropped", registry=self._registry
         )
-        self._held = aioprometheus.Gauge(
+        self._quarantined = aioprometheus.Gauge(
             "cloverway_requests_held",
             "Requests that are refused since endpoints ended while they ran them",
             registry=self._registry,
@@ -91,9 +99,13 @@
             "Endpoints that name a limit for all hosts together",
             registry=self._registry,
         )
-        self._first = self._measure("first_seconds", "Time to the first event or the answer")
-        self._total = self._measure("request_seconds", "Time to the end of the answer")
-        self._gap = self._measure("gap_seconds", "Longest pause between two events of a stream")
+        self._time_to_first = self._make_histogram(
+            "first_seconds", "Time to the first event or the answer"
+        )
+        self._total = self._make_histogram("request_seconds", "Time to the end of the answer")
+        self._gap = self._make_histogram(
+            "gap_seconds", "Longest pause between two events of a stream"
+        )
 
     def note_request(
         self, route: str, kind: Kind | None, first_s: float | None, total_s: float, gap_s: float
@@ -102,7 +114,7 @@
         self._requests.inc({"route": route, "outcome": str(kind or "ok")})
         self._total.observe({"route": route}, total_s)
         if first_s is not None:
-            self._first.observe({"route": route}, first_s)
+            self._time_to_first.observe({"route": route}, first_s)
         if gap_s:
             self._gap.observe({"route": route}, gap_s)
 
@@ -122,23 +134,23 @@
         """Count a change of belief."""
         self._events.inc({"what": what})
 
-    def render(self, dropped: int, held: int, limited: int) -> bytes:
+    def render(self, dropped: int, quarantined: int, limited: int) -> bytes:
         """Give all figures as text.
 
         With the lines dropped, the requests that are refused and the endpoints that name a limit
         just now.
         """
         self._dropped.set({}, dropped)
-        self._held.set({}, held)
+        self._quarantined.set({}, quarantined)
         self._limited.set({}, limited)
         text, _ = aioprometheus.render(self._registry, ["text/plain"])
         return bytes(text)
 
-    def _count(self, name: str, what: str) -> aioprometheus.Counter:
+    def _make_counter(self, name: str, what: str) -> aioprometheus.Counter:
         return aioprometheus.Counter(f"cloverway_{name}", what, registry=self._registry)
 
-    def _measure(
-        self, name: str, what: str, bounds: Sequence[float] = TIME_BOUNDS_S
+    def _make_histogram(
+        self, name: str, what: str, bounds: Sequence[float] = TIME_BUCKETS_S
     ) -> aioprometheus.Histogram:
         # Without a registry of our own it would go into the library's global one.
         return aioprometheus.Histogram(
@@ -146,7 +158,7 @@
         )
 
 
-def tell(event: str, /, level: int = logging.INFO, **inputs: Any) -> None:
+def log_event(event: str, /, level: int = logging.INFO, **inputs: Any) -> None:
     """Log a decision or a change of belief with its inputs."""
     log.log(level, event, extra=inputs)
 
--- a/cloverway/tests/fleet/deployment.py
+++ b/cloverway/tests/fleet/deployment.py
@@ -14,7 +14,7 @@
 from cloverway.serving.host import Host
 from cloverway.serving.http.client import AnswerError, Pool, Sending, make_request
 from cloverway.serving.settings import FleetSettings, Listen, Peers, StoreSettings
-from cloverway.serving.telemetry import LineWriter
+from cloverway.serving.telemetry import LogLineHandler
 from cloverway.tests.fleet.standins import (
     Endpoint,
     Store,
@@ -48,7 +48,7 @@
         self.hosts: list[Host] = []
         self.version = 0
         self.pool = Pool()
-        self.writer = LineWriter(1)
+        self.writer = LogLineHandler(1)
         self._calls = 0
 
     async def add_endpoint(self, name: str, service: str, domain: str = "d1", **fields: Any):
@@ -137,7 +137,13 @@
     for task in host._tasks:
         task.cancel()
     host.gossip._transport.close()
-    for server in (host.callers, host.inner, host.lookup, host.readiness, host.metrics):
+    for server in (
+        host.caller_server,
+        host.peer_server,
+        host.lookup_server,
+        host.readiness_server,
+        host.metrics_server,
+    ):
         server.stop_accepting()
 
 
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -13,7 +13,7 @@
 from cloverway.serving.hosts.crashes import MOST_TOLD, RETOLD_S, CrashExchange
 from cloverway.serving.hosts.news import TELL_AFTER_S, NewsExchange
 from cloverway.serving.hosts.peerwire import CODEC
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
 PACKET_BYTES = 1_472
 """What one datagram carries over Ethernet without being split."""
@@ -26,7 +26,7 @@
     def __init__(self, net, name, region):
         self.members = Members(Member(name, 1, region, region, name, name, True))
         self.quarantine = Quarantine(QuarantineTerms())
-        self.exchange = CrashExchange(name, self.quarantine, Figures())
+        self.exchange = CrashExchange(name, self.quarantine, Metrics())
         self.news = NewsExchange(self.members, [self.exchange])
         self.news.send = lambda to, data: net.send(name, to, data)
 
--- a/cloverway/tests/test_early.py
+++ b/cloverway/tests/test_early.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.serving.early import Early, listen_early
+from cloverway.serving.early import EarlySockets, open_caller_socket
 from cloverway.serving.http.server import Server, ServerTerms
 from cloverway.tests.fleet.standins import CallerLimits, take_ports
 
@@ -26,7 +26,7 @@
     which was not there either, and had no try left. It waits in the queue of the socket instead.
     """
     address = f"127.0.0.1:{take_ports(1)[0]}"
-    early = listen_early(write_settings(tmp_path / "settings", address))
+    early = open_caller_socket(write_settings(tmp_path / "settings", address))
 
     async def scenario():
         caller = socket.create_connection(early.getsockname(), 1.0)
@@ -52,14 +52,14 @@
 def test_settings_that_are_wrong_are_left_to_the_host_to_tell(tmp_path, text):
     path = tmp_path / "settings"
     path.write_text(text)
-    assert Early.from_settings(str(path)) == Early(None, None)
-    assert Early.from_settings(str(tmp_path / "absent")) == Early(None, None)
+    assert EarlySockets.from_settings(str(path)) == EarlySockets(None, None)
+    assert EarlySockets.from_settings(str(tmp_path / "absent")) == EarlySockets(None, None)
 
 
 def test_a_host_that_was_given_another_address_listens_there_as_well(tmp_path):
     """The settings change between the two looks at them: the host has the last word."""
     first, second = (f"127.0.0.1:{port}" for port in take_ports(2))
-    early = listen_early(write_settings(tmp_path / "settings", first))
+    early = open_caller_socket(write_settings(tmp_path / "settings", first))
 
     async def scenario():
         server = Server(None, ServerTerms(CallerLimits, lambda: False, lambda *_: b""))
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -267,7 +267,7 @@
             (peer,) = far.members.peers.values()
             await wait_for(lambda: "model" in peer.offers)
             withdrawn = []
-            far.context.targeting.withdraw_offer = lambda *names: withdrawn.append(names)
+            far.context.target_selector.discard_offers = lambda *names: withdrawn.append(names)
             reply = await deadly.fleet.call("/stream/a", far, body=DEADLY)
             assert reply.status == 503
             assert b"quarantined" in reply.body
@@ -288,8 +288,8 @@
         async with run_deadly_fleet(("d1",)) as deadly:
             (host,) = deadly.fleet.hosts
             await hold(deadly, host)
-            host.context.targeting.take = lambda wanted, ahead_s, now: None
-            host.context.targeting.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.target_selector.take = lambda wanted, ahead_s, now: None
+            host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
             began = read_clock()
             reply = await deadly.fleet.call("/stream/a", body=DEADLY)
             assert read_clock() - began < 0.3
@@ -330,15 +330,15 @@
     async def scenario():
         async with run_deadly_fleet(("d1",)) as deadly:
             (host,) = deadly.fleet.hosts
-            choose, go_on = host.context.targeting.take, asyncio.Event()
+            choose, go_on = host.context.target_selector.take, asyncio.Event()
             waits = []
 
             def wait(wanted, ahead_s, now):
                 waits.append(wanted.call.compute_digest())
                 return choose(wanted, ahead_s, now) if go_on.is_set() else None
 
-            host.context.targeting.take = wait
-            host.context.targeting.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.target_selector.take = wait
+            host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
             sending = await deadly.fleet.begin_call("/stream/a", body=DEADLY)
             await wait_for(lambda: waits)
             for number in range(ALLOWED_ENDS):
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -20,7 +20,7 @@
 )
 from cloverway.serving.hosts.news import NewsExchange
 from cloverway.serving.hosts.peerwire import CODEC
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
 REGIONS = ("north", "south", "west")
 HOSTS = 30
@@ -49,13 +49,13 @@
         directory._index()
         catalogue = SimpleNamespace(read_at=0.0, table=SimpleNamespace(revision=1, digest=1))
         sync = SimpleNamespace(note=lambda peer, now: None)
-        figures = Figures()
+        metrics = Metrics()
         self.gossip = Gossip(
             self.members,
             directory,
             catalogue,
             sync,
-            figures,
+            metrics,
             news=NewsExchange(self.members, ()),
             seeds=(),
         )
--- a/cloverway/tests/test_fleet_parts.py
+++ b/cloverway/tests/test_fleet_parts.py
@@ -24,9 +24,15 @@
 from cloverway.platform.documents import decode_documents
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.events import EventSplitter
-from cloverway.serving.requests.waiting import FIRST_TRIED, NEXT_TRIED, Ask, Rank, WaitingLine
+from cloverway.serving.requests.waiting import (
+    MAX_HEAD_POLLED,
+    MAX_TAIL_POLLED,
+    QueueRank,
+    QueueTicket,
+    RequestQueue,
+)
 from cloverway.serving.settings import FleetSettings
-from cloverway.serving.telemetry import PENDING_BYTES, LineWriter
+from cloverway.serving.telemetry import MAX_PENDING_BYTES, LogLineHandler
 
 STREAM = b"".join(b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, 9))
 
@@ -58,14 +64,14 @@
     """Three requests wait for one place; the least urgent asks just when it gets free."""
 
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         places = []
         served = []
 
-        async def ask(name, priority, arrived_at):
+        async def ticket(name, priority, arrived_at):
             until = read_clock() + 2
             taken = await line.wait(
-                Ask(Rank(priority, arrived_at)),
+                QueueTicket(QueueRank(priority, arrived_at)),
                 lambda ahead_s: places.pop() if places else None,
                 until,
                 places.append,
@@ -73,9 +79,9 @@
             served.append((name, taken))
 
         tasks = [
-            asyncio.create_task(ask("old", 1, 1.0)),
-            asyncio.create_task(ask("urgent", 0, 3.0)),
-            asyncio.create_task(ask("young", 1, 2.0)),
+            asyncio.create_task(ticket("old", 1, 1.0)),
+            asyncio.create_task(ticket("urgent", 0, 3.0)),
+            asyncio.create_task(ticket("young", 1, 2.0)),
         ]
         await asyncio.sleep(0.05)
         for _ in range(3):
@@ -95,21 +101,21 @@
     """
 
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         places = []
         served = []
         start = read_clock()
 
-        async def ask(name, arrived_at, late_at):
-            ask = Ask(Rank(1, arrived_at), late_at=late_at)
+        async def ticket(name, arrived_at, latest_start_at):
+            ticket = QueueTicket(QueueRank(1, arrived_at), latest_start_at=latest_start_at)
             attempt = lambda ahead_s: places.pop() if places else None  # noqa: E731
-            await line.wait(ask, attempt, start + 2, places.append)
+            await line.wait(ticket, attempt, start + 2, places.append)
             served.append(name)
 
         tasks = [
-            asyncio.create_task(ask("late", 1.0, start - 1)),
-            asyncio.create_task(ask("in time", 2.0, start + 9)),
-            asyncio.create_task(ask("soon late", 1.5, start + 0.05)),
+            asyncio.create_task(ticket("late", 1.0, start - 1)),
+            asyncio.create_task(ticket("in time", 2.0, start + 9)),
+            asyncio.create_task(ticket("soon late", 1.5, start + 0.05)),
         ]
         await asyncio.sleep(0.1)
         for _ in range(3):
@@ -123,16 +129,21 @@
 
 def test_nobody_passes_those_who_wait_before():
     async def scenario():
-        line = WaitingLine()
-        first = Ask(Rank(1, 1.0), 0.2)
+        line = RequestQueue()
+        first = QueueTicket(QueueRank(1, 1.0), 0.2)
         wait = line.wait(first, lambda ahead_s: None, read_clock() + 0.2, lambda _: None)
         waiting = asyncio.create_task(wait)
         await asyncio.sleep(0.01)
         now = read_clock()
-        assert line.try_now(Ask(Rank(1, 2.0)), lambda ahead_s: "place", now) is None
-        assert line.try_now(Ask(Rank(0, 2.0)), lambda ahead_s: "place", now) == "place"
-        assert line.sum_ahead(Ask(Rank(1, 2.0)), now) == 0.2
-        assert line.sum_ahead(Ask(Rank(0, 2.0)), now) == 0.0
+        assert (
+            line.try_acquire(QueueTicket(QueueRank(1, 2.0)), lambda ahead_s: "place", now) is None
+        )
+        assert (
+            line.try_acquire(QueueTicket(QueueRank(0, 2.0)), lambda ahead_s: "place", now)
+            == "place"
+        )
+        assert line.sum_work_ahead(QueueTicket(QueueRank(1, 2.0)), now) == 0.2
+        assert line.sum_work_ahead(QueueTicket(QueueRank(0, 2.0)), now) == 0.0
         await waiting
 
     asyncio.run(scenario())
@@ -142,17 +153,17 @@
     """How long it will wait follows from it, and whether another region would have it sooner."""
 
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         seen = {}
 
-        async def ask(name, arrived_at, work_s):
+        async def ticket(name, arrived_at, work_s):
             def attempt(ahead_s):
                 seen[name] = ahead_s
 
-            ask = Ask(Rank(0, arrived_at), work_s)
-            await line.wait(ask, attempt, read_clock() + 0.1, lambda _: None)
+            ticket = QueueTicket(QueueRank(0, arrived_at), work_s)
+            await line.wait(ticket, attempt, read_clock() + 0.1, lambda _: None)
 
-        asks = [ask("first", 1.0, 0.2), ask("second", 2.0, 0.3), ask("third", 3.0, 0.1)]
+        asks = [ticket("first", 1.0, 0.2), ticket("second", 2.0, 0.3), ticket("third", 3.0, 0.1)]
         tasks = [asyncio.create_task(each) for each in asks]
         await asyncio.sleep(0.06)
         assert line.sum_work() == pytest.approx(0.6)
@@ -169,21 +180,21 @@
     """
 
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         tries = Counter()
 
         def make(name):
             return lambda ahead_s: tries.update([name])
 
-        asks = [Ask(Rank(1, float(number))) for number in range(100)]
+        asks = [QueueTicket(QueueRank(1, float(number))) for number in range(100)]
         until = read_clock() + 0.8
-        waits = [line.wait(ask, make(n), until, lambda _: None) for n, ask in enumerate(asks)]
+        waits = [line.wait(ticket, make(n), until, lambda _: None) for n, ticket in enumerate(asks)]
         tasks = [asyncio.create_task(wait) for wait in waits]
         await asyncio.sleep(0)
         now = read_clock()
         for _ in range(30):
             line._try_waiters(now)
-        assert sum(tries.values()) == 30 * (FIRST_TRIED + NEXT_TRIED)
+        assert sum(tries.values()) == 30 * (MAX_HEAD_POLLED + MAX_TAIL_POLLED)
         assert len(tries) == 100
         for task in tasks:
             task.cancel()
@@ -194,11 +205,11 @@
 
 def test_a_place_is_given_back_when_the_caller_has_left_meanwhile():
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         places = []
         task = asyncio.create_task(
             line.wait(
-                Ask(Rank(0, 0.0)),
+                QueueTicket(QueueRank(0, 0.0)),
                 lambda ahead_s: places.pop() if places else None,
                 read_clock() + 2,
                 places.append,
@@ -217,9 +228,12 @@
 
 def test_a_request_that_waited_in_vain_is_told_so():
     async def scenario():
-        line = WaitingLine()
+        line = RequestQueue()
         taken = await line.wait(
-            Ask(Rank(0, 0.0)), lambda ahead_s: None, read_clock() + 0.05, lambda _: None
+            QueueTicket(QueueRank(0, 0.0)),
+            lambda ahead_s: None,
+            read_clock() + 0.05,
+            lambda _: None,
         )
         assert taken is None
         assert len(line) == 0
@@ -315,14 +329,14 @@
     """Nobody reads the pipe of a process. A write that waited would stop all its requests."""
     read_end, write_end = os.pipe()
     try:
-        writer = LineWriter(write_end)
+        writer = LogLineHandler(write_end)
         writer.setFormatter(logging.Formatter("%(message)s"))
         for second in range(4_000):
             record = make_record("x" * 1_000)
             record.created = float(second)
             writer.emit(record)
         assert writer.dropped > 0
-        assert len(writer._pending) <= PENDING_BYTES + 2_000
+        assert len(writer._pending) <= MAX_PENDING_BYTES + 2_000
     finally:
         os.close(read_end)
         os.close(write_end)
@@ -331,7 +345,7 @@
 def test_the_log_is_bounded_in_a_second():
     read_end, write_end = os.pipe()
     try:
-        writer = LineWriter(write_end)
+        writer = LogLineHandler(write_end)
         writer.setFormatter(logging.Formatter("%(message)s"))
         for _ in range(2_000):
             record = make_record()
--- a/cloverway/tests/test_fleet_path.py
+++ b/cloverway/tests/test_fleet_path.py
@@ -149,7 +149,7 @@
             await wait_for(lambda: endpoint.requests)
             sending.connection.abort()
             await wait_for(lambda: endpoint.cancelled, 0.5)
-            assert fleet.hosts[0].callers.in_progress == 0
+            assert fleet.hosts[0].caller_server.in_progress == 0
 
     play(scenario)
 
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -94,10 +94,10 @@
             north = fleet.hosts[0]
             await wait_for(lambda: any("desk" in p.offers for p in north.members.peers.values()))
             (peer,) = (p for p in north.members.peers.values() if "desk" in p.offers)
-            targeting = north.context.targeting
-            targeting.withdraw_offer("south", "desk", peer.offers_at - 0.2)
+            target_selector = north.context.target_selector
+            target_selector.discard_offers("south", "desk", peer.offers_at - 0.2)
             assert "desk" in peer.offers
-            targeting.withdraw_offer("south", "desk", peer.offers_at)
+            target_selector.discard_offers("south", "desk", peer.offers_at)
             assert "desk" not in peer.offers
 
     play(scenario)
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -115,7 +115,7 @@
     await wait_for(lambda: host.directory.configuration.version == fleet.version)
     endpoint = fleet.endpoints["model-0"]
     endpoint.answer = endpoint.stream(1, 2)
-    host.context.targeting._started_at -= 10.0
+    host.context.target_selector._started_at -= 10.0
     return host.directory.endpoints["model-0"].load
 
 
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_welcome.py
@@ -8,8 +8,8 @@
 from cloverway.core.quarantine import Crash
 from cloverway.core.statements import Statement
 from cloverway.serving.clock import read_clock
-from cloverway.serving.context import MEETING_S
-from cloverway.serving.early import knock_early
+from cloverway.serving.context import PEER_SYNC_WAIT_S
+from cloverway.serving.early import open_control_socket
 from cloverway.serving.hosts.peerwire import CODEC, CrashReport, Heartbeat
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import take_ports
@@ -111,7 +111,7 @@
             new = await restart(fleet, old)
             began_at = read_clock()
             assert (await fleet.call("/safe/a", new)).status == 200
-            assert read_clock() - began_at < MEETING_S + 0.3
+            assert read_clock() - began_at < PEER_SYNC_WAIT_S + 0.3
             await wait_for(lambda: new.members.own.ready, 1.0)
 
     play(scenario)
@@ -128,7 +128,7 @@
             own = f"127.0.0.1:{take_ports(1)[0]}"
             seed = host.settings.listen.control
             settings.write_text(f'[listen]\ncontrol = "{own}"\n[peers]\nseeds = ["{seed}"]\n')
-            early = knock_early(str(settings))
+            early = open_control_socket(str(settings))
             await asyncio.sleep(0.1)
             heard = []
             while True:
--- a/cloverway/tests/test_lives.py
+++ b/cloverway/tests/test_lives.py
@@ -59,7 +59,7 @@
         async with run_engine() as (_, engine, host):
             known = note_end(host)
             engine.crash()
-            assert not await host.context.lives.may_send(known, DIGEST)
+            assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.is_down(read_clock())
             assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
 
@@ -68,13 +68,13 @@
 
 def test_an_engine_that_says_nothing_is_not_sent_it(monkeypatch):
     """Its power was lost, or its link is cut: the question is given up soon."""
-    monkeypatch.setattr(lives, "ASK_S", 0.05)
+    monkeypatch.setattr(lives, "QUERY_TIMEOUT_S", 0.05)
 
     async def scenario():
         async with run_engine() as (_, engine, host):
             known = note_end(host)
             engine.tell_state = engine.answer_never
-            assert not await host.context.lives.may_send(known, DIGEST)
+            assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.load.failures(read_clock()) > 0
 
     play(scenario)
@@ -92,11 +92,13 @@
             await wait_for(lambda: host.directory.configuration.version == fleet.version)
             known = note_end(host)
             engine.born = 5
-            assert not await host.context.lives.may_send(known, DIGEST)
+            assert not await host.context.incarnations.may_send(known, DIGEST)
             reborn = host.directory.endpoints["engine"]
             assert reborn.entry.born_ms == 5
             assert reborn.is_cold(read_clock() + 15.0)
-            assert await host.context.lives.may_send(reborn, DIGEST), "nothing ended there yet"
+            assert await host.context.incarnations.may_send(
+                reborn, DIGEST
+            ), "nothing ended there yet"
             assert engine.questions == 1
 
     play(scenario)
@@ -114,7 +116,7 @@
         async with run_engine(told) as (_, engine, host):
             known = note_end(host)
             engine.born = said
-            assert await host.context.lives.may_send(known, DIGEST)
+            assert await host.context.incarnations.may_send(known, DIGEST)
             assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
             assert engine.questions == questions
 
@@ -130,7 +132,7 @@
                 await exchange.answer(421, [], b"")
 
             engine.tell_state = misdirect
-            assert not await host.context.lives.may_send(known, DIGEST)
+            assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.is_leaving(read_clock())
 
     play(scenario)
@@ -144,7 +146,7 @@
             for digest in range(60):
                 known = note_end(host, digest)
             asks = [
-                asyncio.create_task(host.context.lives.may_send(known, digest))
+                asyncio.create_task(host.context.incarnations.may_send(known, digest))
                 for digest in range(60)
             ]
             await asyncio.sleep(0)
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -11,7 +11,7 @@
 from cloverway.serving.hosts.peerwire import CODEC
 from cloverway.serving.hosts.statements import ENDED_S, MOST_TOLD, StatementExchange
 from cloverway.serving.ports import ReplyFacts
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
 LIFE, OTHER = "engine-1@7", "engine-2@7"
 
@@ -31,7 +31,7 @@
             self.members.hear(make_member(other, "south"), 0.0, True, 0.0)
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
-        self.exchange = StatementExchange(name, self.directory, Figures())
+        self.exchange = StatementExchange(name, self.directory, Metrics())
         self.news = NewsExchange(self.members, [self.exchange])
         self.news.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
         self.sent = []
@@ -42,8 +42,10 @@
             entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, born_ms=int(born_ms))
             self.directory.apply([EndpointPublished(name, entry)], 0.0)
 
-    def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, sealed=True):
-        facts = ReplyFacts(not_run=False, sealed=sealed, limit_per_s=limit_per_s, leaving=leaving)
+    def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, is_signed=True):
+        facts = ReplyFacts(
+            not_run=False, is_signed=is_signed, limit_per_s=limit_per_s, leaving=leaving
+        )
         self.exchange.note_answer(life, facts, request_id="r", sent_at=now - 1, now=now)
 
     def take_sent(self):
@@ -93,7 +95,7 @@
         here = Side("a")
         here.answer(1.0, 100.0)
         here.answer(None, 100.5)
-        here.answer(None, 103.0, sealed=False)
+        here.answer(None, 103.0, is_signed=False)
         assert here.statements.get(LIFE).limit_per_s == 1.0
         here.answer(None, 101.5)
         assert here.statements.get(LIFE).limit_per_s is None
