--- a/cloverway/platform/__main__.py
+++ b/cloverway/platform/__main__.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from cloverway.serving.early import EarlySockets
+from cloverway.serving.early_sockets import EarlySockets
 
 SETTINGS_VARIABLE = "CLOVERWAY_BOOT"
 """Holds the path of the settings, which the platform fills in from deploy/settings.toml."""
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -18,8 +18,8 @@
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Pool
 from cloverway.serving.ports import Dialect
-from cloverway.serving.requests.lives import IncarnationCheck
-from cloverway.serving.requests.targeting import TargetSelector
+from cloverway.serving.requests.incarnations import IncarnationCheck
+from cloverway.serving.requests.target_selector import TargetSelector
 from cloverway.serving.settings import FleetSettings
 from cloverway.serving.telemetry import Metrics
 
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -23,7 +23,7 @@
 from cloverway.serving.context import PEER_SYNC_WAIT_S, Context
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync, answer_fetch
-from cloverway.serving.early import EarlySockets
+from cloverway.serving.early_sockets import EarlySockets
 from cloverway.serving.hosts.gossip import Gossip
 from cloverway.serving.http.server import REASONS, Exchange, Server, ServerTerms
 from cloverway.serving.ports import Dialect, Store
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -16,7 +16,7 @@
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync
-from cloverway.serving.early import SYNC_REQUEST
+from cloverway.serving.early_sockets import SYNC_REQUEST
 from cloverway.serving.hosts.news import NewsExchange
 from cloverway.serving.hosts.offers import list_offers, read_offer
 from cloverway.serving.hosts.peerwire import (
--- a/cloverway/serving/http/transport.py
+++ b/cloverway/serving/http/transport.py
@@ -9,7 +9,7 @@
 
 from cloverway.addresses import format_address, split_address
 from cloverway.serving.clock import read_clock
-from cloverway.serving.early import LISTEN_BACKLOG
+from cloverway.serving.early_sockets import LISTEN_BACKLOG
 
 READ_AHEAD_BYTES = 128 * 1024
 """Bytes that are received before they are asked for; then the sender is made to wait."""
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -24,7 +24,7 @@
 )
 from cloverway.serving.ports import ReplyFacts, SendOptions
 from cloverway.serving.requests.placement import MIN_SEND_TIME_S
-from cloverway.serving.requests.targeting import Target
+from cloverway.serving.requests.target_selector import Target
 
 CONNECT_TIMEOUT_S = 0.4
 """Time to open a connection within the region: a lost opening packet is sent again only after a
--- a/cloverway/serving/requests/suspicion.py
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -9,7 +9,7 @@
 from cloverway.serving.context import Context
 from cloverway.serving.requests.attempt import Answered, Broken
 from cloverway.serving.requests.streaming import Timing
-from cloverway.serving.requests.targeting import Target
+from cloverway.serving.requests.target_selector import Target
 
 
 class CrashTracker:
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/execution.py
@@ -30,10 +30,10 @@
     Outcome,
     get_idle_timeout_s,
 )
+from cloverway.serving.requests.crash_tracker import CrashTracker
 from cloverway.serving.requests.placement import Placement
 from cloverway.serving.requests.streaming import EventRelay, list_end_to_end_headers
-from cloverway.serving.requests.suspicion import CrashTracker
-from cloverway.serving.requests.targeting import Target
+from cloverway.serving.requests.target_selector import Target
 from cloverway.serving.telemetry import format_digest, log_event
 
 FIRST_BYTE_TIMEOUT_OBJECTIVES = 2.5
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -16,7 +16,7 @@
     RAN_HEADER,
     decode_passed_on,
 )
-from cloverway.serving.requests.course import RequestExecution
+from cloverway.serving.requests.execution import RequestExecution
 from cloverway.serving.telemetry import format_digest, log_event
 
 
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -8,8 +8,8 @@
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
-from cloverway.serving.requests.targeting import Target
-from cloverway.serving.requests.waiting import QueueRank, QueueTicket
+from cloverway.serving.requests.request_queue import QueueRank, QueueTicket
+from cloverway.serving.requests.target_selector import Target
 
 MIN_SEND_TIME_S = 0.05
 """A request with less time left isn't sent: its answer could not come back in time."""
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -10,7 +10,7 @@
 from cloverway.serving.http.events import EventSplitter
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import Answered, limit_idle_time
-from cloverway.serving.requests.targeting import Target
+from cloverway.serving.requests.target_selector import Target
 
 GAP_TIMEOUT_OBJECTIVES = 4.0
 """Silence between two events, in wanted pauses, after which a stream goes on elsewhere where it
--- a/cloverway/serving/requests/targeting.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -33,8 +33,8 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.suspects import SuspectWatch
 from cloverway.serving.http.client import Place
-from cloverway.serving.requests.shares import LimitShares
-from cloverway.serving.requests.waiting import RequestQueue
+from cloverway.serving.requests.limit_shares import LimitShares
+from cloverway.serving.requests.request_queue import RequestQueue
 from cloverway.serving.settings import FleetSettings
 from cloverway.serving.telemetry import log_event
 
--- a/cloverway/tests/test_early.py
+++ b/cloverway/tests/test_early_sockets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverway.serving.early import EarlySockets, open_caller_socket
+from cloverway.serving.early_sockets import EarlySockets, open_caller_socket
 from cloverway.serving.http.server import Server, ServerTerms
 from cloverway.tests.fleet.standins import CallerLimits, take_ports
 
--- a/cloverway/tests/test_fleet_parts.py
+++ b/cloverway/tests/test_fleet_parts.py
@@ -24,7 +24,7 @@
 from cloverway.platform.documents import decode_documents
 from cloverway.serving.clock import read_clock
 from cloverway.serving.http.events import EventSplitter
-from cloverway.serving.requests.waiting import (
+from cloverway.serving.requests.request_queue import (
     MAX_HEAD_POLLED,
     MAX_TAIL_POLLED,
     QueueRank,
--- a/cloverway/tests/test_fleet_welcome.py
+++ b/cloverway/tests/test_fleet_welcome.py
@@ -9,7 +9,7 @@
 from cloverway.core.statements import Statement
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import PEER_SYNC_WAIT_S
-from cloverway.serving.early import open_control_socket
+from cloverway.serving.early_sockets import open_control_socket
 from cloverway.serving.hosts.peerwire import CODEC, CrashReport, Heartbeat
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import take_ports
--- a/cloverway/tests/test_lives.py
+++ b/cloverway/tests/test_incarnations.py
@@ -9,7 +9,7 @@
 
 from cloverway.core.quarantine import Crash
 from cloverway.serving.clock import read_clock
-from cloverway.serving.requests import lives
+from cloverway.serving.requests import incarnations
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
@@ -68,7 +68,7 @@
 
 def test_an_engine_that_says_nothing_is_not_sent_it(monkeypatch):
     """Its power was lost, or its link is cut: the question is given up soon."""
-    monkeypatch.setattr(lives, "QUERY_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(incarnations, "QUERY_TIMEOUT_S", 0.05)
 
     async def scenario():
         async with run_engine() as (_, engine, host):
