--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -141,7 +141,7 @@
     Closed as idle, the connection would be reset by the bytes that come, and the caller couldn't
     know that nothing ran. Its request is read and refused as not run.
     """
-    monkeypatch.setattr("cloverway.serving.host.NOTICE_S", 0.0)
+    monkeypatch.setattr("cloverway.serving.host.LEAVE_NOTICE_S", 0.0)
 
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
