--- a/cloverway/serving/__init__.py
+++ b/cloverway/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks on one event loop, each with its own sockets and state, that carry out decisions."""
+"""The asyncio tasks of a host: they do the I/O and apply the decisions made in core."""
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -1,4 +1,4 @@
-"""What all requests of one host share: beliefs, places, connections, budgets and figures."""
+"""State shared by all requests of a host: directory, members, connections, budgets and metrics."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from cloverway.serving.telemetry import Metrics
 
 CONFIGURATION_WAIT_S = 0.6
-"""Age of a host up to which it lets requests wait for its first configuration: the store answers a
-host that is far within 0.35 s. A caller that is refused comes back later, and has one try less."""
+"""Age of a host up to which requests wait for its first configuration: the store answers a host in
+a remote region within 0.35 s. A refused caller would come back later and have one attempt less."""
 PEER_SYNC_WAIT_S = 0.1
-"""Age of a host up to which it lets requests wait until another host has told it what it knows. It
-has knocked at the others before it was loaded, so that even a far one has answered by now. What
-has just started would otherwise send a request on that all others refuse. With nobody there it
-serves all the same: when all hosts start at once, nobody knows anything."""
+"""Age of a host up to which requests wait until another host has sent its state. The state was
+requested before this host was loaded, so that even a remote host has answered by now. Without it a
+host that just started would send on a request that all others refuse. If no other host answers, it
+serves anyway: when all hosts start at once, none has a state to send."""
 
 
 class Context:
-    """The parts of a host that the course of a request works with."""
+    """The parts of a host that are used to handle a request."""
 
     def __init__(
         self,
@@ -66,27 +66,27 @@
         self._has_seeds = any(seed != own_name for seed in settings.peers.seeds)
 
     def get_budget(self, service: str) -> RetryBudget:
-        """Give this host's share of the retry budget of a service."""
+        """Return this host's share of the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RetryBudget(self.settings.retries)
         return budget
 
     def note_configured(self) -> None:
-        """Note that a configuration is in force."""
+        """Record that a configuration is in force."""
         self._configured.set()
 
     def note_synced(self) -> None:
-        """Note that another host has told this one what it knows."""
+        """Record that another host has sent its state."""
         self._synced.set()
 
     def is_synced(self, now: float) -> bool:
-        """Tell whether the host knows what the others know, as far as there are any."""
+        """Return whether the host has the state of another one or no longer waits for it."""
         is_old = now >= self._started_at + PEER_SYNC_WAIT_S
         return self._synced.is_set() or is_old or not self._has_seeds
 
     async def wait_for_start(self) -> None:
-        """Wait for the first configuration and for the word of another host, each for its time."""
+        """Wait for the first configuration and the state of another host, up to their timeouts."""
         await self._wait(self._configured, CONFIGURATION_WAIT_S)
         if self._has_seeds:
             await self._wait(self._synced, PEER_SYNC_WAIT_S)
@@ -99,7 +99,7 @@
                     await event.wait()
 
     def get_configuration(self) -> Configuration:
-        """Give the configuration in force; a route was found in it."""
+        """Return the configuration in force; call this only after a route was found in it."""
         configuration = self.directory.configuration
         assert configuration is not None
         return configuration
--- a/cloverway/serving/early_sockets.py
+++ b/cloverway/serving/early_sockets.py
@@ -1,11 +1,11 @@
-"""Listens for callers, and knocks at other hosts, before the rest of a host is loaded.
+"""Opens the caller socket and requests the state of other hosts before a host is loaded.
 
-A host takes 0.4 s of a core to load its libraries. For as long its callers were turned away by its
-machine, and after a restart of all hosts they had no other one to go to: what came in that time was
-late or lost. Connections that wait in the queue of the socket are served as soon as the host runs.
-What the other hosts know it hears meanwhile, so that it need not wait for their word then.
+A host takes 0.4 s of a core to import its libraries. Without a listening socket, connections are
+refused in that time, and after a restart of all hosts callers have no other host to use: their
+requests are late or lost. Connections in the backlog are served as soon as the host runs. The other
+hosts send their state meanwhile, so that the host needn't wait for it later.
 
-This module is loaded first and imports only what takes no time.
+This module is imported first and imports only modules that load quickly.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from typing import Any, NamedTuple
 
 SYNC_REQUEST = b"?"
-"""Asks another host for all that it knows; its answers wait in the socket until this one is
-loaded."""
+"""Datagram that requests the state of another host. The answers stay in the receive buffer of the
+socket until this host is loaded."""
 LISTEN_BACKLOG = 512
-"""Connections that wait to be accepted; the kernel's own bound is commonly higher."""
+"""Maximum number of connections waiting to be accepted; the kernel's limit is usually higher."""
 
 
 class EarlySockets(NamedTuple):
-    """Sockets of a host that isn't loaded yet; None for what could not be opened.
+    """Sockets of a host that isn't loaded yet; None for a socket that could not be opened.
 
-    Whatever is wrong with the settings or an address is told when the host itself starts.
+    Errors in the settings or an address are reported when the host itself starts.
     """
 
     callers: socket.socket | None = None
-    """Listens at the callers' address."""
+    """Listens on the address for callers."""
     control: socket.socket | None = None
-    """Hears other hosts."""
+    """Receives datagrams of other hosts."""
 
     @classmethod
     def from_settings(cls, path: str) -> EarlySockets:
@@ -39,7 +39,7 @@
 
 
 def open_caller_socket(path: str) -> socket.socket | None:
-    """Listen at the callers' address of a settings file; give None where that can't be done."""
+    """Listen on the callers' address of a settings file; return None if that fails."""
     try:
         host, _, port = _read(path)["listen"]["callers"].rpartition(":")
         return _listen(host, int(port))
@@ -48,9 +48,9 @@
 
 
 def open_control_socket(path: str) -> socket.socket | None:
-    """Bind the address for other hosts, and knock at the seeds; give None where that can't be done.
+    """Bind the control address and send SYNC_REQUEST to the seeds; return None if that fails.
 
-    A seed that can't be reached is left to the host itself.
+    The host itself contacts the seeds again, so one that is unreachable now is not an error.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -1,4 +1,4 @@
-"""One host of the fleet: all its tasks on one event loop, started, drained and ended together."""
+"""One host of the fleet: its tasks on one event loop, started, drained and stopped together."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 
 TICK_INTERVAL_S = 0.4
 SETTINGS_POLL_INTERVAL_S = 1.0
-"""How often the settings file is looked at: it may change without a signal."""
+"""Interval at which the settings file is read, since it may change without a signal."""
 LEAVE_NOTICE_S = 2.8
-"""How long a leaving host takes requests as usual: callers keep the answer which hosts to use for
-two seconds, and other hosts hear of the leaving at once."""
+"""How long a leaving host still accepts requests: callers cache lookups for two seconds, and other
+hosts are notified at once."""
 MIN_LEAVE_S = 2.8
-"""A leaving host stays at least this long, so that callers with an old answer find it there. It
-does not stay longer without need: in a series of restarts its successor would leave before it is
-back, and a small region would have no host at all."""
+"""Minimum time that a leaving host keeps running, for callers with a cached lookup. It doesn't keep
+running longer than needed: in a rolling restart the next host would leave before this one is back,
+and a small region would be without a host."""
 KILL_MARGIN_S = 0.8
-"""A leaving host ends itself this long before it would be killed."""
+"""A leaving host stops this long before it would be killed."""
 METRICS_PATH = "/metrics"
 TEXT = (b"Content-Type", b"text/plain; version=0.0.4")
 JSON = (b"Content-Type", b"application/json")
 
 CLOCK_MARGIN_S = 0.01
-"""Between two readings of the clock, whose timers may be early by a millisecond."""
+"""Margin for timers, which may fire early by a millisecond."""
 
 NO_EARLY_SOCKETS = EarlySockets()
 
@@ -58,7 +58,7 @@
 
 
 class Host:
-    """The tasks of one host."""
+    """The tasks and servers of one host."""
 
     def __init__(
         self, settings: FleetSettings, store: Store, dialect: Dialect, writer: LogLineHandler
@@ -109,7 +109,7 @@
     async def start(self, early: EarlySockets = NO_EARLY_SOCKETS) -> None:
         """Bind all addresses and start all tasks; raise OSError when one can't be bound.
 
-        `early` holds sockets that are open already.
+        `early` holds sockets that were opened before the host was loaded.
         """
         listen = self.settings.listen
         await self.gossip.start(listen.control, early.control)
@@ -132,7 +132,7 @@
         asyncio.get_running_loop().call_later(PEER_SYNC_WAIT_S + CLOCK_MARGIN_S, self._update_ready)
 
     async def leave(self) -> None:
-        """Lead callers and other hosts away, and wait for the requests in progress."""
+        """Announce that this host leaves, and wait for the requests in progress."""
         now = read_clock()
         self.leaving_at = now
         self.members.begin_leaving(now)
@@ -244,7 +244,7 @@
         await exchange.answer(200, [TEXT], metrics)
 
     def _format_refusal(self, exchange: Exchange | None, error: RequestError) -> bytes:
-        """Give the whole answer to a request that could not be read."""
+        """Return the complete response to a request that could not be parsed."""
         status, headers, body = self.dialect.encode_refusal(error, "")
         log_event(
             "refused", kind=str(error.kind), ran=str(error.ran), status=status, why=error.detail
@@ -256,23 +256,23 @@
 
 
 async def _run_with_restarts(run: Callable[[], Awaitable[None]]) -> None:
-    """Run a task for ever, and again after a fault of ours.
+    """Run a task forever, and restart it after an unexpected exception.
 
-    A host whose heartbeats or reads of the store ended with a fault would go on with what it
-    believed then, and nothing that callers see would say so.
+    If the task that sends heartbeats or reads the store stopped, the host would continue with an
+    outdated state, without a visible sign for callers.
     """
     while True:
         try:
             await run()
         except Exception:
-            log.exception("a task failed and is started again")
+            log.exception("a task failed and is restarted")
             await asyncio.sleep(TICK_INTERVAL_S)
 
 
 def _describe_own(settings: FleetSettings) -> Member:
     ip, _ = split_address(settings.listen.control)
     inner = f"{ip}:{settings.listen.inner_ports[0]}"
-    # The time of day only has to grow between two starts at one address.
+    # The wall clock only has to increase between two starts at the same address.
     incarnation = time.time_ns() // 1000
     return Member(
         name=settings.listen.control,
@@ -303,7 +303,7 @@
 async def _watch_settings(
     path: Path, settings: FleetSettings, host: Host, reload: asyncio.Event
 ) -> None:
-    """Take over changed settings, on the signal to reload or when the file has changed."""
+    """Apply changed settings, on SIGHUP or when the file has changed."""
     seen = path.read_bytes()
     while True:
         try:
@@ -329,14 +329,14 @@
 def run_host(
     path: Path, make_store: StoreFactory, dialect: Dialect, early: EarlySockets = NO_EARLY_SOCKETS
 ) -> None:
-    """Run one host until it is told to stop; raise ConfigurationError.
+    """Run one host until SIGTERM or SIGINT; raise ConfigurationError.
 
-    `early` holds sockets that are open already.
+    `early` holds sockets that were opened before the host was loaded.
     """
     settings = FleetSettings.from_toml(path)
     incarnation = secrets.token_hex(4)
     writer = configure_logging(settings.host, incarnation, settings.log_level)
-    # What was imported lives as long as the process: the collector need not look at it again.
+    # Imported modules are never freed, so the garbage collector needn't scan them again.
     gc.collect()
     gc.freeze()
 
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -1,4 +1,4 @@
-"""What the tasks need of the platform: a reader of published documents, and a dialect of HTTP."""
+"""Interfaces to the platform: a reader of published documents, and the dialect of HTTP."""
 
 from __future__ import annotations
 
@@ -13,65 +13,65 @@
 
 
 class StoreBusyError(PlatformError):
-    """The store turned a read away because there were too many."""
+    """The store refused a read because of too many reads."""
 
 
 class HistoryGoneError(PlatformError):
-    """The store no longer has the changes after a revision; read everything again."""
+    """The store no longer has the changes since a revision; read all documents again."""
 
 
 class Store(Protocol):
-    """Reads the platform's store; both calls raise PlatformError when it can't be read."""
+    """Reads the platform's store; both methods raise PlatformError when it can't be read."""
 
     async def read_all(self) -> Snapshot:
-        """Give all documents."""
+        """Return all documents."""
         ...
 
     async def watch(self, after: int, wait_s: float) -> Snapshot:
-        """Give what changed after a revision; wait up to some seconds until there is something."""
+        """Return the changes after a revision; wait up to `wait_s` seconds for the first one."""
         ...
 
 
 class ReplyFacts(NamedTuple):
-    """What the head of an endpoint's answer says beside its status."""
+    """What the head of an endpoint's response states besides its status."""
 
     not_run: bool
-    """Whether the endpoint says that it did not run the request, and never will."""
+    """Whether the endpoint states that it did not run the request and never will."""
     is_signed: bool
-    """Whether the endpoint's signature is there: without it the bytes are not the endpoint's."""
+    """Whether the endpoint's signature is present; without it, the bytes are not the endpoint's."""
     is_misdirected: bool = False
-    """Whether it came from another endpoint than the one that was meant."""
+    """Whether the response came from another endpoint than the addressed one."""
     limit_per_s: float | None = None
-    """Requests a second that the endpoint takes from all hosts together; None for no limit."""
+    """Requests a second that the endpoint accepts from all hosts together; None for no limit."""
     leaving: bool = False
-    """Whether the endpoint says that it leaves."""
+    """Whether the endpoint states that it is leaving."""
     pause_s: float | None = None
-    """How long the endpoint wants nothing from this host; None where it doesn't say."""
+    """For how many seconds this host must not send to the endpoint; None if not stated."""
 
 
 class SendOptions(NamedTuple):
-    """What the system sets itself on a request that it sends to an endpoint."""
+    """What a host adds to a request that it sends to an endpoint."""
 
     endpoint_id: str
     left_s: float
-    """Time that the endpoint has."""
+    """Time left for the endpoint, in seconds."""
     priority: int
     last_event_id: str = ""
     fetch_from: str = ""
-    """The address of an endpoint that has read parts of the prompt already."""
+    """The address of an endpoint that has segments of the prompt in its KV cache."""
 
 
 class IncarnationFacts(NamedTuple):
-    """What an endpoint that was asked for it says of itself."""
+    """The answer of an endpoint that was queried for its incarnation."""
 
     is_misdirected: bool
     """Whether another endpoint answered."""
     born_ms: int | None
-    """Unix time of its start; None where it doesn't say."""
+    """Unix time of its start; None if not stated."""
 
 
 class Lookup(NamedTuple):
-    """A caller's question which hosts to use."""
+    """A caller's query for the hosts to use."""
 
     host: str
     domain: str
@@ -79,10 +79,10 @@
 
 
 class Dialect(Protocol):
-    """Names and formats between callers, hosts and endpoints."""
+    """Names and formats of the protocol between callers, hosts and endpoints."""
 
     def decode_documents(self, documents: Iterable[Document]) -> list[Publication]:
-        """Decode published documents; what can't be read is told as that."""
+        """Decode published documents; malformed ones are returned marked as such."""
         ...
 
     def decode_call(self, exchange: Exchange) -> Call:
@@ -90,41 +90,41 @@
         ...
 
     def decode_lookup(self, exchange: Exchange) -> Lookup | None:
-        """Decode a question which hosts to use; None when it is something else."""
+        """Decode a query for the hosts to use; return None for any other request."""
         ...
 
     def is_readiness(self, exchange: Exchange) -> bool:
-        """Tell whether a request asks if this host is ready."""
+        """Return whether a request is the readiness check."""
         ...
 
     def encode_lookup(self, addresses: Sequence[str], ttl_s: float) -> bytes:
-        """Give the body of the answer to a lookup."""
+        """Return the body of the response to a lookup."""
         ...
 
     def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
-        """Give the headers of a request to an endpoint."""
+        """Return the headers of a request to an endpoint."""
         ...
 
     def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
-        """Give the headers of a request that another host is to run, in the callers' form."""
+        """Return the headers of a request that is passed on to a host, in the callers' format."""
         ...
 
     def is_answer_to(self, head: ReplyHead, call: Call) -> bool:
-        """Tell whether an answer belongs to a request."""
+        """Return whether a response belongs to a request."""
         ...
 
     def decode_reply(self, head: ReplyHead) -> ReplyFacts:
-        """Decode the head of an endpoint's answer."""
+        """Decode the head of an endpoint's response."""
         ...
 
     def encode_incarnation_query(self, endpoint_id: str) -> tuple[str, list[Header]]:
-        """Give target and headers of the GET that asks an endpoint when it started."""
+        """Return target and headers of the GET that queries an endpoint for its start time."""
         ...
 
     def decode_incarnation(self, head: ReplyHead, body: bytes) -> IncarnationFacts:
-        """Decode the answer to it."""
+        """Decode the response to an incarnation query."""
         ...
 
     def encode_refusal(self, error: RequestError, call_id: str) -> tuple[int, list[Header], bytes]:
-        """Give status, headers and body of the answer to a request that failed here."""
+        """Return status, headers and body of the response to a request that failed at this host."""
         ...
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -124,7 +124,7 @@
         service = configuration.services.get(name)
         if service is None or name not in allowed:
             raise RequestError(
-                Kind.STARTING, f"the service {name!r} is not in the configuration of this host"
+                Kind.STARTING, "the service is not in the configuration of this host"
             )
         return service
 
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -22,33 +22,33 @@
 
 
 class Listen(NamedTuple):
-    """Where the host listens, by IP number."""
+    """The addresses that the host listens on, by IP number."""
 
     callers: Address
     readiness: Address
     lookup: Address
-    """Where callers ask which hosts to use."""
+    """Serves lookups: callers ask here which hosts to use."""
     control: Address
-    """Where other hosts first reach this one, by UDP."""
+    """UDP address for other hosts, used for the first contact."""
     inner_ports: tuple[Port, Port]
-    """The first and the last port that is free for traffic between hosts."""
+    """First and last port of the range for traffic between hosts."""
     metrics_port: Port = 9464
-    """Where operators read the figures, at /metrics."""
+    """Serves the metrics, at /metrics."""
 
 
 class Peers(NamedTuple):
-    """How hosts find each other."""
+    """Discovery of other hosts."""
 
     seeds: tuple[Address, ...] = ()
-    """The control addresses of a few hosts, which may be stale."""
+    """Control addresses of a few hosts; they may be outdated."""
 
 
 class StoreSettings(NamedTuple):
-    """The store with what operators and endpoints publish."""
+    """The store of documents that operators and endpoints publish."""
 
     address: Address
     reads_per_s: Annotated[float, Meta(gt=0)] = 2000.0
-    """Reads a second that the store serves, to all hosts together."""
+    """Reads a second that the store serves to all hosts together."""
 
 
 class FleetSettings(NamedTuple):
@@ -67,9 +67,9 @@
     machine: Machine = Machine()
     quarantine: QuarantineTerms = QuarantineTerms()
     grace_s: Seconds = 8.0
-    """Time from the signal to stop until the process is killed."""
+    """Time from SIGTERM until the process is killed."""
     lookup_ttl_s: Seconds = 2.0
-    """How long callers keep the answer which hosts to use."""
+    """How long callers cache the response to a lookup."""
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
     @classmethod
@@ -83,7 +83,7 @@
         if settings is not None:
             for name, value in settings.machine._asdict().items():
                 if not value > 0:
-                    findings.add(f"machine.{name}", f"{value:g} must be over 0")
+                    findings.add(f"machine.{name}", f"{value:g} must be greater than 0")
         if settings is not None:
             for name, why in settings.quarantine.find_faults():
                 findings.add(f"quarantine.{name}", why)
@@ -93,5 +93,5 @@
 
     @property
     def topology(self) -> Topology:
-        """Where the host is."""
+        """The failure domain and region of the host."""
         return Topology(self.domain, self.region, self.regions)
--- a/cloverway/serving/telemetry.py
+++ b/cloverway/serving/telemetry.py
@@ -1,4 +1,4 @@
-"""Log lines and figures of one host: a JSON line for each decision, never waiting for a reader."""
+"""Logs and metrics of a host: one JSON line for each decision, written without blocking."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 log = logging.getLogger(__name__)
 
 MAX_LINES_PER_S = 500
-"""Lines that are written in a second; more are counted and dropped. A host serves about 30
-requests a second at its peak, with three lines each: this is five times that."""
+"""Maximum number of lines written in a second; further lines are counted and dropped. A host serves
+about 30 requests a second at its peak, with three lines each; this is five times that."""
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes that wait for a reader of the log that is slow; further lines are dropped."""
+"""Maximum number of bytes buffered for a slow reader of the log; further lines are dropped."""
 TIME_BUCKETS_S = (0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0)
-"""Upper bounds of the buckets of times, in seconds."""
+"""Upper bounds of the histogram buckets for times, in seconds."""
 
 
 class LogLineHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting; counts what it has to drop."""
+    """Writes lines to a file descriptor without blocking, and counts the lines it drops."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
@@ -37,7 +37,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or drop it when there are too many or nobody reads."""
+        """Write a line, or drop it when there are too many or the reader is behind."""
         second = int(record.created)
         if second != self._second:
             self._second, self._lines = second, 0
@@ -50,17 +50,17 @@
             written = os.write(self._descriptor, self._pending)
             self._pending = self._pending[written:]
         except BlockingIOError:
-            # The reader is behind: the lines wait, and PENDING_BYTES bounds them.
+            # The reader is behind. The lines stay buffered, up to MAX_PENDING_BYTES.
             return
         except (OSError, ValueError):
-            # There is nobody to tell: the log itself can't be written.
+            # This can't be logged, since the log itself can't be written.
             self.dropped += 1
 
 
 def configure_logging(
     host: str, incarnation: str, level: str, descriptor: int = 1
 ) -> LogLineHandler:
-    """Log to a descriptor as JSON lines; give the handler, which counts what it drops."""
+    """Log JSON lines to a file descriptor; return the handler, which counts dropped lines."""
     writer = LogLineHandler(descriptor)
     writer.setFormatter(make_formatter(host, incarnation))
     root = logging.getLogger()
@@ -110,7 +110,7 @@
     def note_request(
         self, route: str, kind: Kind | None, first_s: float | None, total_s: float, gap_s: float
     ) -> None:
-        """Count a request that has ended."""
+        """Count a request that has ended, and observe its times."""
         self._requests.inc({"route": route, "outcome": str(kind or "ok")})
         self._total.observe({"route": route}, total_s)
         if first_s is not None:
@@ -123,7 +123,7 @@
         self._attempts.inc({"service": service, "outcome": outcome})
 
     def note_connect(self, address: str) -> None:
-        """Count a new connection; by no address, since those of endpoints are ever new."""
+        """Count a new connection; not by address, since addresses of endpoints keep changing."""
         self._connects.inc({})
 
     def note_read(self, outcome: str) -> None:
@@ -131,14 +131,14 @@
         self._reads.inc({"outcome": outcome})
 
     def note_event(self, what: str) -> None:
-        """Count a change of belief."""
+        """Count a change in what this host knows of others."""
         self._events.inc({"what": what})
 
     def render(self, dropped: int, quarantined: int, limited: int) -> bytes:
-        """Give all figures as text.
+        """Return all metrics as text.
 
-        With the lines dropped, the requests that are refused and the endpoints that name a limit
-        just now.
+        The arguments are the current values of the gauges: dropped log lines, quarantined requests
+        and endpoints that set a limit.
         """
         self._dropped.set({}, dropped)
         self._quarantined.set({}, quarantined)
@@ -152,17 +152,17 @@
     def _make_histogram(
         self, name: str, what: str, bounds: Sequence[float] = TIME_BUCKETS_S
     ) -> aioprometheus.Histogram:
-        # Without a registry of our own it would go into the library's global one.
+        # Without an explicit registry it would be added to the library's global one.
         return aioprometheus.Histogram(
             f"cloverway_{name}", what, registry=self._registry, buckets=list(bounds)
         )
 
 
 def log_event(event: str, /, level: int = logging.INFO, **inputs: Any) -> None:
-    """Log a decision or a change of belief with its inputs."""
+    """Log a decision or a change of state with its inputs."""
     log.log(level, event, extra=inputs)
 
 
 def format_digest(call: Call) -> str:
-    """Give the digest of a request as the log has it: repeats of a request share it."""
+    """Return the digest of a request in the form used in logs; repeats of a request share it."""
     return f"{call.compute_digest():016x}"
