--- a/cloverway/tests/test_clock.py
+++ b/cloverway/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The ticks at which the tasks of a host wake up together."""
+"""Ticks that make the periodic tasks of a host wake up together."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("period_s", [0.2, 0.4, 1.0])
 @pytest.mark.parametrize("passed_s", [0.0, 0.03, 0.19, 0.7, 123.456])
-def test_a_tick_comes_within_a_period_and_a_quarter(period_s, passed_s, monkeypatch):
+def test_a_tick_is_due_within_a_period_and_a_quarter(period_s, passed_s, monkeypatch):
     monkeypatch.setattr(clock.time, "monotonic", lambda: clock.TICK_ORIGIN + passed_s)
     left_s = clock.compute_tick_delay(period_s)
     assert clock.MIN_TICK_FRACTION * period_s <= left_s <= (1 + clock.MIN_TICK_FRACTION) * period_s
@@ -18,7 +18,7 @@
 
 
 def test_tasks_whose_periods_are_multiples_wake_up_together(monkeypatch):
-    """Guards against a host that serves nobody and is woken for each of its tasks by itself."""
+    """Guards against an idle host that wakes up separately for each of its tasks."""
     now_s = 7.93
     monkeypatch.setattr(clock.time, "monotonic", lambda: clock.TICK_ORIGIN + now_s)
     for period_s in (0.2, 0.4, 1.0):
--- a/cloverway/tests/test_early_sockets.py
+++ b/cloverway/tests/test_early_sockets.py
@@ -1,4 +1,4 @@
-"""Callers that come while a host is still loading; real sockets on loopback."""
+"""Connections made while a host is still loading; real sockets on loopback."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     return str(path)
 
 
-def test_a_caller_that_comes_before_the_host_is_loaded_is_served_when_it_is(tmp_path):
-    """All hosts start again, and their callers are there at once.
+def test_a_connection_made_before_the_host_is_loaded_is_served(tmp_path):
+    """All hosts restart while callers keep connecting.
 
-    A host is loaded for 0.4 s; turned away by its machine meanwhile, a caller went to the next one,
-    which was not there either, and had no try left. It waits in the queue of the socket instead.
+    Loading a host takes 0.4 s. A caller whose connection is refused meanwhile tries the next host,
+    which isn't running either, and has no attempt left. It has to wait in the backlog instead.
     """
     address = f"127.0.0.1:{take_ports(1)[0]}"
-    early = open_caller_socket(write_settings(tmp_path / "settings", address))
+    early_socket = open_caller_socket(write_settings(tmp_path / "settings", address))
 
     async def scenario():
-        caller = socket.create_connection(early.getsockname(), 1.0)
+        caller = socket.create_connection(early_socket.getsockname(), 1.0)
         caller.sendall(REQUEST)
         await asyncio.sleep(0.05)
 
@@ -37,7 +37,7 @@
             await exchange.answer(200, [], b"served")
 
         server = Server(answer, ServerTerms(CallerLimits, lambda: False, lambda *_: b""))
-        await server.start(address, early)
+        await server.start(address, early_socket)
         reader, _ = await asyncio.open_connection(sock=caller)
         async with asyncio.timeout(2.0):
             assert await reader.readline() == b"HTTP/1.1 200 OK\r\n"
@@ -49,23 +49,23 @@
     "text",
     ["", "[listen]", "listen = 1", '[listen]\ncallers = "nowhere"', '[listen]\ncallers = "a:b"'],
 )
-def test_settings_that_are_wrong_are_left_to_the_host_to_tell(tmp_path, text):
+def test_errors_in_settings_are_left_to_the_host_to_report(tmp_path, text):
     path = tmp_path / "settings"
     path.write_text(text)
     assert EarlySockets.from_settings(str(path)) == EarlySockets(None, None)
     assert EarlySockets.from_settings(str(tmp_path / "absent")) == EarlySockets(None, None)
 
 
-def test_a_host_that_was_given_another_address_listens_there_as_well(tmp_path):
-    """The settings change between the two looks at them: the host has the last word."""
+def test_the_host_listens_on_a_changed_address(tmp_path):
+    """The settings change after the early read; the address that the host reads applies."""
     first, second = (f"127.0.0.1:{port}" for port in take_ports(2))
-    early = open_caller_socket(write_settings(tmp_path / "settings", first))
+    early_socket = open_caller_socket(write_settings(tmp_path / "settings", first))
 
     async def scenario():
         server = Server(None, ServerTerms(CallerLimits, lambda: False, lambda *_: b""))
-        await server.start(second, early)
+        await server.start(second, early_socket)
         (bound,) = server._server.sockets
         assert bound.getsockname()[1] == int(second.rpartition(":")[2])
 
     asyncio.run(scenario())
-    early.close()
+    early_socket.close()
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end each endpoint which runs them, over real hosts and sockets."""
+"""Requests that crash the endpoints that run them, on real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
-ALLOWED_ENDS = 3
-"""Endpoints that one request may end before it is known for what it is."""
-ALLOWED_LATE = 3
-"""Sends of it that may cross the news of the last of these ends."""
-MOST_ROUNDS = 20
-"""Tries until connections have been reset at enough engines: each meets the two that cost least."""
-DEADLY = b"crash"
-HARMLESS = b"fine"
+MAX_CRASHES = 3
+"""Endpoints that one request may crash before it is quarantined."""
+MAX_LATE_SENDS = 3
+"""Times that it may be sent before the report of the last of these crashes arrives."""
+MAX_ROUNDS = 20
+"""Maximum number of requests until enough engines have reset a connection: each request is sent to
+the two cheapest engines."""
+CRASHING_BODY = b"crash"
+HARMLESS_BODY = b"fine"
 
 
-class DeadlyFleet:
-    """Endpoints that end when they run one request; each is replaced by one with a new id."""
+class CrashingFleet:
+    """Endpoints that crash when they run one request; each is replaced by one with a new id."""
 
     def __init__(self, fleet) -> None:
         self.fleet = fleet
-        self.ended = []
-        """The names of the engines that ended."""
+        self.crashed = []
+        """The names of the engines that crashed."""
         self._numbers = itertools.count()
         self._replacing = set()
 
@@ -36,262 +37,266 @@
         endpoint = await self.fleet.add_endpoint(name, "model", domain)
 
         async def answer(exchange):
-            if exchange.body == DEADLY:
+            if exchange.body == CRASHING_BODY:
                 await asyncio.sleep(0.01)
-                self._end(endpoint)
+                self._crash(endpoint)
             else:
                 await endpoint.stream(1, 3)(exchange)
 
         endpoint.answer = answer
 
-    def _end(self, endpoint):
+    def _crash(self, endpoint):
         if endpoint.is_gone:
             return
-        self.ended.append(endpoint.name)
+        self.crashed.append(endpoint.name)
         endpoint.crash()
         self.fleet.store.delete(f"servers/{endpoint.name}")
         task = asyncio.create_task(self.add(endpoint.domain))
         self._replacing.add(task)
 
     def count_usable(self, host):
-        """Count the engines of a host's region that it knows and that are there."""
+        """Count the running engines of a host's region that it knows."""
         usable = host.directory.list_usable("model", read_clock())
-        near = [endpoint for endpoint in usable if endpoint.region == host.settings.region]
-        return sum(endpoint.entry.id not in self.ended for endpoint in near)
+        local = [endpoint for endpoint in usable if endpoint.region == host.settings.region]
+        return sum(endpoint.entry.id not in self.crashed for endpoint in local)
 
 
 @asynccontextmanager
-async def run_deadly_fleet(domains=("d1", "d1"), engines=("d1", "d1")):
+async def run_crashing_fleet(domains=("d1", "d1"), engines=("d1", "d1")):
     """Run a fleet with a host and with an engine in each of some domains."""
     async with run_fleet(hosts=0, endpoints=0) as fleet:
         for domain in domains:
             await fleet.add_host(domain)
-        deadly = DeadlyFleet(fleet)
+        crashing = CrashingFleet(fleet)
         for domain in engines:
-            await deadly.add(domain)
+            await crashing.add(domain)
         count = len(engines)
         await wait_for(lambda: all(len(h.directory.endpoints) == count for h in fleet.hosts))
         others = len(domains) - 1
         await wait_for(lambda: all(len(h.members.peers) == others for h in fleet.hosts))
-        yield deadly
+        yield crashing
 
 
-def test_a_request_that_ends_each_endpoint_that_runs_it_is_not_sent_for_ever():
-    """A caller sends one request again and again, at any host, each time with another id.
+def test_a_request_that_crashes_endpoints_is_quarantined():
+    """A caller repeats one request at any host, each time with another id.
 
-    The endpoint that begins to run it ends, and with it all that it was answering; the request is
-    run elsewhere, and ends the next one. Each try was judged by itself, and no host knew that it
-    was the same request: thirteen engines ended under one, and regions stood without any.
+    An endpoint that begins to run it crashes, with all its other requests; the request is retried
+    and crashes the next one. If hosts didn't recognize it as the same request, it would crash
+    engine after engine: thirteen under one request, which left regions without any.
     """
 
     async def scenario():
-        async with run_deadly_fleet() as deadly:
-            fleet = deadly.fleet
-            replies, ended = [], []
+        async with run_crashing_fleet() as crashing:
+            fleet = crashing.fleet
+            replies, crashed = [], []
             for host in itertools.islice(itertools.cycle(fleet.hosts), 14):
-                await wait_for(lambda: deadly.count_usable(fleet.hosts[0]) >= 2)
-                await wait_for(lambda: deadly.count_usable(fleet.hosts[1]) >= 2)
-                replies.append(await fleet.call("/stream/a", host, body=DEADLY))
-                ended.append(len(deadly.ended))
+                await wait_for(lambda: crashing.count_usable(fleet.hosts[0]) >= 2)
+                await wait_for(lambda: crashing.count_usable(fleet.hosts[1]) >= 2)
+                replies.append(await fleet.call("/stream/a", host, body=CRASHING_BODY))
+                crashed.append(len(crashing.crashed))
                 await asyncio.sleep(0.3)
-            assert len(deadly.ended) <= ALLOWED_ENDS + ALLOWED_LATE
-            assert ended[-1] == ended[6]
+            assert len(crashing.crashed) <= MAX_CRASHES + MAX_LATE_SENDS
+            assert crashed[-1] == crashed[6]
             assert {reply.status for reply in replies[7:]} == {503}
             assert float(replies[-1].headers[b"retry-after"]) > 0
-            assert (await fleet.call("/stream/a", body=HARMLESS)).status == 200
+            assert (await fleet.call("/stream/a", body=HARMLESS_BODY)).status == 200
 
     play(scenario)
 
 
-class RebornFleet:
-    """Engines that end when they run one request, and are soon back under their ids."""
+class RestartingFleet:
+    """Engines that crash when they run one request, and soon restart under their ids."""
 
-    def __init__(self, fleet, told_after_s=0.5) -> None:
+    def __init__(self, fleet, entry_delay_s=0.5) -> None:
         self.fleet = fleet
-        self.told_after_s = told_after_s
-        self.ended = 0
-        self.lives = {}
-        self._telling = set()
+        self.entry_delay_s = entry_delay_s
+        self.crashed = 0
+        self.incarnations = {}
+        self._restarts = set()
 
     async def add(self, name):
         endpoint = await self.fleet.add_endpoint(name, "model", "d1")
-        self.lives[name] = 1
+        self.incarnations[name] = 1
 
         async def answer(exchange):
-            if exchange.body == DEADLY:
-                self.ended += 1
+            if exchange.body == CRASHING_BODY:
+                self.crashed += 1
                 endpoint.crash()
-                self._telling.add(asyncio.create_task(self._bring_back(endpoint)))
+                self._restarts.add(asyncio.create_task(self._restart(endpoint)))
             else:
                 await endpoint.stream(1, 3)(exchange)
 
         endpoint.answer = answer
         self._put(endpoint)
 
-    async def _bring_back(self, endpoint):
-        """Start an engine again, and tell of its new life a moment later."""
+    async def _restart(self, endpoint):
+        """Restart an engine, and update its entry a moment later."""
         await asyncio.sleep(0.3)
         await endpoint.start_again()
-        await asyncio.sleep(self.told_after_s)
-        self.lives[endpoint.name] += 1
+        await asyncio.sleep(self.entry_delay_s)
+        self.incarnations[endpoint.name] += 1
         self._put(endpoint)
 
     def _put(self, endpoint):
-        entry = endpoint.describe(born=self.lives[endpoint.name])
+        entry = endpoint.describe(born=self.incarnations[endpoint.name])
         self.fleet.store.put(f"servers/{endpoint.name}", entry)
 
-    def is_told(self):
-        """Tell whether all hosts know the lives that run."""
+    def is_up_to_date(self):
+        """Return whether all hosts know the running incarnations."""
         known = [
             host.directory.endpoints[name].entry.born_ms if name in host.directory.endpoints else 0
             for host in self.fleet.hosts
-            for name in self.lives
+            for name in self.incarnations
         ]
-        return known == [*self.lives.values()] * len(self.fleet.hosts)
+        return known == [*self.incarnations.values()] * len(self.fleet.hosts)
 
 
-def test_an_engine_that_is_back_before_its_entry_has_still_ended():
-    """Engines that a request ends are back under their ids before their entries tell of it.
+def test_a_crash_counts_if_the_engine_restarts_before_its_entry_is_updated():
+    """Engines that a request crashed restart under their ids before their entries are updated.
 
-    For a second hosts take the new life for the old one. It answered other requests, so the old one
-    seemed never to have ended, and its end was taken back; the request went on to be sent.
+    For a second hosts can't tell the new incarnation from the old one. A response of the new one
+    must not clear the crash of the old one, or the request would be sent again.
     """
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=0) as fleet:
-            reborn = RebornFleet(fleet)
+            restarting = RestartingFleet(fleet)
             for name in ("engine-0", "engine-1", "engine-2"):
-                await reborn.add(name)
+                await restarting.add(name)
             for host in itertools.islice(itertools.cycle(fleet.hosts), 6):
-                await wait_for(reborn.is_told)
-                await fleet.call("/stream/a", host, body=DEADLY)
+                await wait_for(restarting.is_up_to_date)
+                await fleet.call("/stream/a", host, body=CRASHING_BODY)
                 await asyncio.sleep(0.4)
-                for asked in itertools.islice(itertools.cycle(fleet.hosts), 16):
+                for other in itertools.islice(itertools.cycle(fleet.hosts), 16):
                     await asyncio.sleep(0.02)
-                    assert (await fleet.call("/stream/a", asked, body=HARMLESS)).status == 200
+                    assert (await fleet.call("/stream/a", other, body=HARMLESS_BODY)).status == 200
                 await asyncio.sleep(0.2)
-            assert reborn.ended <= ALLOWED_ENDS + 1
+            assert restarting.crashed <= MAX_CRASHES + 1
 
     play(scenario)
 
 
-def test_an_engine_that_ends_twice_before_its_entry_tells_has_ended_twice():
-    """A request ends an engine, which is back under its id, and ends again under the next try.
+def test_two_crashes_count_if_the_entry_still_names_the_first_incarnation():
+    """A request crashes an engine, which restarts under its id and crashes again on the next try.
 
-    Its entry is late and still names the first life. All ends until then counted as one, since an
-    end is counted once for each life, however many hosts tell of it.
+    Its entry still names the first incarnation. A crash is counted once for each incarnation,
+    however many hosts report it, so both crashes would count as one.
     """
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=0) as fleet:
-            reborn = RebornFleet(fleet, told_after_s=60.0)
-            await reborn.add("engine-0")
-            await wait_for(reborn.is_told)
+            restarting = RestartingFleet(fleet, entry_delay_s=60.0)
+            await restarting.add("engine-0")
+            await wait_for(restarting.is_up_to_date)
             for host in itertools.islice(itertools.cycle(fleet.hosts), 7):
-                await fleet.call("/stream/a", host, body=DEADLY)
+                await fleet.call("/stream/a", host, body=CRASHING_BODY)
                 await asyncio.sleep(0.9)
-            assert reborn.ended == ALLOWED_ENDS
-            assert (await fleet.call("/stream/a", body=HARMLESS)).status == 200
+            assert restarting.crashed == MAX_CRASHES
+            assert (await fleet.call("/stream/a", body=HARMLESS_BODY)).status == 200
 
     play(scenario)
 
 
-async def hold(deadly, host):
-    """Send the deadly request to one host until that has seen enough of it."""
+async def quarantine_request(crashing, host):
+    """Send the crashing request to one host until that quarantines it."""
     for _ in range(2):
-        await wait_for(lambda: deadly.count_usable(host) >= 2)
-        assert (await deadly.fleet.call("/stream/a", host, body=DEADLY)).status == 502
-    assert len(deadly.ended) == ALLOWED_ENDS
+        await wait_for(lambda: crashing.count_usable(host) >= 2)
+        assert (await crashing.fleet.call("/stream/a", host, body=CRASHING_BODY)).status == 502
+    assert len(crashing.crashed) == MAX_CRASHES
     assert host.context.quarantine.count_held(read_clock()) == 1
 
 
-def test_hosts_of_all_regions_refuse_it_and_those_that_start_later():
-    """Three engines have ended under a request at one host; its caller goes on at others.
+def test_all_regions_and_joining_hosts_refuse_a_quarantined_request():
+    """Three engines crashed under a request at one host; its caller tries other hosts.
 
-    A host that has not heard of it would lose its engines to the request in turn, and so would one
-    that starts afterwards and has no memory of its own.
+    A host that didn't receive the crashes would lose its engines to the request too, and so would
+    a host that joins later.
     """
 
     async def scenario():
-        async with run_deadly_fleet(("d1", "d2"), ("d1", "d1", "d2", "d2")) as deadly:
-            fleet = deadly.fleet
-            await hold(deadly, fleet.hosts[0])
+        async with run_crashing_fleet(("d1", "d2"), ("d1", "d1", "d2", "d2")) as crashing:
+            fleet = crashing.fleet
+            await quarantine_request(crashing, fleet.hosts[0])
             await asyncio.sleep(0.5)
-            newcomer = await fleet.add_host("d2")
-            await wait_for(lambda: deadly.count_usable(newcomer) >= 2)
-            await wait_for(lambda: len(newcomer.members.peers) == 2)
+            joining = await fleet.add_host("d2")
+            await wait_for(lambda: crashing.count_usable(joining) >= 2)
+            await wait_for(lambda: len(joining.members.peers) == 2)
             await asyncio.sleep(0.5)
             for host in fleet.hosts:
-                assert (await fleet.call("/stream/a", host, body=DEADLY)).status == 503
-                assert (await fleet.call("/stream/a", host, body=HARMLESS)).status == 200
-            assert len(deadly.ended) == ALLOWED_ENDS
+                assert (await fleet.call("/stream/a", host, body=CRASHING_BODY)).status == 503
+                assert (await fleet.call("/stream/a", host, body=HARMLESS_BODY)).status == 200
+            assert len(crashing.crashed) == MAX_CRASHES
 
     play(scenario)
 
 
-def test_a_host_that_was_away_hears_what_it_has_missed():
-    """A host hears nothing of the others while three engines end, as behind a cut link.
+def test_a_partitioned_host_receives_the_crashes_it_missed():
+    """A host receives nothing from the others while three engines crash, as in a partition.
 
-    What is told just after each end doesn't reach it. When the others hear it again they tell it
-    all that it may have missed.
+    The broadcast after each crash doesn't reach it. When the others receive its heartbeats again,
+    they send it everything it may have missed.
     """
 
     async def scenario():
-        async with run_deadly_fleet() as deadly:
-            near, away = deadly.fleet.hosts
-            near.gossip.news.retell = lambda now: None
-            hear = away.gossip.news.hear
-            away.gossip.news.hear = lambda message, now: True
-            await hold(deadly, near)
+        async with run_crashing_fleet() as crashing:
+            local, partitioned = crashing.fleet.hosts
+            local.gossip.news.retell = lambda now: None
+            hear = partitioned.gossip.news.hear
+            partitioned.gossip.news.hear = lambda message, now: True
+            await quarantine_request(crashing, local)
             await asyncio.sleep(0.5)
-            away.gossip.news.hear = hear
-            del near.members.peers[away.members.own.name]
-            await wait_for(lambda: away.context.quarantine.count_held(read_clock()) == 1, 2.0)
-            assert (await deadly.fleet.call("/stream/a", away, body=DEADLY)).status == 503
+            partitioned.gossip.news.hear = hear
+            del local.members.peers[partitioned.members.own.name]
+            await wait_for(
+                lambda: partitioned.context.quarantine.count_held(read_clock()) == 1, 2.0
+            )
+            assert (
+                await crashing.fleet.call("/stream/a", partitioned, body=CRASHING_BODY)
+            ).status == 503
 
     play(scenario)
 
 
-def test_another_region_refuses_it_and_stays_open_to_other_requests():
-    """A host without engines passes requests on to another region, whose hosts know this one.
+def test_a_region_that_refuses_a_quarantined_request_still_gets_others():
+    """A host without engines passes the request on to a region that has quarantined it.
 
-    Taken for a lack of room, the refusal kept all other requests away from that region until it
-    offered its engines again.
+    If the refusal were treated as a lack of capacity, all other requests would be kept away from
+    that region until it advertises its engines again.
     """
 
     async def scenario():
-        async with run_deadly_fleet(("d1", "d2"), ("d1", "d1")) as deadly:
-            near, far = deadly.fleet.hosts
-            near.gossip.news.send = lambda address, data: None
-            await hold(deadly, near)
-            (peer,) = far.members.peers.values()
+        async with run_crashing_fleet(("d1", "d2"), ("d1", "d1")) as crashing:
+            local, remote = crashing.fleet.hosts
+            local.gossip.news.send = lambda address, data: None
+            await quarantine_request(crashing, local)
+            (peer,) = remote.members.peers.values()
             await wait_for(lambda: "model" in peer.offers)
-            withdrawn = []
-            far.context.target_selector.discard_offers = lambda *names: withdrawn.append(names)
-            reply = await deadly.fleet.call("/stream/a", far, body=DEADLY)
+            discarded = []
+            remote.context.target_selector.discard_offers = lambda *names: discarded.append(names)
+            reply = await crashing.fleet.call("/stream/a", remote, body=CRASHING_BODY)
             assert reply.status == 503
             assert b"quarantined" in reply.body
-            assert not withdrawn
-            assert len(deadly.ended) == ALLOWED_ENDS
+            assert not discarded
+            assert len(crashing.crashed) == MAX_CRASHES
 
     play(scenario)
 
 
-def test_it_is_refused_at_once_and_not_after_a_wait_for_a_place():
-    """All engines are gone, and other requests wait for new ones.
+def test_a_quarantined_request_is_refused_without_being_queued():
+    """No engine is left, and other requests are queued for new ones.
 
-    Waiting with them, the request would be told after a fifth of its route's time that there is no
-    capacity, and to come back soon.
+    If the request were queued too, it would be refused after a fifth of its route's timeout for
+    lack of capacity, with a short Retry-After.
     """
 
     async def scenario():
-        async with run_deadly_fleet(("d1",)) as deadly:
-            (host,) = deadly.fleet.hosts
-            await hold(deadly, host)
+        async with run_crashing_fleet(("d1",)) as crashing:
+            (host,) = crashing.fleet.hosts
+            await quarantine_request(crashing, host)
             host.context.target_selector.take = lambda wanted, ahead_s, now: None
             host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
             began = read_clock()
-            reply = await deadly.fleet.call("/stream/a", body=DEADLY)
+            reply = await crashing.fleet.call("/stream/a", body=CRASHING_BODY)
             assert read_clock() - began < 0.3
             assert b"quarantined" in reply.body
             assert float(reply.headers[b"retry-after"]) > 1_000
@@ -299,37 +304,39 @@
     play(scenario)
 
 
-def test_what_many_callers_ask_is_served_after_engines_have_ended_together():
-    """Three of four engines lose power at once, each while it runs one and the same request.
+def test_a_request_served_before_is_not_quarantined_after_simultaneous_crashes():
+    """Three of four engines lose power at once, each while it runs the same request.
 
-    Different callers sent it, and it was served a moment before. It isn't the cause, and refused it
-    would be to all of them.
+    Several callers sent it, and it was served a moment before, so it isn't the cause. If it were
+    quarantined, all of these callers would be refused.
     """
 
     async def scenario():
         async with run_fleet(endpoints=4) as fleet:
-            assert (await fleet.call("/cut/a", body=HARMLESS)).status == 200
+            assert (await fleet.call("/cut/a", body=HARMLESS_BODY)).status == 200
             engines = [fleet.endpoints[f"model-{number}"] for number in range(4)]
             for engine in engines[:3]:
                 engine.requests.clear()
                 engine.answer = engine.answer_never
-            calls = [asyncio.create_task(fleet.call("/cut/a", body=HARMLESS)) for _ in range(12)]
+            calls = [
+                asyncio.create_task(fleet.call("/cut/a", body=HARMLESS_BODY)) for _ in range(12)
+            ]
             await wait_for(lambda: all(engine.requests for engine in engines[:3]))
             for engine in engines[:3]:
                 engine.crash()
             replies = await asyncio.gather(*calls)
             assert 502 in {reply.status for reply in replies}
-            assert (await fleet.call("/cut/a", body=HARMLESS)).status == 200
+            assert (await fleet.call("/cut/a", body=HARMLESS_BODY)).status == 200
 
     play(scenario)
 
 
-def test_a_request_that_was_waiting_when_the_news_came_is_not_sent():
-    """It waits for a place while another host's word comes that three engines ended under it."""
+def test_a_queued_request_is_not_sent_once_crashes_are_reported():
+    """It is queued while another host reports that three engines crashed under it."""
 
     async def scenario():
-        async with run_deadly_fleet(("d1",)) as deadly:
-            (host,) = deadly.fleet.hosts
+        async with run_crashing_fleet(("d1",)) as crashing:
+            (host,) = crashing.fleet.hosts
             choose, go_on = host.context.target_selector.take, asyncio.Event()
             waits = []
 
@@ -339,58 +346,58 @@
 
             host.context.target_selector.take = wait
             host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
-            sending = await deadly.fleet.begin_call("/stream/a", body=DEADLY)
+            sending = await crashing.fleet.begin_call("/stream/a", body=CRASHING_BODY)
             await wait_for(lambda: waits)
-            for number in range(ALLOWED_ENDS):
+            for number in range(MAX_CRASHES):
                 crash = Crash(f"gone-{number}", (waits[0],), read_clock())
                 host.context.quarantine.note_crash(crash)
             go_on.set()
             head = await sending.read_head(lambda head: True)
             assert head.status == 503
-            assert not deadly.ended
+            assert not crashing.crashed
             engines = host.directory.endpoints.values()
             assert not any(engine.load.sum_own().running for engine in engines)
 
     play(scenario)
 
 
-def test_connections_that_are_reset_at_engines_that_live_on_shut_nothing_out():
-    """One request is unlucky: its connection is reset at each of four engines, which go on serving.
+def test_connection_resets_by_running_engines_do_not_quarantine_a_request():
+    """The connection of one request is reset by each of four engines, which keep running.
 
-    To its host each reset looks like the end of the engine. Their next answers tell otherwise.
+    To the host each reset looks like a crash. Later responses of the engines show that they run.
     """
 
     async def scenario():
         async with run_fleet(endpoints=4) as fleet:
-            unlucky = []
+            reset_engines = []
 
             for endpoint in fleet.endpoints.values():
 
                 async def answer(exchange, endpoint=endpoint):
-                    if exchange.body == DEADLY and len(set(unlucky)) < ALLOWED_ENDS + 1:
-                        unlucky.append(endpoint.name)
+                    if exchange.body == CRASHING_BODY and len(set(reset_engines)) < MAX_CRASHES + 1:
+                        reset_engines.append(endpoint.name)
                         exchange.connection.abort()
                     else:
                         await asyncio.sleep(0.05)
                         await endpoint.answer_plainly(exchange)
 
                 endpoint.answer = answer
-            for _ in range(MOST_ROUNDS):
-                await fleet.call("/safe/a", body=DEADLY)
-                calls = [fleet.call("/safe/a", body=HARMLESS) for _ in range(30)]
+            for _ in range(MAX_ROUNDS):
+                await fleet.call("/safe/a", body=CRASHING_BODY)
+                calls = [fleet.call("/safe/a", body=HARMLESS_BODY) for _ in range(30)]
                 assert {reply.status for reply in await asyncio.gather(*calls)} == {200}
-                if len(set(unlucky)) == ALLOWED_ENDS + 1:
+                if len(set(reset_engines)) == MAX_CRASHES + 1:
                     break
-            assert len(set(unlucky)) == ALLOWED_ENDS + 1
-            assert (await fleet.call("/safe/a", body=DEADLY)).status == 200
+            assert len(set(reset_engines)) == MAX_CRASHES + 1
+            assert (await fleet.call("/safe/a", body=CRASHING_BODY)).status == 200
 
     play(scenario)
 
 
-def test_an_engine_that_falls_silent_under_a_request_counts_as_ended():
-    """The request takes the power of each engine that runs it: no connection breaks, all is silent.
+def test_an_engine_that_stops_responding_counts_as_crashed():
+    """Each engine that runs the request loses power, so that no connection is closed.
 
-    Its callers give up, or the time of the route is over; nothing else would ever be noted.
+    The only sign is that the caller gives up or the route's timeout expires.
     """
 
     async def scenario():
@@ -404,10 +411,10 @@
             await wait_for(lambda: host.directory.configuration.version == fleet.version)
             for endpoint in fleet.endpoints.values():
                 endpoint.answer = endpoint.answer_never
-            first = await fleet.call("/stream/a", body=DEADLY, deadline_ms=9000)
-            second = await fleet.call("/stream/a", body=DEADLY, deadline_ms=9000)
+            first = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
+            second = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
             assert (first.status, second.status) == (504, 502)
-            third = await fleet.call("/stream/a", body=DEADLY, deadline_ms=9000)
+            third = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
             assert third.status == 503
 
     play(scenario)
--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints that say in their answers that they leave, over real hosts and sockets."""
+"""Endpoints that state in their responses that they leave, on real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 
 DRAIN_S = 4.0
-"""Time after an endpoint's word from which it must get nothing more."""
+"""Time after an endpoint's announcement from which it must get no more requests."""
 
 
 class LeavingEndpoint:
-    """An endpoint that leaves from some moment on and says so in answers, and not to the store."""
+    """An endpoint that announces its leaving in responses, but not in the store."""
 
     def __init__(self, endpoint) -> None:
         self.endpoint = endpoint
@@ -29,8 +29,8 @@
         await exchange.answer(200, headers, b"ran at " + self.endpoint.name.encode())
 
 
-async def press(fleet, host, seconds, per_s=20):
-    """Send requests to a host for some seconds, and give the statuses of the replies."""
+async def send_load(fleet, host, seconds, per_s=20):
+    """Send requests to a host for some seconds; return the statuses of the replies."""
     calls = []
     for _ in range(int(seconds * per_s)):
         calls.append(asyncio.create_task(fleet.call("/safe/a", host)))
@@ -38,25 +38,25 @@
     return {reply.status for reply in await asyncio.gather(*calls)}
 
 
-def test_an_endpoint_that_says_it_leaves_gets_nothing_more_though_the_store_is_away():
-    """Guards against going by an entry alone, which says nothing while the store is down."""
+def test_a_leaving_endpoint_gets_no_requests_even_without_the_store():
+    """Guards against relying on the entry alone, which isn't updated while the store is down."""
 
     async def scenario():
         async with run_fleet(hosts=1, endpoints=2) as fleet:
             leaving = LeavingEndpoint(fleet.endpoints["desk-0"])
             fleet.store.silent = True
             leaving.is_leaving = True
-            await press(fleet, fleet.hosts[0], 0.5)
-            told_at = read_clock()
+            await send_load(fleet, fleet.hosts[0], 0.5)
+            announced_at = read_clock()
             assert leaving.arrivals
-            assert await press(fleet, fleet.hosts[0], DRAIN_S + 1.5) == {200}
-            assert max(leaving.arrivals) < told_at + DRAIN_S
+            assert await send_load(fleet, fleet.hosts[0], DRAIN_S + 1.5) == {200}
+            assert max(leaving.arrivals) < announced_at + DRAIN_S
 
     play(scenario)
 
 
-def test_a_host_leaves_an_endpoint_alone_that_only_its_sibling_was_told_of():
-    """Guards against each host of a region that sends one more request to be told itself."""
+def test_a_host_avoids_a_leaving_endpoint_that_only_another_host_knew_of():
+    """Guards against a request from each host of a region until the endpoint tells it directly."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=2) as fleet:
@@ -64,17 +64,17 @@
             first, second = fleet.hosts
             await wait_for(lambda: all(len(h.members.peers) == 1 for h in fleet.hosts))
             leaving.is_leaving = True
-            await wait_for_word(fleet, first)
+            await wait_until_leaving_is_known(fleet, first)
             await wait_for(lambda: second.directory.endpoints["desk-0"].has_said_leaving)
-            told = len(leaving.arrivals)
-            assert await press(fleet, second, 1.0) == {200}
-            assert len(leaving.arrivals) == told
+            before = len(leaving.arrivals)
+            assert await send_load(fleet, second, 1.0) == {200}
+            assert len(leaving.arrivals) == before
 
     play(scenario)
 
 
-def test_a_request_that_was_placed_before_the_word_goes_elsewhere():
-    """Guards against sends that are chosen, wait for a connection, and are written after it."""
+def test_a_request_placed_before_the_endpoint_leaves_is_sent_elsewhere():
+    """Guards against requests that wait for a connection and are written after the announcement."""
 
     async def scenario():
         async with run_fleet(hosts=1, endpoints=2) as fleet:
@@ -90,15 +90,15 @@
                 return connection
 
             pool.open = open_slowly
-            assert await press(fleet, host, 0.5) == {200}
+            assert await send_load(fleet, host, 0.5) == {200}
             assert host.directory.endpoints["desk-0"].has_said_leaving
             assert leaving.arrivals == []
 
     play(scenario)
 
 
-async def wait_for_word(fleet, host):
-    """Send requests to a host until it has heard that an endpoint leaves."""
+async def wait_until_leaving_is_known(fleet, host):
+    """Send requests to a host until it knows that an endpoint is leaving."""
     for _ in range(50):
         await fleet.call("/safe/a", host)
         if any(endpoint.has_said_leaving for endpoint in host.directory.endpoints.values()):
--- a/cloverway/tests/test_fleet_limits.py
+++ b/cloverway/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that name the requests a second they take, over real hosts and sockets."""
+"""Endpoints that state a rate limit, on real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 LIMIT_PER_S = 2.0
 WINDOW_S = 4.0
 ALLOWED = 1.5 * LIMIT_PER_S * WINDOW_S + 5
-"""Requests in any four seconds, from all hosts together."""
-LEARNT_S = 0.5
-"""Time after the first answer that names the limit until it binds."""
+"""Maximum requests in any four seconds, from all hosts together."""
+LIMIT_DELAY_S = 0.5
+"""Time after the first response with the limit until it must be kept."""
 
 
 class LimitedEndpoint:
-    """An endpoint that names a limit in each answer, and notes when requests reach it."""
+    """An endpoint that states a limit in each response, and records when requests arrive."""
 
     def __init__(self, endpoint, limit=b"%g" % LIMIT_PER_S) -> None:
         self.endpoint = endpoint
         self.limit = limit
         self.arrivals = []
-        self.named_at = None
-        """When an answer of it named its limit for the first time."""
+        self.stated_at = None
+        """When a response of it stated the limit for the first time."""
         endpoint.answer = self.answer
 
     async def answer(self, exchange):
@@ -32,19 +32,19 @@
         headers = self.endpoint.head(exchange)
         if self.limit is not None:
             headers.append((b"Server-Limit", self.limit))
-            self.named_at = self.named_at or read_clock()
+            self.stated_at = self.stated_at or read_clock()
         await exchange.answer(200, headers, b"ran at " + self.endpoint.name.encode())
 
-    def count_most(self):
-        """Give the most requests of any four seconds since the limit has bound."""
-        bound = [at for at in self.arrivals if at >= self.named_at + LEARNT_S]
+    def count_max_in_window(self):
+        """Return the maximum of requests in any four seconds while the limit applies."""
+        bound = [at for at in self.arrivals if at >= self.stated_at + LIMIT_DELAY_S]
         return max(
             (sum(start <= at < start + WINDOW_S for at in bound) for start in bound), default=0
         )
 
 
-async def press(fleet, hosts, seconds, per_s=15):
-    """Send requests to hosts in turn for some seconds, and give the replies."""
+async def send_load(fleet, hosts, seconds, per_s=15):
+    """Send requests to hosts in turn for some seconds; return the replies."""
     calls = []
     for number in range(int(seconds * per_s)):
         host = hosts[number % len(hosts)]
@@ -53,23 +53,23 @@
     return await asyncio.gather(*calls)
 
 
-async def settle(fleet):
-    """Wait until the hosts know each other for long enough to share a limit."""
+async def wait_until_limits_are_shared(fleet):
+    """Wait until the hosts have known each other for long enough to share a limit."""
     others = len(fleet.hosts) - 1
     await wait_for(lambda: all(len(h.members.peers) == others for h in fleet.hosts))
     until = max(host.started_at for host in fleet.hosts) + SETTLED_S
     await wait_for(lambda: read_clock() > until)
 
 
-def test_an_endpoint_gets_no_more_than_the_limit_that_it_names():
-    """Guards against hosts that send an endpoint in need all that comes, whatever it says."""
+def test_hosts_together_keep_to_the_limit_of_an_endpoint():
+    """Guards against hosts that ignore the limit of an overloaded endpoint."""
 
     async def scenario():
         async with run_fleet(hosts=3, endpoints=1) as fleet:
             limited = LimitedEndpoint(fleet.endpoints["desk-0"])
             await wait_for(lambda: all(len(h.members.peers) == 2 for h in fleet.hosts))
-            replies = await press(fleet, fleet.hosts, 6.0)
-            assert limited.count_most() <= ALLOWED
+            replies = await send_load(fleet, fleet.hosts, 6.0)
+            assert limited.count_max_in_window() <= ALLOWED
             assert {reply.status for reply in replies} == {200, 503}
             refused = [reply for reply in replies if reply.status == 503]
             assert all(float(reply.headers[b"retry-after"]) > 0 for reply in refused)
@@ -77,41 +77,41 @@
     play(scenario)
 
 
-def test_a_host_keeps_to_a_limit_that_only_its_sibling_was_told():
-    """Guards against hosts that each overload an endpoint until they have heard it themselves."""
+def test_a_host_keeps_to_a_limit_that_only_another_host_received():
+    """Guards against hosts that each overload an endpoint until it tells them its limit."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=1) as fleet:
             limited = LimitedEndpoint(fleet.endpoints["desk-0"], b"1")
             first, second = fleet.hosts
-            await settle(fleet)
+            await wait_until_limits_are_shared(fleet)
             assert (await fleet.call("/safe/a", first)).status == 200
             await wait_for(lambda: second.directory.count_limited() == 1)
-            replies = await press(fleet, [second], 3.0)
+            replies = await send_load(fleet, [second], 3.0)
             assert 1 <= len(limited.arrivals) <= 3
             assert {reply.status for reply in replies} == {200, 503}
 
     play(scenario)
 
 
-def test_requests_go_to_endpoints_that_name_no_limit():
-    """Guards against callers that wait or are refused while another endpoint has room."""
+def test_requests_are_sent_to_endpoints_without_a_limit():
+    """Guards against queueing or refusals while another endpoint has capacity."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=2) as fleet:
             LimitedEndpoint(fleet.endpoints["desk-0"], b"1")
-            assert {reply.status for reply in await press(fleet, fleet.hosts, 3.0)} == {200}
+            assert {reply.status for reply in await send_load(fleet, fleet.hosts, 3.0)} == {200}
 
     play(scenario)
 
 
-def test_a_request_that_the_limit_leaves_no_time_for_is_refused_at_once():
-    """Guards against callers that wait for nothing: each other request here waits two seconds."""
+def test_a_request_that_the_limit_would_delay_too_long_is_refused_at_once():
+    """Guards against useless queueing: here each further request would wait two seconds."""
 
     async def scenario():
         async with run_fleet(hosts=1, endpoints=1) as fleet:
             limited = LimitedEndpoint(fleet.endpoints["desk-0"], b"0.5")
-            await settle(fleet)
+            await wait_until_limits_are_shared(fleet)
             await fleet.call("/safe/a")
             began_at = read_clock()
             reply = await fleet.call("/safe/a", deadline_ms=1000)
@@ -123,18 +123,18 @@
     play(scenario)
 
 
-def test_an_endpoint_that_names_no_limit_any_more_gets_all_again():
-    """Guards against a limit that outlives the need of the endpoint."""
+def test_a_limit_ends_when_the_endpoint_no_longer_states_it():
+    """Guards against a limit that stays in force after the endpoint dropped it."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=1) as fleet:
             limited = LimitedEndpoint(fleet.endpoints["desk-0"], b"2")
-            await settle(fleet)
+            await wait_until_limits_are_shared(fleet)
             await fleet.call("/safe/a", fleet.hosts[0])
             await wait_for(lambda: fleet.hosts[1].directory.count_limited() == 1)
             limited.limit = None
-            await press(fleet, fleet.hosts, 2.5, per_s=4)
+            await send_load(fleet, fleet.hosts, 2.5, per_s=4)
             assert [host.directory.count_limited() for host in fleet.hosts] == [0, 0]
-            assert {reply.status for reply in await press(fleet, fleet.hosts, 1.0)} == {200}
+            assert {reply.status for reply in await send_load(fleet, fleet.hosts, 1.0)} == {200}
 
     play(scenario)
--- a/cloverway/tests/test_fleet_lives.py
+++ b/cloverway/tests/test_fleet_lives.py
@@ -1,4 +1,4 @@
-"""Entries that turn bad and endpoints that start again, under requests; real hosts and sockets."""
+"""Malformed entries and restarting endpoints under load, on real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def keep_calling(fleet, path):
-    """Send requests one after the other while the body runs; give their answers."""
+    """Send requests one after the other while the body runs; yield the list of replies."""
     replies = []
 
     async def call():
@@ -42,19 +42,19 @@
         await asyncio.gather(*callers, return_exceptions=True)
 
 
-def test_an_entry_turns_bad_and_good_and_bad_while_requests_come():
+def test_an_entry_becomes_malformed_and_valid_again_under_load():
     """Another writer overwrites the entry of one of two endpoints, which writes it again.
 
-    While it can't be read nothing is sent there; the other endpoint serves everything, and the
-    entry is in force again as soon as it can be read.
+    While the entry is malformed, the other endpoint must get all requests. The entry must be in
+    force again as soon as it is valid.
     """
 
     async def scenario():
         async with run_fleet() as fleet:
             first = fleet.endpoints["desk-0"]
-            junk = (b"{" * 90_000, b'{"service": {}}', b"\xff", b"1e999")
+            malformed = (b"{" * 90_000, b'{"service": {}}', b"\xff", b"1e999")
             async with keep_calling(fleet, "/once/") as replies:
-                for value in junk:
+                for value in malformed:
                     fleet.store.put_bytes("servers/desk-0", value)
                     await wait_for(lambda: list_usable(fleet) == {"desk-1"}, 2.5)
                     await asyncio.sleep(0.05)
@@ -69,7 +69,7 @@
     play(scenario)
 
 
-def test_junk_beside_good_entries_delays_none_of_them():
+def test_malformed_entries_do_not_delay_valid_ones():
     async def scenario():
         async with run_fleet(hosts=0) as fleet:
             fleet.store.page = 500
@@ -82,10 +82,11 @@
     play(scenario)
 
 
-def test_an_endpoint_is_born_again_under_requests():
-    """It drains, ends and starts again under its id, at the same address, while requests come.
+def test_an_endpoint_restarts_under_load():
+    """It drains, stops and restarts under its id, at the same address, while requests arrive.
 
-    The new life is in use with its first entry, over new connections, and no request is lost.
+    The new incarnation must be used from its first entry on, over new connections, and no request
+    may be lost.
     """
 
     async def scenario():
@@ -104,7 +105,7 @@
             assert (await fleet.call("/once/")).status == 200
             assert read_clock() - began < 1.0
             assert first.requests[count].connection not in old
-            # What the life before says last comes late.
+            # The last entry of the previous incarnation arrives late.
             fleet.store.put("servers/desk-0", first.describe(born=1_000, state="draining"))
             await asyncio.sleep(1.2)
             assert (await fleet.call("/once/")).status == 200
@@ -112,10 +113,11 @@
     play(scenario)
 
 
-def test_nothing_is_fetched_from_an_engine_that_has_started_again():
-    """An engine read a shared part, crashed, and started again under its id with an empty memory.
+def test_no_segments_are_fetched_from_a_restarted_engine():
+    """An engine with a shared prefix crashes and restarts under its id with an empty KV cache.
 
-    Sent there for the part, another engine found nothing and read all of it after the detour.
+    Another engine that tried to fetch the prefix from it would find nothing, and would prefill it
+    after the delay.
     """
 
     async def scenario():
@@ -143,10 +145,10 @@
     play(scenario)
 
 
-def test_an_address_that_was_taken_over_costs_one_request_a_try_and_not_each():
-    """An endpoint is gone and another one answers at its address; its entry is still there.
+def test_an_address_taken_over_by_another_endpoint_is_not_tried_by_each_request():
+    """Another endpoint answers at the address of an endpoint whose entry still exists.
 
-    Each request that was led there got 421 and had to be sent again.
+    Otherwise each request sent there would get 421 and have to be sent again.
     """
 
     async def scenario():
@@ -160,11 +162,11 @@
     play(scenario)
 
 
-def test_an_endpoint_at_whose_address_nobody_listens_is_left_alone_for_a_moment():
-    """An endpoint crashes; its entry stands for some seconds more, and the other one is full.
+def test_an_endpoint_that_refuses_connections_is_not_tried_for_a_moment():
+    """An endpoint crashes; its entry remains for some seconds, and the other endpoint is full.
 
-    Each request that waited for the other was led to the one that is gone first: in an incident,
-    446 of 880 failed tries were these.
+    Each request queued for the other one would first try the crashed one: 446 of 880 failed
+    attempts in an incident.
     """
 
     async def scenario():
@@ -191,10 +193,10 @@
     play(scenario)
 
 
-def test_requests_wait_for_the_only_endpoint_while_it_starts_again():
+def test_requests_are_queued_while_the_only_endpoint_restarts():
     """The only endpoint of a service crashes, and listens again half a second later.
 
-    A request whose connection was refused gave it up for good, and was refused in turn.
+    A request that never retried an endpoint after a refused connection would itself be refused.
     """
 
     async def scenario():
--- a/cloverway/tests/test_fleet_parts.py
+++ b/cloverway/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the path that need no host: events, the waiting line, settings, documents, log lines."""
+"""Components tested without a host: events, request queue, settings, documents, log lines."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @given(st.lists(st.integers(1, len(STREAM) - 1), max_size=8))
 @settings(max_examples=200)
-def test_events_are_the_same_wherever_the_bytes_are_cut(cuts):
+def test_events_do_not_depend_on_how_the_bytes_are_split(cuts):
     splitter = EventSplitter()
     bounds = [0, *sorted(set(cuts)), len(STREAM)]
     events = [
@@ -52,7 +52,7 @@
     assert splitter.last_id == "8"
 
 
-def test_half_an_event_is_dropped_before_a_stream_goes_on_elsewhere():
+def test_a_partial_event_is_discarded_before_a_stream_is_resumed():
     splitter = EventSplitter()
     assert splitter.split(b"id: 1\ndata: a\n\nid: 2\nda") == [b"id: 1\ndata: a\n\n"]
     splitter.drop_rest()
@@ -60,28 +60,28 @@
     assert splitter.split(b"id: 2\ndata: b\n\n") == [b"id: 2\ndata: b\n\n"]
 
 
-def test_the_most_urgent_and_the_oldest_get_the_next_place():
-    """Three requests wait for one place; the least urgent asks just when it gets free."""
+def test_the_queue_serves_by_priority_and_then_by_arrival():
+    """Three requests are queued for one place at a time."""
 
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         places = []
         served = []
 
-        async def ticket(name, priority, arrived_at):
+        async def enqueue(name, priority, arrived_at):
             until = read_clock() + 2
-            taken = await line.wait(
+            granted = await queue.wait(
                 QueueTicket(QueueRank(priority, arrived_at)),
                 lambda ahead_s: places.pop() if places else None,
                 until,
                 places.append,
             )
-            served.append((name, taken))
+            served.append((name, granted))
 
         tasks = [
-            asyncio.create_task(ticket("old", 1, 1.0)),
-            asyncio.create_task(ticket("urgent", 0, 3.0)),
-            asyncio.create_task(ticket("young", 1, 2.0)),
+            asyncio.create_task(enqueue("old", 1, 1.0)),
+            asyncio.create_task(enqueue("urgent", 0, 3.0)),
+            asyncio.create_task(enqueue("young", 1, 2.0)),
         ]
         await asyncio.sleep(0.05)
         for _ in range(3):
@@ -93,29 +93,29 @@
     asyncio.run(scenario())
 
 
-def test_who_can_still_be_answered_in_time_goes_before_who_is_late():
-    """After a burst requests wait that are late already, and new ones come.
+def test_requests_that_can_meet_their_objective_go_before_late_ones():
+    """After a burst, requests are queued that are already late, and new ones arrive.
 
-    In the order of their arrival each new one would wait until it is late as well, and a burst of
-    a second made all answers late for ten.
+    If the queue were ordered by arrival, each new request would wait until it is late as well: a
+    burst of a second made all responses late for ten.
     """
 
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         places = []
         served = []
         start = read_clock()
 
-        async def ticket(name, arrived_at, latest_start_at):
+        async def enqueue(name, arrived_at, latest_start_at):
             ticket = QueueTicket(QueueRank(1, arrived_at), latest_start_at=latest_start_at)
-            attempt = lambda ahead_s: places.pop() if places else None  # noqa: E731
-            await line.wait(ticket, attempt, start + 2, places.append)
+            acquire = lambda ahead_s: places.pop() if places else None  # noqa: E731
+            await queue.wait(ticket, acquire, start + 2, places.append)
             served.append(name)
 
         tasks = [
-            asyncio.create_task(ticket("late", 1.0, start - 1)),
-            asyncio.create_task(ticket("in time", 2.0, start + 9)),
-            asyncio.create_task(ticket("soon late", 1.5, start + 0.05)),
+            asyncio.create_task(enqueue("late", 1.0, start - 1)),
+            asyncio.create_task(enqueue("in time", 2.0, start + 9)),
+            asyncio.create_task(enqueue("soon late", 1.5, start + 0.05)),
         ]
         await asyncio.sleep(0.1)
         for _ in range(3):
@@ -127,73 +127,79 @@
     asyncio.run(scenario())
 
 
-def test_nobody_passes_those_who_wait_before():
+def test_a_new_request_does_not_overtake_queued_ones():
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         first = QueueTicket(QueueRank(1, 1.0), 0.2)
-        wait = line.wait(first, lambda ahead_s: None, read_clock() + 0.2, lambda _: None)
+        wait = queue.wait(first, lambda ahead_s: None, read_clock() + 0.2, lambda _: None)
         waiting = asyncio.create_task(wait)
         await asyncio.sleep(0.01)
         now = read_clock()
         assert (
-            line.try_acquire(QueueTicket(QueueRank(1, 2.0)), lambda ahead_s: "place", now) is None
+            queue.try_acquire(QueueTicket(QueueRank(1, 2.0)), lambda ahead_s: "place", now) is None
         )
         assert (
-            line.try_acquire(QueueTicket(QueueRank(0, 2.0)), lambda ahead_s: "place", now)
+            queue.try_acquire(QueueTicket(QueueRank(0, 2.0)), lambda ahead_s: "place", now)
             == "place"
         )
-        assert line.sum_work_ahead(QueueTicket(QueueRank(1, 2.0)), now) == 0.2
-        assert line.sum_work_ahead(QueueTicket(QueueRank(0, 2.0)), now) == 0.0
+        assert queue.sum_work_ahead(QueueTicket(QueueRank(1, 2.0)), now) == 0.2
+        assert queue.sum_work_ahead(QueueTicket(QueueRank(0, 2.0)), now) == 0.0
         await waiting
 
     asyncio.run(scenario())
 
 
-def test_a_waiting_request_knows_the_work_that_waits_before_it():
-    """How long it will wait follows from it, and whether another region would have it sooner."""
+def test_a_queued_request_gets_the_work_queued_ahead_of_it():
+    """It determines the expected wait and whether another region would start the request sooner."""
 
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         seen = {}
 
-        async def ticket(name, arrived_at, work_s):
-            def attempt(ahead_s):
+        async def enqueue(name, arrived_at, work_s):
+            def acquire(ahead_s):
                 seen[name] = ahead_s
 
             ticket = QueueTicket(QueueRank(0, arrived_at), work_s)
-            await line.wait(ticket, attempt, read_clock() + 0.1, lambda _: None)
+            await queue.wait(ticket, acquire, read_clock() + 0.1, lambda _: None)
 
-        asks = [ticket("first", 1.0, 0.2), ticket("second", 2.0, 0.3), ticket("third", 3.0, 0.1)]
-        tasks = [asyncio.create_task(each) for each in asks]
+        waits = [
+            enqueue("first", 1.0, 0.2),
+            enqueue("second", 2.0, 0.3),
+            enqueue("third", 3.0, 0.1),
+        ]
+        tasks = [asyncio.create_task(each) for each in waits]
         await asyncio.sleep(0.06)
-        assert line.sum_work() == pytest.approx(0.6)
+        assert queue.sum_work() == pytest.approx(0.6)
         await asyncio.gather(*tasks)
         assert seen == {"first": 0.0, "second": 0.2, "third": 0.5}
 
     asyncio.run(scenario())
 
 
-def test_a_long_line_costs_a_bounded_time_and_everybody_gets_a_turn():
-    """After a restart a hundred requests wait before full engines at a host with half a core.
+def test_polling_a_long_queue_is_bounded_and_reaches_every_request():
+    """After a restart a hundred requests are queued for full engines at a host with half a core.
 
-    All tried every 20 ms, they took that core, and the answers that ran were late as well.
+    Trying all of them every 20 ms would use up that core and delay the responses in progress.
     """
 
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         tries = Counter()
 
         def make(name):
             return lambda ahead_s: tries.update([name])
 
-        asks = [QueueTicket(QueueRank(1, float(number))) for number in range(100)]
+        tickets = [QueueTicket(QueueRank(1, float(number))) for number in range(100)]
         until = read_clock() + 0.8
-        waits = [line.wait(ticket, make(n), until, lambda _: None) for n, ticket in enumerate(asks)]
+        waits = [
+            queue.wait(ticket, make(n), until, lambda _: None) for n, ticket in enumerate(tickets)
+        ]
         tasks = [asyncio.create_task(wait) for wait in waits]
         await asyncio.sleep(0)
         now = read_clock()
         for _ in range(30):
-            line._try_waiters(now)
+            queue._try_waiters(now)
         assert sum(tries.values()) == 30 * (MAX_HEAD_POLLED + MAX_TAIL_POLLED)
         assert len(tries) == 100
         for task in tasks:
@@ -203,12 +209,12 @@
     asyncio.run(scenario())
 
 
-def test_a_place_is_given_back_when_the_caller_has_left_meanwhile():
+def test_a_result_is_released_when_the_waiting_task_is_cancelled():
     async def scenario():
-        line = RequestQueue()
+        queue = RequestQueue()
         places = []
         task = asyncio.create_task(
-            line.wait(
+            queue.wait(
                 QueueTicket(QueueRank(0, 0.0)),
                 lambda ahead_s: places.pop() if places else None,
                 read_clock() + 2,
@@ -226,22 +232,22 @@
     asyncio.run(scenario())
 
 
-def test_a_request_that_waited_in_vain_is_told_so():
+def test_a_queued_request_times_out():
     async def scenario():
-        line = RequestQueue()
-        taken = await line.wait(
+        queue = RequestQueue()
+        granted = await queue.wait(
             QueueTicket(QueueRank(0, 0.0)),
             lambda ahead_s: None,
             read_clock() + 0.05,
             lambda _: None,
         )
-        assert taken is None
-        assert len(line) == 0
+        assert granted is None
+        assert len(queue) == 0
 
     asyncio.run(scenario())
 
 
-def test_a_document_that_cannot_be_read_leaves_the_others_in_force():
+def test_a_malformed_document_does_not_affect_the_others():
     good = {"service": "s", "address": "10.0.0.1:1", "zone": "d1", "slots": 3, "state": "ready"}
     good |= {"version": "v1", "coldRemainingMs": 0, "sequence": 1}
     documents = [
@@ -260,7 +266,7 @@
 
 @pytest.mark.parametrize("kind", list(Kind))
 @pytest.mark.parametrize("ran", list(Ran))
-def test_only_not_run_is_answered_with_a_status_that_promises_it(kind, ran):
+def test_only_requests_that_did_not_run_get_a_status_that_says_so(kind, ran):
     error = RequestError(kind, ran=ran)
     status, headers, _ = PlatformDialect().encode_refusal(error, "id")
     if ran is not Ran.NO:
@@ -290,7 +296,7 @@
 """
 
 
-def test_settings_are_read_and_every_finding_is_told(tmp_path):
+def test_settings_are_read_and_all_findings_are_reported(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS)
     assert FleetSettings.from_toml(path).listen.inner_ports == (7660, 7675)
@@ -303,7 +309,7 @@
     assert "inner_ports" in text
 
 
-def test_a_machine_that_gives_nothing_is_refused(tmp_path):
+def test_a_machine_without_capacity_is_rejected(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS + "[machine]\ncore_share = -1\nlink_mbps = 0\n")
     with pytest.raises(ConfigurationError) as caught:
@@ -312,7 +318,7 @@
     assert "machine.link_mbps" in str(caught.value)
 
 
-def test_a_quarantine_of_every_request_is_refused(tmp_path):
+def test_a_quarantine_of_every_request_is_rejected(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS + "[quarantine]\nends = 0\nhold_s = -1\n")
     with pytest.raises(ConfigurationError) as caught:
@@ -325,8 +331,8 @@
     return logging.LogRecord("n", logging.INFO, "p", 1, text, None, None)
 
 
-def test_the_log_never_waits_for_a_reader_and_counts_what_it_drops():
-    """Nobody reads the pipe of a process. A write that waited would stop all its requests."""
+def test_logging_never_blocks_and_counts_dropped_lines():
+    """Nobody reads the pipe of the process. A blocking write would stop all its requests."""
     read_end, write_end = os.pipe()
     try:
         writer = LogLineHandler(write_end)
@@ -342,7 +348,7 @@
         os.close(write_end)
 
 
-def test_the_log_is_bounded_in_a_second():
+def test_log_lines_in_a_second_are_limited():
     read_end, write_end = os.pipe()
     try:
         writer = LogLineHandler(write_end)
--- a/cloverway/tests/test_fleet_path.py
+++ b/cloverway/tests/test_fleet_path.py
@@ -1,4 +1,4 @@
-"""The course of requests through a host, over stand-ins of the platform's store and endpoints."""
+"""Requests handled by a host, with stand-ins for the platform's store and endpoints."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cloverway.tests.fleet.standins import make_route, make_service
 
 
-def test_a_request_reaches_an_endpoint_unchanged_and_its_answer_the_caller():
+def test_request_and_response_are_relayed_unchanged():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             reply = await fleet.call(
@@ -27,11 +27,11 @@
     play(scenario)
 
 
-def test_headers_that_are_the_systems_to_set_are_never_taken_from_a_caller():
-    """A caller sends headers that steer engines: a reservation, a pin, another endpoint's id.
+def test_reserved_headers_of_a_caller_are_dropped():
+    """A caller sends headers that control engines: a reservation, a pin, another endpoint's id.
 
-    Passed on, an endpoint would refuse the request or run it with another caller's reservation.
-    They are dropped where a caller's request is decoded.
+    If they were forwarded, an endpoint would refuse the request or run it with another caller's
+    reservation. They are dropped when the request is decoded.
     """
 
     async def scenario():
@@ -65,10 +65,11 @@
     play(scenario)
 
 
-def test_a_request_that_may_run_once_is_not_sent_again_after_a_break():
-    """The endpoint closes the connection without an answer, perhaps after it did the work.
+def test_a_non_idempotent_request_is_not_retried_after_a_lost_connection():
+    """The endpoint closes the connection without a response, perhaps after it ran the request.
 
-    A second send could allocate the same stock twice. The caller gets 502, which promises nothing.
+    A retry could allocate the same stock twice. The caller gets 502, which doesn't say whether the
+    request ran.
     """
 
     async def scenario():
@@ -82,7 +83,7 @@
     play(scenario)
 
 
-def test_a_request_that_may_run_once_is_sent_again_after_not_run():
+def test_a_non_idempotent_request_is_retried_after_not_run():
     async def scenario():
         async with run_fleet() as fleet:
             first, second = fleet.endpoints["desk-0"], fleet.endpoints["desk-1"]
@@ -99,7 +100,7 @@
     play(scenario)
 
 
-def test_an_idempotent_request_is_run_elsewhere_after_a_break():
+def test_an_idempotent_request_is_retried_after_a_lost_connection():
     async def scenario():
         async with run_fleet() as fleet:
             first = fleet.endpoints["desk-0"]
@@ -110,11 +111,11 @@
     play(scenario)
 
 
-def test_not_run_is_never_said_of_a_request_whose_answer_is_awaited():
-    """The endpoint works on a request until the time of the route is over.
+def test_a_request_in_progress_is_never_reported_as_not_run():
+    """The endpoint works on a request until the route's timeout.
 
-    The wait ends inside the send, before it counted as one that may have run. The refusal said
-    "not run" (503), and the caller allocated once more while the first run ended well.
+    The timeout expires during the attempt, before it is counted as one that may have run. A refusal
+    with "not run" (503) would make the caller allocate again while the first run succeeds.
     """
 
     async def scenario():
@@ -134,11 +135,11 @@
     play(scenario)
 
 
-def test_a_caller_that_leaves_ends_the_run():
+def test_a_run_is_cancelled_when_its_caller_leaves():
     """The caller closes its connection while the endpoint works.
 
-    The endpoint would work to the end for nobody, in the place of a caller that waits. The task of
-    the request is cancelled, and with it the connection to the endpoint.
+    Otherwise the endpoint would finish the work for nobody and use capacity that a queued request
+    needs. The task of the request is cancelled, which closes the connection to the endpoint.
     """
 
     async def scenario():
@@ -154,10 +155,10 @@
     play(scenario)
 
 
-def test_an_answer_to_another_request_is_passed_over():
-    """An endpoint sends the answer to an earlier request once more, on a kept connection.
+def test_a_response_to_another_request_is_skipped():
+    """An endpoint repeats the response to an earlier request on a connection that is reused.
 
-    The next request on it would be given the answer of another caller. Its id gives it away.
+    The next request would get the response of another caller. The request id shows the mismatch.
     """
 
     async def scenario():
@@ -179,7 +180,7 @@
     play(scenario)
 
 
-def test_an_answer_without_a_signature_is_not_passed_on():
+def test_a_response_without_a_signature_is_not_relayed():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
@@ -190,7 +191,7 @@
     play(scenario)
 
 
-def test_an_endpoints_own_failure_is_passed_on_as_it_is():
+def test_an_error_response_of_an_endpoint_is_relayed_unchanged():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
@@ -202,11 +203,11 @@
     play(scenario)
 
 
-def test_a_stream_goes_on_at_another_endpoint_after_its_last_whole_event():
-    """An endpoint breaks off in the middle of the third event.
+def test_a_stream_resumes_at_another_endpoint_after_its_last_complete_event():
+    """An endpoint closes the connection in the middle of the third event.
 
-    The caller must get each event once and whole. The second endpoint is asked for what follows
-    the second event, and the half of the third one is dropped.
+    The caller must get each event once and complete. The second endpoint is asked for the events
+    after the second one, and the received half of the third is discarded.
     """
 
     async def scenario():
@@ -231,7 +232,7 @@
     play(scenario)
 
 
-def test_a_stream_that_may_not_go_on_elsewhere_ends_visibly_cut():
+def test_a_stream_that_may_not_be_resumed_is_truncated():
     async def scenario():
         async with run_fleet() as fleet:
             for endpoint in (fleet.endpoints["model-0"], fleet.endpoints["model-1"]):
@@ -245,7 +246,7 @@
     play(scenario)
 
 
-def test_events_reach_the_caller_as_they_come():
+def test_events_are_relayed_as_they_arrive():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["model-0"]
@@ -259,11 +260,11 @@
     play(scenario)
 
 
-def test_an_address_that_another_endpoint_has_taken_over_runs_nothing():
-    """An endpoint ended and another service's endpoint started at its address.
+def test_a_misdirected_request_is_run_by_another_endpoint():
+    """An endpoint stopped, and an endpoint of another service started at its address.
 
-    The entry of the first is still there. The request names the endpoint it is meant for, and the
-    new one answers 421; the request then runs at an endpoint of its own service.
+    The entry of the first one still exists. The request names the endpoint it is meant for, so the
+    new one answers 421, and the request is run by another endpoint of its own service.
     """
 
     async def scenario():
@@ -276,10 +277,11 @@
     play(scenario)
 
 
-def test_requests_with_two_meanings_are_refused_and_the_connection_is_closed():
-    """A head has both a length and chunks, so that two readers see its end in two places.
+def test_ambiguous_requests_are_refused_and_the_connection_is_closed():
+    """A head has both Content-Length and chunked encoding (request smuggling).
 
-    What lies between them would be run as a request that nobody sent.
+    Two parsers would see the end of the request in different places, and one of them would run the
+    bytes in between as another request.
     """
 
     async def scenario():
@@ -310,7 +312,7 @@
     play(scenario)
 
 
-def test_a_chunked_body_arrives_whole():
+def test_a_chunked_body_is_received_completely():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             connection = await fleet.pool.open_new(fleet.hosts[0].settings.listen.callers, 1.0)
@@ -324,7 +326,7 @@
     play(scenario)
 
 
-def test_an_answer_that_breaks_off_is_an_error_to_its_reader():
+def test_reading_a_truncated_response_raises_an_error():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["model-0"]
--- a/cloverway/tests/test_fleet_pauses.py
+++ b/cloverway/tests/test_fleet_pauses.py
@@ -1,4 +1,4 @@
-"""Endpoints that turn a request away and say for how long they want no other, over real hosts."""
+"""Endpoints that refuse a request with Retry-After, on real hosts and sockets."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from cloverway.tests.fleet.standins import make_route, make_service
 
 PAUSE_S = 2.0
-CROSSING_S = 0.5
-"""Time after the answer in which requests that were on their way may still arrive."""
-MOST_IN_PAUSE = 2
+IN_FLIGHT_S = 0.5
+"""Time after the refusal in which requests already sent may still arrive."""
+MAX_IN_PAUSE = 2
 
 
-class FullEndpoint:
-    """An endpoint that turns every request away for a while, and says for how long."""
+class PausingEndpoint:
+    """An endpoint that refuses all requests for a while, and states for how long."""
 
     def __init__(self, endpoint) -> None:
         self.endpoint = endpoint
@@ -35,11 +35,11 @@
         await exchange.answer(503, [not_run, retry_after], b"")
 
     def count_in_pause(self):
-        begin = self.until - PAUSE_S + CROSSING_S
+        begin = self.until - PAUSE_S + IN_FLIGHT_S
         return sum(begin <= at < self.until - 0.05 for at in self.arrivals)
 
 
-async def press(fleet, seconds, deadline_ms=1000):
+async def send_load(fleet, seconds, deadline_ms=1000):
     calls = []
     for _ in range(int(seconds * 20)):
         calls.append(asyncio.create_task(fleet.call("/safe/a", deadline_ms=deadline_ms)))
@@ -47,14 +47,14 @@
     return await asyncio.gather(*calls)
 
 
-def test_an_endpoint_that_asked_for_a_pause_gets_nothing_until_it_is_over():
-    """Guards against a host that sends on to a full endpoint, which can do no more than refuse."""
+def test_an_endpoint_gets_no_requests_during_the_pause_it_asked_for():
+    """Guards against a host that keeps sending to a full endpoint, which can only refuse."""
 
     async def scenario():
         async with run_fleet(hosts=1, endpoints=1) as fleet:
-            full = FullEndpoint(fleet.endpoints["desk-0"])
-            replies = await press(fleet, PAUSE_S + 1.0)
-            assert full.count_in_pause() <= MOST_IN_PAUSE
+            pausing = PausingEndpoint(fleet.endpoints["desk-0"])
+            replies = await send_load(fleet, PAUSE_S + 1.0)
+            assert pausing.count_in_pause() <= MAX_IN_PAUSE
             assert {reply.status for reply in replies} == {200, 503}
             assert all(
                 float(reply.headers[b"retry-after"]) > 0 for reply in replies if reply.status == 503
@@ -64,16 +64,16 @@
     play(scenario)
 
 
-def test_requests_go_to_endpoints_that_asked_for_no_pause():
-    """Guards against callers that are refused while another endpoint has room."""
+def test_requests_are_sent_to_endpoints_without_a_pause():
+    """Guards against refusals while another endpoint has capacity."""
 
     async def scenario():
         async with run_fleet(hosts=1, endpoints=2) as fleet:
             fleet.publish(
                 [make_route("safe", "idempotent", "desk", attempts=1)], [make_service("desk")]
             )
-            full = FullEndpoint(fleet.endpoints["desk-0"])
-            assert {reply.status for reply in await press(fleet, 1.5)} == {200}
-            assert full.count_in_pause() <= MOST_IN_PAUSE
+            pausing = PausingEndpoint(fleet.endpoints["desk-0"])
+            assert {reply.status for reply in await send_load(fleet, 1.5)} == {200}
+            assert pausing.count_in_pause() <= MAX_IN_PAUSE
 
     play(scenario)
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -1,4 +1,4 @@
-"""Requests that run in another region than that of the host they came to."""
+"""Requests that run in another region than that of the host that received them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 def test_a_request_is_passed_on_to_the_region_that_may_run_it():
     """The route is bound to the south; the caller is connected to a host in the north.
 
-    Endpoints answer only hosts of their own region, so a host in the south runs it, in one hop.
+    Endpoints accept only hosts of their own region, so the request is passed on once, to a host in
+    the south.
     """
 
     async def scenario():
@@ -35,11 +36,11 @@
     play(scenario)
 
 
-def test_a_failure_of_the_only_endpoint_of_a_region_is_made_good_in_another():
-    """An endpoint answers one request in seven with a failure of its own, and may be asked again.
+def test_a_failure_of_the_only_endpoint_of_a_region_is_retried_in_another():
+    """An endpoint fails one request in seven, and the request may be retried.
 
-    A region with several endpoints asks the next one; the only one of a region has no next, and its
-    callers got seven times as many failures as others.
+    A region with several endpoints retries on the next one. If a region with one endpoint didn't
+    retry elsewhere, its callers would get seven times as many failures as others.
     """
 
     async def scenario():
@@ -61,11 +62,11 @@
     play(scenario)
 
 
-def test_places_that_another_region_has_lent_are_free_again_after_each_request():
-    """The endpoint of one region is away, and the one of another region has two places.
+def test_places_of_another_region_are_free_again_after_each_request():
+    """One region has no endpoint, and the endpoint of another region has two places.
 
-    It is told of them once a second. Twenty short requests come then, one after the other, and
-    after the second of them all were refused.
+    That capacity is advertised once a second. If a place stayed taken until the next
+    advertisement, all but the first two of twenty short requests would be refused.
     """
 
     async def scenario():
@@ -80,11 +81,11 @@
     play(scenario)
 
 
-def test_what_a_region_has_offered_since_a_request_left_outlives_its_refusal():
-    """A region has room again; whoever had a request declined there believes it has none.
+def test_capacity_advertised_after_a_request_was_sent_outlives_its_refusal():
+    """A region declines a request, but has advertised capacity since the request was sent.
 
-    The request waited in the line there before it was declined, and the region's hosts have said
-    meanwhile what is free. That was forgotten with what they had said before.
+    The request was queued there before it was declined. Only what the region advertised before it
+    was sent may be discarded; the later advertisement already accounts for that queue.
     """
 
     async def scenario():
@@ -103,11 +104,11 @@
     play(scenario)
 
 
-def test_a_host_with_an_older_configuration_does_not_run_what_is_passed_on_to_it():
+def test_a_host_with_an_older_configuration_declines_a_passed_on_request():
     """A host passes a request on by a configuration that the other host has not read yet.
 
-    That one would run it by a route of before, after callers saw the effect of the new one. It
-    declines, and says "not run".
+    The other host would run it by an outdated route after callers saw the effect of the new one. It
+    declines the request as not run.
     """
 
     async def scenario():
@@ -132,17 +133,17 @@
     play(scenario)
 
 
-def test_a_region_that_has_nothing_left_to_offer_gets_nothing_passed_on():
-    """Guards against requests that are passed on to a region by what it offered when it had room.
+def test_a_region_without_capacity_gets_no_requests():
+    """Guards against passing requests on by capacity that a region no longer advertises.
 
-    Its only endpoint leaves. Heartbeats without offers changed nothing, so what it had offered held
-    on and grew with its age: each request was passed on in vain, three times.
+    The only endpoint of the region leaves. If heartbeats without capacity left the old value in
+    place, it would grow with its age, and each request would be passed on in vain three times.
     """
 
     async def scenario():
         async with run_fleet(endpoints=0) as fleet:
             await fleet.add_host("d2")
-            far = await fleet.add_endpoint("far-0", "desk", "d2")
+            remote = await fleet.add_endpoint("far-0", "desk", "d2")
             north = fleet.hosts[0]
 
             def offers_room():
@@ -151,7 +152,7 @@
 
             await wait_for(offers_room)
             assert (await fleet.call("/safe/a", north)).body == b"ran at far-0"
-            fleet.store.put("servers/far-0", far.describe(state="draining"))
+            fleet.store.put("servers/far-0", remote.describe(state="draining"))
             await wait_for(lambda: not offers_room(), 3.0)
 
     play(scenario)
--- a/cloverway/tests/test_incarnations.py
+++ b/cloverway/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Endpoints that seemed to end under a request are asked which life of them is there."""
+"""Endpoints that seemed to crash under a request are queried for their incarnation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @asynccontextmanager
 async def run_engine(born: int | None = 1):
-    """Run a host and an engine whose entry tells its start; give both, as the host knows it."""
+    """Run a host and an engine whose entry has its start time; yield fleet, engine and host."""
     async with run_fleet(endpoints=0) as fleet:
         more = {} if born is None else {"born": born}
         engine = await fleet.add_endpoint("engine", "model", **more)
@@ -28,17 +28,17 @@
         yield fleet, engine, host
 
 
-def note_end(host, digest: int = DIGEST):
-    """Let the engine seem to end under a request; give what the host knows of the engine."""
+def pretend_crash(host, digest: int = DIGEST):
+    """Record a crash of the engine under a request; return the engine as the host knows it."""
     known = host.directory.endpoints["engine"]
     host.context.quarantine.note_crash(Crash(known.entry.life, (digest,), read_clock()))
     return known
 
 
-def test_an_engine_whose_connection_was_reset_serves_the_same_caller_again_at_once():
-    """The only engine of a region has reset one connection, and goes on serving.
+def test_an_engine_that_reset_a_connection_serves_the_same_request_at_once():
+    """The only engine of a region resets one connection and keeps running.
 
-    Kept away from it until others have been served there, the caller would be refused.
+    If the request were kept away until others have been served there, its caller would be refused.
     """
 
     async def scenario():
@@ -54,10 +54,10 @@
     play(scenario)
 
 
-def test_an_engine_that_is_gone_is_not_sent_what_seemed_to_end_it():
+def test_a_crashed_engine_is_not_sent_the_request():
     async def scenario():
         async with run_engine() as (_, engine, host):
-            known = note_end(host)
+            known = pretend_crash(host)
             engine.crash()
             assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.is_down(read_clock())
@@ -66,13 +66,13 @@
     play(scenario)
 
 
-def test_an_engine_that_says_nothing_is_not_sent_it(monkeypatch):
-    """Its power was lost, or its link is cut: the question is given up soon."""
+def test_an_engine_that_does_not_answer_the_query_is_not_sent_the_request(monkeypatch):
+    """The engine lost power or its link is cut; the query times out."""
     monkeypatch.setattr(incarnations, "QUERY_TIMEOUT_S", 0.05)
 
     async def scenario():
         async with run_engine() as (_, engine, host):
-            known = note_end(host)
+            known = pretend_crash(host)
             engine.tell_state = engine.answer_never
             assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.load.failures(read_clock()) > 0
@@ -80,8 +80,8 @@
     play(scenario)
 
 
-def test_a_later_life_is_known_before_its_entry_and_taken_for_cold():
-    """An engine is back and its entry is late; loaded like the one before, it would end again."""
+def test_a_restart_is_known_before_its_entry_and_treated_as_cold():
+    """An engine restarted and its entry is late; with the full load it would crash again."""
 
     async def scenario():
         async with run_engine() as (fleet, engine, host):
@@ -90,32 +90,30 @@
                 [make_service("model", coldS=20.0, coldPerS=2.0)],
             )
             await wait_for(lambda: host.directory.configuration.version == fleet.version)
-            known = note_end(host)
+            known = pretend_crash(host)
             engine.born = 5
             assert not await host.context.incarnations.may_send(known, DIGEST)
-            reborn = host.directory.endpoints["engine"]
-            assert reborn.entry.born_ms == 5
-            assert reborn.is_cold(read_clock() + 15.0)
-            assert await host.context.incarnations.may_send(
-                reborn, DIGEST
-            ), "nothing ended there yet"
+            restarted = host.directory.endpoints["engine"]
+            assert restarted.entry.born_ms == 5
+            assert restarted.is_cold(read_clock() + 15.0)
+            assert await host.context.incarnations.may_send(restarted, DIGEST), "no crash there yet"
             assert engine.questions == 1
 
     play(scenario)
 
 
 @pytest.mark.parametrize(
-    ("told", "said", "questions"), [(1, None, 1), (None, 1, 0), (5, 1, 1)], ids=str
+    ("published", "answered", "questions"), [(1, None, 1), (None, 1, 0), (5, 1, 1)], ids=str
 )
-def test_an_engine_that_cannot_be_told_from_the_life_before_is_used_as_before(
-    told, said, questions
+def test_an_engine_without_a_comparable_start_time_is_used_as_before(
+    published, answered, questions
 ):
-    """It doesn't say when it started, its entry doesn't, or it names an earlier start."""
+    """The engine or its entry has no start time, or the engine states an earlier one."""
 
     async def scenario():
-        async with run_engine(told) as (_, engine, host):
-            known = note_end(host)
-            engine.born = said
+        async with run_engine(published) as (_, engine, host):
+            known = pretend_crash(host)
+            engine.born = answered
             assert await host.context.incarnations.may_send(known, DIGEST)
             assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
             assert engine.questions == questions
@@ -123,10 +121,10 @@
     play(scenario)
 
 
-def test_another_endpoint_at_the_address_is_no_sign_of_life():
+def test_a_misdirected_query_counts_as_gone():
     async def scenario():
         async with run_engine() as (_, engine, host):
-            known = note_end(host)
+            known = pretend_crash(host)
 
             async def misdirect(exchange):
                 await exchange.answer(421, [], b"")
@@ -138,29 +136,29 @@
     play(scenario)
 
 
-def test_an_engine_is_asked_once_for_all_requests_that_it_took_along():
-    """Sixty requests come back at the same moment; the one that gives up first ends no question."""
+def test_one_query_serves_all_requests_of_a_crashed_engine():
+    """Sixty requests return at the same moment; cancelling one doesn't cancel the query."""
 
     async def scenario():
         async with run_engine() as (_, engine, host):
             for digest in range(60):
-                known = note_end(host, digest)
-            asks = [
+                known = pretend_crash(host, digest)
+            checks = [
                 asyncio.create_task(host.context.incarnations.may_send(known, digest))
                 for digest in range(60)
             ]
             await asyncio.sleep(0)
-            asks[0].cancel()
-            assert await asyncio.gather(*asks[1:]) == [True] * 59
+            checks[0].cancel()
+            assert await asyncio.gather(*checks[1:]) == [True] * 59
             assert engine.questions == 1
 
     play(scenario)
 
 
-def test_a_request_that_nothing_ended_under_asks_nobody():
+def test_a_request_without_crashes_causes_no_query():
     async def scenario():
         async with run_engine() as (fleet, engine, host):
-            note_end(host)
+            pretend_crash(host)
             assert (await fleet.call("/cut/a")).status == 200
             assert engine.questions == 0
 
