--- a/cloverway/tests/test_trace.py
+++ b/cloverway/tests/test_trace.py
@@ -7,7 +7,7 @@
 from typer.testing import CliRunner
 
 from cloverway.__main__ import app
-from cloverway.tests.test_fleet_parts import SETTINGS
+from cloverway.tests.test_fleet_units import SETTINGS
 
 RUN = CliRunner()
 
