--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -175,7 +175,7 @@
         if candidate.endpoint.is_leaving(now):
             return "the endpoint is leaving"
         if self._context.directory.get_pause_s(candidate.endpoint, now) > 0:
-            return "the endpoint asked for no requests for a while"
+            return "the endpoint requested a pause"
         return None
 
     def _make_request(self) -> h11.Request | None:
