--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -8,13 +8,13 @@
 from collections.abc import Iterable, Sequence
 from urllib.parse import parse_qs
 
-from cloverway.core.calls import Call, Header, Prompt, PromptPart
+from cloverway.core.calls import Call, Header, Prompt, PromptSegment
 from cloverway.core.deployment import Document, Publication
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.platform import names
 from cloverway.platform.documents import decode_documents
 from cloverway.platform.entries import decode_born
-from cloverway.serving.http.client import ReplyHead
+from cloverway.serving.http.client import ResponseHead
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.ports import IncarnationFacts, Lookup, ReplyFacts, SendOptions
 
@@ -104,12 +104,12 @@
             headers.append((names.LAST_EVENT, call.last_event_id.encode("latin-1")))
         return headers
 
-    def is_answer_to(self, head: ReplyHead, call: Call) -> bool:
+    def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
         """Tell whether an answer belongs to a request."""
         named = head.get(names.REQUEST_ID)
         return named is None or named == call.id.encode("latin-1")
 
-    def decode_reply(self, head: ReplyHead) -> ReplyFacts:
+    def decode_reply(self, head: ResponseHead) -> ReplyFacts:
         """Decode the head of an endpoint's answer."""
         is_misdirected = head.status == MISDIRECTED
         not_run = head.get(names.NOT_RUN) is not None or is_misdirected
@@ -125,7 +125,7 @@
         """Give target and headers of the GET that asks an endpoint when it started."""
         return STATE_PATH, [(names.EXPECTED_ENDPOINT, endpoint_id.encode("latin-1"))]
 
-    def decode_incarnation(self, head: ReplyHead, body: bytes) -> IncarnationFacts:
+    def decode_incarnation(self, head: ResponseHead, body: bytes) -> IncarnationFacts:
         """Decode the answer to it."""
         born_ms = decode_born(body) if head.status == OK else None
         return IncarnationFacts(head.status == MISDIRECTED, born_ms)
@@ -180,12 +180,12 @@
     return Prompt(int(counts[0]), int(counts[1]), parts, likely)
 
 
-def _decode_parts(value: bytes) -> Iterable[PromptPart]:
+def _decode_parts(value: bytes) -> Iterable[PromptSegment]:
     for item in filter(None, value.split(b",")):
         name, _, tokens = item.strip().partition(b":")
         try:
             # Cut to 63 bits: what hosts tell each other of parts has signed numbers.
-            yield PromptPart(int(name, 16) & (1 << 63) - 1, int(tokens))
+            yield PromptSegment(int(name, 16) & (1 << 63) - 1, int(tokens))
         except ValueError:
             raise RequestError(Kind.MALFORMED, "the parts of the prompt can't be read") from None
 
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -5,18 +5,18 @@
 import asyncio
 import contextlib
 
-from cloverway.core.budget import RetryBudget
 from cloverway.core.deployment import Configuration
 from cloverway.core.endpoints import Directory
-from cloverway.core.failures import UsualFailures
+from cloverway.core.failures import FailureBaseline
 from cloverway.core.members import Members
 from cloverway.core.quarantine import Quarantine
+from cloverway.core.retry_budget import RetryBudget
 from cloverway.serving.clock import read_clock
+from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.crashes import CrashExchange
-from cloverway.serving.hosts.news import NewsExchange
 from cloverway.serving.hosts.statements import StatementExchange
-from cloverway.serving.hosts.suspects import SuspectWatch
-from cloverway.serving.http.client import Pool
+from cloverway.serving.hosts.suspects import SuspectTracker
+from cloverway.serving.http.client import ConnectionPool
 from cloverway.serving.ports import Dialect
 from cloverway.serving.requests.incarnations import IncarnationCheck
 from cloverway.serving.requests.target_selector import TargetSelector
@@ -49,15 +49,15 @@
         self.members = members
         self.dialect = dialect
         self.metrics = metrics
-        self.pool = Pool(metrics.note_connect)
-        self.usual_failures = UsualFailures()
+        self.pool = ConnectionPool(metrics.note_connect)
+        self.failure_baseline = FailureBaseline()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
         self.crashes = CrashExchange(own_name, self.quarantine, metrics)
         self.statements = StatementExchange(own_name, directory, metrics)
-        suspects = SuspectWatch(own_name, self.quarantine)
+        suspects = SuspectTracker(own_name, self.quarantine)
         self.target_selector = TargetSelector(settings, directory, members, suspects)
-        self.news = NewsExchange(members, (self.crashes, self.statements, suspects))
+        self.news = UpdateBroadcaster(members, (self.crashes, self.statements, suspects))
         self.incarnations = IncarnationCheck(self.quarantine, self.pool, dialect, metrics)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -16,16 +16,16 @@
 from cloverway.addresses import split_address
 from cloverway.core.deployment import CallerLimits
 from cloverway.core.endpoints import Change, Directory
-from cloverway.core.entry import choose_for_caller, choose_ttl
+from cloverway.core.lookup import choose_hosts_for_caller, choose_lookup_ttl
 from cloverway.core.members import Member, Members
 from cloverway.errors import ConfigurationError, Kind, RequestError
 from cloverway.serving.clock import compute_tick_delay, read_clock, wait_for_tick
 from cloverway.serving.context import PEER_SYNC_WAIT_S, Context
 from cloverway.serving.documents.catalogue import Catalogue
-from cloverway.serving.documents.sync import DocumentSync, answer_fetch
+from cloverway.serving.documents.sync import DocumentSync, export_snapshot
 from cloverway.serving.early_sockets import EarlySockets
 from cloverway.serving.hosts.gossip import Gossip
-from cloverway.serving.http.server import REASONS, Exchange, Server, ServerTerms
+from cloverway.serving.http.server import REASONS, Exchange, Server, ServerOptions
 from cloverway.serving.ports import Dialect, Store
 from cloverway.serving.requests.forwarding import Forwarder
 from cloverway.serving.settings import FleetSettings
@@ -87,20 +87,20 @@
             self.catalogue,
             self.sync,
             self.metrics,
-            news=self.context.news,
+            broadcaster=self.context.news,
             seeds=settings.peers.seeds,
         )
-        self.catalogue.on_news = self.gossip.announce_news
-        self.gossip.sum_waiting = self.context.target_selector.sum_waiting
-        self.gossip.on_introduced = self._note_synced
-        self.context.incarnations.on_restarted = self.catalogue.note_born
-        self.context.target_selector.on_large_prompt = self.gossip.uses.tell_at_once
+        self.catalogue.on_documents_changed = self.gossip.announce_documents
+        self.gossip.get_queued_work_s = self.context.target_selector.sum_waiting
+        self.gossip.on_first_contact = self._note_synced
+        self.context.incarnations.on_restarted = self.catalogue.note_restart
+        self.context.target_selector.on_large_prompt = self.gossip.endpoint_loads.broadcast_at_once
         self.started_at = read_clock()
         self.leaving_at: float | None = None
-        terms = ServerTerms(self._get_limits, self._is_leaving, self._format_refusal)
+        terms = ServerOptions(self._get_limits, self._is_leaving, self._format_refusal)
         self.caller_server = Server(self._handle_call, terms)
         self.peer_server = Server(self._handle_inner, terms)
-        brief = terms._replace(is_brief=True)
+        brief = terms._replace(is_short_lived=True)
         self.lookup_server = Server(self._handle_lookup, brief)
         self.readiness_server = Server(self._handle_readiness, brief)
         self.metrics_server = Server(self._handle_metrics, brief)
@@ -113,7 +113,7 @@
         """
         listen = self.settings.listen
         await self.gossip.start(listen.control, early.control)
-        await self.peer_server.start(self.members.own.inner)
+        await self.peer_server.start(self.members.own.forwarding_address)
         await self.readiness_server.start(listen.readiness)
         await self.lookup_server.start(listen.lookup)
         await self.caller_server.start(listen.callers, early.callers)
@@ -121,7 +121,7 @@
         await self.metrics_server.start(f"{ip}:{listen.metrics_port}")
         runs = (
             self.gossip.run,
-            self.gossip.uses.run,
+            self.gossip.endpoint_loads.run,
             self.context.news.run,
             self.sync.run,
             self.catalogue.run,
@@ -180,7 +180,7 @@
     async def _tick(self) -> None:
         while True:
             await wait_for_tick(TICK_INTERVAL_S)
-            self.context.pool.expire(read_clock())
+            self.context.pool.close_expired(read_clock())
 
     async def _handle_call(self, exchange: Exchange) -> None:
         leaving_at = self.leaving_at
@@ -194,7 +194,7 @@
         await self.forwarder.handle(exchange)
 
     async def _handle_inner(self, exchange: Exchange) -> None:
-        documents = answer_fetch(self.catalogue.table, exchange.target)
+        documents = export_snapshot(self.catalogue.table, exchange.target)
         if documents is not None:
             await exchange.answer(200, [], documents)
             return
@@ -206,13 +206,15 @@
             await exchange.answer(404, [], b"")
             return
         age_s = read_clock() - self.started_at
-        ttl_s = choose_ttl(self.settings.lookup_ttl_s, age_s if self._has_seeds() else math.inf)
+        ttl_s = choose_lookup_ttl(
+            self.settings.lookup_ttl_s, age_s if self._has_seeds() else math.inf
+        )
         if ttl_s is None:
             log_event("lookup_refused", domain=lookup.domain, age_s=round(age_s, 3))
             await exchange.answer(503, [], b"")
             return
-        homes = self.directory.routes.count_homes(lookup.host)
-        addresses = choose_for_caller(
+        homes = self.directory.routes.count_home_regions(lookup.host)
+        addresses = choose_hosts_for_caller(
             self.members, lookup.domain, lookup.region, homes, read_clock()
         )
         log_event(
@@ -238,7 +240,7 @@
         if exchange.target != METRICS_PATH:
             await exchange.answer(404, [], b"")
             return
-        quarantined = self.context.quarantine.count_held(read_clock())
+        quarantined = self.context.quarantine.count_blocked(read_clock())
         limited = self.directory.count_limited()
         metrics = self.metrics.render(self.writer.dropped, quarantined, limited)
         await exchange.answer(200, [TEXT], metrics)
@@ -279,8 +281,8 @@
         incarnation=incarnation,
         domain=settings.domain,
         region=settings.region,
-        callers=settings.listen.callers,
-        inner=inner,
+        caller_address=settings.listen.callers,
+        forwarding_address=inner,
         capacity=settings.machine.estimate_capacity(),
     )
 
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -8,7 +8,7 @@
 from cloverway.core.calls import Call, Header
 from cloverway.core.deployment import Document, Publication, Snapshot
 from cloverway.errors import PlatformError, RequestError
-from cloverway.serving.http.client import ReplyHead
+from cloverway.serving.http.client import ResponseHead
 from cloverway.serving.http.server import Exchange
 
 
@@ -109,11 +109,11 @@
         """Return the headers of a request that is passed on to a host, in the callers' format."""
         ...
 
-    def is_answer_to(self, head: ReplyHead, call: Call) -> bool:
+    def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
         """Return whether a response belongs to a request."""
         ...
 
-    def decode_reply(self, head: ReplyHead) -> ReplyFacts:
+    def decode_reply(self, head: ResponseHead) -> ReplyFacts:
         """Decode the head of an endpoint's response."""
         ...
 
@@ -121,7 +121,7 @@
         """Return target and headers of the GET that queries an endpoint for its start time."""
         ...
 
-    def decode_incarnation(self, head: ReplyHead, body: bytes) -> IncarnationFacts:
+    def decode_incarnation(self, head: ResponseHead, body: bytes) -> IncarnationFacts:
         """Decode the response to an incarnation query."""
         ...
 
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -9,17 +9,17 @@
 
 import h11
 
-from cloverway.core.calls import PassedOn
+from cloverway.core.calls import ForwardingContext
 from cloverway.core.deployment import CallKind
-from cloverway.core.prediction import Wanted
+from cloverway.core.prediction import RoutedCall
 from cloverway.errors import Kind
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
 from cloverway.serving.http.client import (
-    AnswerError,
+    ClientExchange,
     ConnectError,
-    ReplyHead,
-    Sending,
+    ResponseError,
+    ResponseHead,
     make_request,
 )
 from cloverway.serving.ports import ReplyFacts, SendOptions
@@ -59,7 +59,7 @@
 those sends count against the retry budget."""
 
 
-class IdleTimeoutError(AnswerError):
+class IdleTimeoutError(ResponseError):
     """Nothing was received within the timeout; the other end may still be running."""
 
 
@@ -93,8 +93,8 @@
 class Answered(NamedTuple):
     """An attempt that received at least the head of a response."""
 
-    sending: Sending
-    head: ReplyHead
+    sending: ClientExchange
+    head: ResponseHead
     body: bytes | None
     """The complete body; None for a stream."""
     reached_endpoint: bool = True
@@ -119,13 +119,13 @@
     def __init__(
         self,
         context: Context,
-        wanted: Wanted,
+        routed: RoutedCall,
         target: Target,
         options: AttemptOptions,
         on_written: Callable[[], None],
     ) -> None:
         self._context = context
-        self._wanted = wanted
+        self._routed = routed
         self._target = target
         self._options = options
         self._on_written = on_written
@@ -137,9 +137,9 @@
         timeout_s = CONNECT_TIMEOUT_S if target.peer is None else REMOTE_CONNECT_TIMEOUT_S
         pool = self._context.pool
         try:
-            connection = await pool.open(target.place, timeout_s)
+            connection = await pool.acquire(target.place, timeout_s)
         except ConnectError as error:
-            is_down = error.nobody_listens and target.candidate is not None
+            is_down = error.connection_refused and target.candidate is not None
             return Declined(f"no connection: {error}", reached_endpoint=False, is_down=is_down)
         veto = self._find_veto()
         if veto is not None:
@@ -149,7 +149,7 @@
         if request is None:
             connection.abort()
             return Declined("no time is left", is_target_fault=False, reached_endpoint=False)
-        sending = Sending(connection, request, self._wanted.call.body)
+        sending = ClientExchange(connection, request, self._routed.call.body)
         kept = False
         try:
             sent_at = read_clock()
@@ -158,7 +158,7 @@
             outcome = await self._read_answer(sending, sent_at)
             kept = isinstance(outcome, Answered) and outcome.body is None
             return outcome
-        except AnswerError as error:
+        except ResponseError as error:
             return Broken(str(error), is_disconnect=not isinstance(error, IdleTimeoutError))
         finally:
             if not kept:
@@ -185,7 +185,7 @@
         now. Nothing was sent yet, so the request can be reported as not run.
         """
         target = self._target
-        call, route = self._wanted.call, self._wanted.route
+        call, route = self._routed.call, self._routed.route
         left_s = self._options.expires_at - read_clock()
         if left_s < MIN_SEND_TIME_S:
             return None
@@ -208,12 +208,12 @@
     def _encode_passed_on(self) -> bytes:
         version = self._context.get_configuration().version
         region = self._context.settings.region
-        return f"{version};{self._wanted.service.name};{region}".encode()
+        return f"{version};{self._routed.service.name};{region}".encode()
 
-    async def _read_answer(self, sending: Sending, sent_at: float) -> Outcome:
+    async def _read_answer(self, sending: ClientExchange, sent_at: float) -> Outcome:
         dialect = self._context.dialect
         target = self._target
-        call, route = self._wanted.call, self._wanted.route
+        call, route = self._routed.call, self._routed.route
         async with limit_idle_time(self._options.first_byte_timeout_s):
             head = await sending.read_head(lambda head: dialect.is_answer_to(head, call))
         facts = dialect.decode_reply(head)
@@ -234,7 +234,7 @@
             return Answered(sending, head, None)
         body = await sending.read_body(MAX_BODY_BYTES)
         if target.candidate is not None and head.status < MIN_FAILURE_STATUS:
-            target.candidate.endpoint.load.learn_work(read_clock() - sent_at)
+            target.candidate.endpoint.load.note_service_time(read_clock() - sent_at)
         return Answered(sending, head, body)
 
     def _note_statement(self, facts: ReplyFacts, sent_at: float) -> None:
@@ -242,12 +242,12 @@
         target, now = self._target, read_clock()
         if target.candidate is None or facts.is_misdirected:
             return
-        call_id = self._wanted.call.id
+        call_id = self._routed.call.id
         self._context.statements.note_answer(
             target.name, facts, request_id=call_id, sent_at=sent_at, now=now
         )
 
-    def _read_refusal(self, head: ReplyHead, ran: bytes, sent_at: float) -> Outcome:
+    def _read_refusal(self, head: ResponseHead, ran: bytes, sent_at: float) -> Outcome:
         """Return the outcome of a refusal by another host; `ran` is its RAN_HEADER."""
         target = self._target
         why = f"host {target.name} could not serve it: {head.status}"
@@ -262,7 +262,7 @@
             return Declined(
                 why, is_target_fault=False, reached_endpoint=reached_endpoint, is_quarantined=True
             )
-        service = self._wanted.service.name
+        service = self._routed.service.name
         self._context.target_selector.discard_offers(target.region, service, sent_at)
         return Declined(why, is_target_fault=False, reached_endpoint=reached_endpoint)
 
@@ -284,9 +284,9 @@
     return PEER_IDLE_TIMEOUT_S if target.peer is not None else None
 
 
-def decode_passed_on(value: bytes) -> PassedOn | None:
+def decode_passed_on(value: bytes) -> ForwardingContext | None:
     """Decode the PASSED_ON_HEADER of a request; return None when it is malformed."""
     parts = value.decode("latin-1").split(";")
     if len(parts) != 3 or not parts[0].isdigit():
         return None
-    return PassedOn(int(parts[0]), parts[1], parts[2])
+    return ForwardingContext(int(parts[0]), parts[1], parts[2])
--- a/cloverway/serving/requests/crash_tracker.py
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverway.core.prediction import STALLED_AFTER_S, Wanted
+from cloverway.core.prediction import STALLED_AFTER_S, RoutedCall
 from cloverway.core.quarantine import Crash
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
@@ -15,13 +15,13 @@
 class CrashTracker:
     """Records crashes of endpoints that ran one request, and stops the request after too many."""
 
-    def __init__(self, context: Context, wanted: Wanted, timing: Timing) -> None:
+    def __init__(self, context: Context, routed: RoutedCall, timing: Timing) -> None:
         self._context = context
-        self._digest = wanted.digest
+        self._digest = routed.digest
         self._timing = timing
         self._pending_target: Target | None = None
         """The target whose response is awaited."""
-        self._sent_at = wanted.call.arrived_at
+        self._sent_at = routed.call.arrived_at
         """When the last attempt began."""
         self.crashed: list[str] = []
         """Incarnations of endpoints that appear to have crashed while they ran the request."""
@@ -31,10 +31,10 @@
 
         `ran` tells whether earlier attempts ran it.
         """
-        hold = self._context.quarantine.get_hold(self._digest, read_clock())
+        hold = self._context.quarantine.get_block(self._digest, read_clock())
         if hold is not None:
-            why = f"{hold.ends} endpoints ended while they ran it"
-            left_s = hold.left_s if ran is Ran.NO else None
+            why = f"{hold.crashes} endpoints ended while they ran it"
+            left_s = hold.remaining_s if ran is Ran.NO else None
             raise RequestError(Kind.QUARANTINED, why, ran=ran, retry_after=left_s)
 
     async def may_send(self, target: Target) -> bool:
@@ -69,12 +69,12 @@
     def note_completed(self, target: Target, answered: Answered) -> None:
         """Record that the request got a complete response, so that it causes no crashes."""
         self._pending_target = None
-        self._context.crashes.note_served(self._digest)
+        self._context.crashes.report_served(self._digest)
         if target.candidate is not None:
             # The response proves that the incarnation is running to which the connection was
             # opened. The directory entry alone doesn't tell which that is: a restarted endpoint
             # whose entry still names its previous incarnation would clear the crash of that one.
-            life = target.candidate.endpoint.entry.life
+            life = target.candidate.endpoint.entry.incarnation
             opened_at = answered.sending.connection.opened_at
             self._context.quarantine.note_alive(life, opened_at, read_clock())
 
@@ -97,13 +97,13 @@
 
     def _note_crash(self, target: Target, at: float) -> None:
         if target.candidate is not None:
-            life = target.candidate.endpoint.entry.life
+            life = target.candidate.endpoint.entry.incarnation
             self.crashed.append(life)
-            self._context.crashes.note_end(life, self._digest, at)
+            self._context.crashes.report_crash(life, self._digest, at)
 
 
 def _is_stalled(target: Target, now: float) -> bool:
     """Return whether an endpoint made no progress on any request of this host for too long."""
     if target.candidate is None:
         return False
-    return now - target.candidate.endpoint.load.progress_at > STALLED_AFTER_S
+    return now - target.candidate.endpoint.load.last_progress_at > STALLED_AFTER_S
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -13,11 +13,11 @@
 
 from cloverway.core.calls import Call
 from cloverway.core.deployment import Route, Service
-from cloverway.core.prediction import Wanted
+from cloverway.core.prediction import RoutedCall
 from cloverway.errors import Kind, Ran, RequestError, take_worse
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
-from cloverway.serving.http.client import AnswerError
+from cloverway.serving.http.client import ResponseError
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import (
     MIN_FAILURE_STATUS,
@@ -64,10 +64,10 @@
         self.sent_at = call.arrived_at
         """When the last attempt began."""
         self.tried: Counter[str] = Counter()
-        self.wanted = Wanted(call, route, self.service, self.tried, call.compute_digest())
-        self.placement = Placement(context, self.wanted, self.expires_at)
-        self.relay = EventRelay(exchange, self.wanted)
-        self.crash_tracker = CrashTracker(context, self.wanted, self.relay.timing)
+        self.routed = RoutedCall(call, route, self.service, self.tried, call.compute_digest())
+        self.placement = Placement(context, self.routed, self.expires_at)
+        self.relay = EventRelay(exchange, self.routed)
+        self.crash_tracker = CrashTracker(context, self.routed, self.relay.timing)
 
     async def run(self) -> None:
         """Run the request to the end of its response; raise RequestError."""
@@ -136,7 +136,7 @@
         self.sends += 1
         self._log_sent(target, now)
         attempt = Attempt(
-            self.context, self.wanted, target, self._make_options(), self._note_written
+            self.context, self.routed, target, self._make_options(), self._note_written
         )
         ran_before = self.ran
         outcome: Outcome = Broken("cancelled")
@@ -200,9 +200,9 @@
             # This attempt is already counted in `runs`: can there be another one after it?
             is_resumable = self._may_repeat(self.runs)
             await self.relay.copy(target, answered, is_resumable)
-        except (AnswerError, ValueError) as error:
+        except (ResponseError, ValueError) as error:
             self.relay.discard_partial_event()
-            is_disconnect = isinstance(error, AnswerError) and not isinstance(
+            is_disconnect = isinstance(error, ResponseError) and not isinstance(
                 error, IdleTimeoutError
             )
             self._note_failure(target, Broken(str(error), is_disconnect=is_disconnect))
@@ -238,25 +238,25 @@
         if not outcome.is_target_fault:
             return
         if target.peer is not None:
-            target.peer.failed_until = now + PEER_RETRY_DELAY_S
+            target.peer.backoff_until = now + PEER_RETRY_DELAY_S
         self._blame_endpoint(target, now)
 
     def _blame_endpoint(self, target: Target, now: float) -> None:
         if target.candidate is not None:
             target.candidate.endpoint.load.note_failure(now)
-            self.context.pool.forget(target.place)
+            self.context.pool.close_idle(target.place)
 
     def _note_result(self, target: Target, failed: bool) -> None:
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
         now = read_clock()
-        usual = self.context.usual_failures
+        baseline = self.context.failure_baseline
         if failed:
-            load.note_failure(now, usual.weigh(self.route.name))
+            load.note_failure(now, baseline.weigh(self.route.name))
         else:
             load.note_success(now)
-        usual.note(self.route.name, failed)
+        baseline.note(self.route.name, failed)
 
     def _note_gaps(self, target: Target) -> None:
         objective_s = self.route.gap_objective_s
@@ -280,7 +280,7 @@
         now = read_clock()
         if self.expires_at - now < self.route.objective_s * 0.3:
             return False
-        return self.context.target_selector.has_alternative(self.wanted, now)
+        return self.context.target_selector.has_alternative(self.routed, now)
 
     def _check_repeatable(self, reason: str) -> None:
         """Raise RequestError unless a request that may have run may be sent again."""
@@ -290,7 +290,7 @@
     def _fail(self, error: RequestError) -> None:
         if self.exchange.started:
             self._log_end(error, 0)
-            self.exchange.cut()
+            self.exchange.abort()
             return
         raise error
 
@@ -308,10 +308,12 @@
             region=target.region,
             wait_s=round(candidate.wait_s, 3) if candidate else None,
             cost_s=round(candidate.cost_s, 3) if candidate else None,
-            answer_s=round(candidate.answer_s, 3) if candidate else None,
-            unread=candidate.work.unread if candidate else None,
-            fetched=candidate.work.fetched if candidate else None,
-            fetch_from=candidate.source.entry.id if candidate and candidate.source else None,
+            answer_s=round(candidate.decode_s, 3) if candidate else None,
+            unread=candidate.work.prefill_tokens if candidate else None,
+            fetched=candidate.work.fetched_tokens if candidate else None,
+            fetch_from=(
+                candidate.fetch_source.entry.id if candidate and candidate.fetch_source else None
+            ),
             limit_per_s=self.context.directory.statements.get(target.name).limit_per_s,
             waited_s=round(now - self.call.arrived_at, 3),
             left_s=round(self.expires_at - now, 3),
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverway.core.calls import Call, PassedOn
+from cloverway.core.calls import Call, ForwardingContext
 from cloverway.core.deployment import Route
 from cloverway.errors import Kind, RequestError
 from cloverway.serving.clock import read_clock
@@ -43,7 +43,7 @@
         exchange.headers = [item for item in exchange.headers if item[0] != PASSED_ON_HEADER]
         await self._run(exchange, origin)
 
-    async def _run(self, exchange: Exchange, origin: PassedOn | None) -> None:
+    async def _run(self, exchange: Exchange, origin: ForwardingContext | None) -> None:
         call: Call | None = None
         execution: RequestExecution | None = None
         try:
@@ -105,6 +105,6 @@
         total_s = read_clock() - exchange.arrived_at
         self._context.metrics.note_request("", error.kind, None, total_s, 0.0)
         if exchange.started:
-            exchange.cut()
+            exchange.abort()
             return
         await exchange.answer(status, headers, body)
--- a/cloverway/serving/requests/incarnations.py
+++ b/cloverway/serving/requests/incarnations.py
@@ -9,7 +9,13 @@
 from cloverway.core.endpoints import Endpoint
 from cloverway.core.quarantine import Quarantine
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import AnswerError, ConnectError, Pool, fetch, make_request
+from cloverway.serving.http.client import (
+    ConnectError,
+    ConnectionPool,
+    ResponseError,
+    fetch,
+    make_request,
+)
 from cloverway.serving.ports import Dialect, IncarnationFacts
 from cloverway.serving.telemetry import Metrics, log_event
 
@@ -47,7 +53,7 @@
     """
 
     def __init__(
-        self, quarantine: Quarantine, pool: Pool, dialect: Dialect, metrics: Metrics
+        self, quarantine: Quarantine, pool: ConnectionPool, dialect: Dialect, metrics: Metrics
     ) -> None:
         self._quarantine = quarantine
         self._pool = pool
@@ -60,8 +66,8 @@
 
     async def may_send(self, endpoint: Endpoint, digest: int) -> bool:
         """Return whether a request may be sent to an endpoint that may have crashed under it."""
-        life = endpoint.entry.life
-        if endpoint.entry.born_ms is None or not self._quarantine.has_ended(digest, life):
+        life = endpoint.entry.incarnation
+        if endpoint.entry.started_ms is None or not self._quarantine.has_crashed(digest, life):
             return True
         query = self._queries.get(life)
         if query is None:
@@ -79,8 +85,10 @@
             status = self._note_facts(endpoint, facts)
         except ConnectError as error:
             why = str(error)
-            status = IncarnationStatus.GONE if error.nobody_listens else IncarnationStatus.SILENT
-        except AnswerError as error:
+            status = (
+                IncarnationStatus.GONE if error.connection_refused else IncarnationStatus.SILENT
+            )
+        except ResponseError as error:
             why, status = str(error), IncarnationStatus.SILENT
         now = read_clock()
         if status is IncarnationStatus.GONE:
@@ -90,7 +98,7 @@
         self._metrics.note_event(f"life_{status.value}")
         log_event(
             "life_asked",
-            life=endpoint.entry.life,
+            life=endpoint.entry.incarnation,
             standing=status.value,
             born_ms=born_ms,
             why=why or None,
@@ -113,13 +121,13 @@
         if facts.is_misdirected:
             endpoint.misdirected_at = now
             return IncarnationStatus.GONE
-        if facts.born_ms is None or entry.born_ms is None:
+        if facts.born_ms is None or entry.started_ms is None:
             return IncarnationStatus.UNKNOWN
-        if facts.born_ms > entry.born_ms:
+        if facts.born_ms > entry.started_ms:
             self.on_restarted(entry.id, facts.born_ms)
             return IncarnationStatus.RESTARTED
-        if facts.born_ms < entry.born_ms:
+        if facts.born_ms < entry.started_ms:
             # The previous incarnation answered; that doesn't tell whether this one is running.
             return IncarnationStatus.UNKNOWN
-        self._quarantine.note_found(entry.life, now)
+        self._quarantine.note_confirmed_alive(entry.incarnation, now)
         return IncarnationStatus.SAME
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -4,7 +4,7 @@
 
 import random
 
-from cloverway.core.prediction import Wanted, estimate_read
+from cloverway.core.prediction import RoutedCall, estimate_prefill_s
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
@@ -33,9 +33,9 @@
 class Placement:
     """Obtains the targets of one request."""
 
-    def __init__(self, context: Context, wanted: Wanted, expires_at: float) -> None:
+    def __init__(self, context: Context, routed: RoutedCall, expires_at: float) -> None:
         self._context = context
-        self._wanted = wanted
+        self._routed = routed
         self._expires_at = expires_at
         """Time at which the response is no longer of use."""
 
@@ -51,37 +51,37 @@
             raise RequestError(Kind.DEADLINE, "no time is left", ran=ran)
         if is_retry and not self._spend_retry_budget(now):
             raise self._refuse("the retry budget is spent", ran)
-        queue = target_selector.get_queue(self._wanted.service.name)
+        queue = target_selector.get_queue(self._routed.service.name)
         ticket = self._make_ticket()
         target = queue.try_acquire(ticket, self._take, now)
         if target is not None:
             return target
         expected_s = target_selector.estimate_start(
-            self._wanted, queue.sum_work_ahead(ticket, now), now
+            self._routed, queue.sum_work_ahead(ticket, now), now
         )
         queue_timeout_s = self._compute_queue_timeout(now)
         if expected_s is not None and expected_s > queue_timeout_s:
-            why = target_selector.explain(self._wanted, now)
+            why = target_selector.explain(self._routed, now)
             raise self._refuse(why, ran, expected_s - queue_timeout_s)
         target = await queue.wait(
             ticket, self._take, now + queue_timeout_s, target_selector.release
         )
         if target is None:
-            raise self._refuse(target_selector.explain(self._wanted, read_clock()), ran)
+            raise self._refuse(target_selector.explain(self._routed, read_clock()), ran)
         return target
 
     def _take(self, ahead_s: float) -> Target | None:
-        return self._context.target_selector.take(self._wanted, ahead_s, read_clock())
+        return self._context.target_selector.take(self._routed, ahead_s, read_clock())
 
     def _make_ticket(self) -> QueueTicket:
-        call, route = self._wanted.call, self._wanted.route
-        read_s = estimate_read(self._wanted)
+        call, route = self._routed.call, self._routed.route
+        read_s = estimate_prefill_s(self._routed)
         latest_start_at = call.arrived_at + route.objective_s - read_s
         return QueueTicket(QueueRank(route.priority, call.arrived_at), read_s, latest_start_at)
 
     def _compute_queue_timeout(self, now: float) -> float:
         """Return how long the request may be queued, in seconds."""
-        call, objective_s = self._wanted.call, self._wanted.route.objective_s
+        call, objective_s = self._routed.call, self._routed.route.objective_s
         if call.passed_on is not None:
             return PASSED_ON_WAIT_FRACTION * objective_s
         may_wait_s = QUEUE_WAIT_FRACTION * (self._expires_at - call.arrived_at)
@@ -92,10 +92,10 @@
         """Return the refusal; `excess_s` is the expected queueing time beyond the queue timeout."""
         if ran is not Ran.NO:
             return RequestError(Kind.ENDPOINT_FAILED, why, ran=ran)
-        part_s = random.uniform(*RETRY_AFTER_FRACTIONS) * self._wanted.route.objective_s
+        part_s = random.uniform(*RETRY_AFTER_FRACTIONS) * self._routed.route.objective_s
         retry_s = max(MIN_RETRY_AFTER_S, part_s, min(excess_s, MAX_RETRY_AFTER_S))
         return RequestError(Kind.NO_CAPACITY, why, ran=Ran.NO, retry_after=retry_s)
 
     def _spend_retry_budget(self, now: float) -> bool:
-        hosts = self._context.members.count_fleet()
-        return self._context.get_budget(self._wanted.service.name).take(hosts, now)
+        hosts = self._context.members.count_hosts()
+        return self._context.get_budget(self._routed.service.name).take(hosts, now)
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from cloverway.core.calls import Header
-from cloverway.core.pauses import Gap
-from cloverway.core.prediction import DEFAULT_GAP_S, Wanted
+from cloverway.core.prediction import DEFAULT_GAP_OBJECTIVE_S, RoutedCall
+from cloverway.core.token_gaps import TokenGap
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.client import ReplyHead, Sending
-from cloverway.serving.http.events import EventSplitter
+from cloverway.serving.http.client import ClientExchange, ResponseHead
+from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import Answered, limit_idle_time
 from cloverway.serving.requests.target_selector import Target
@@ -40,10 +40,10 @@
 class EventRelay:
     """Copies the events of one stream to its caller, possibly from several endpoints in turn."""
 
-    def __init__(self, exchange: Exchange, wanted: Wanted) -> None:
+    def __init__(self, exchange: Exchange, routed: RoutedCall) -> None:
         self._exchange = exchange
-        self._wanted = wanted
-        self._events = EventSplitter(wanted.call.last_event_id)
+        self._routed = routed
+        self._events = EventSplitter(routed.call.last_event_id)
         self.timing = Timing()
 
     @property
@@ -53,15 +53,15 @@
 
     def discard_partial_event(self) -> None:
         """Discard the received part of an event that will never be completed."""
-        self._events.drop_rest()
+        self._events.drop_incomplete()
 
     async def copy(self, target: Target, answered: Answered, is_resumable: bool) -> None:
-        """Copy the events of an endpoint to their end; raise AnswerError or ValueError.
+        """Copy the events of an endpoint to their end; raise ResponseError or ValueError.
 
         If `is_resumable`, the stream may continue on another endpoint, so that a stall of this one
         raises IdleTimeoutError.
         """
-        gap_s = max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_OBJECTIVES * self._wanted.route.gap_objective_s)
+        gap_s = max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_OBJECTIVES * self._routed.route.gap_objective_s)
         timeout_s = gap_s if is_resumable else None
         waiting_since: float | None = None
         while part := await self._read(answered.sending, timeout_s):
@@ -74,16 +74,16 @@
             await self._exchange.send(b"".join(events))
             waiting_since = read_clock()
         self._start(answered.head)
-        rest = self._events.take_rest()
+        rest = self._events.take_incomplete()
         if rest:
             await self._exchange.send(rest)
         self._exchange.finish()
 
-    async def _read(self, sending: Sending, timeout_s: float | None) -> bytes:
+    async def _read(self, sending: ClientExchange, timeout_s: float | None) -> bytes:
         async with limit_idle_time(timeout_s):
-            return await sending.read_part()
+            return await sending.read_chunk()
 
-    def _start(self, head: ReplyHead) -> None:
+    def _start(self, head: ResponseHead) -> None:
         if not self._exchange.started:
             self._exchange.start(head.status, list_end_to_end_headers(head))
 
@@ -94,15 +94,17 @@
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
-        load.note_first(target.number, now)
+        load.note_first_event(target.number, now)
         if waiting_since is not None:
             # Time spent on a slow caller or on changing endpoints isn't a gap of this engine.
             load.note_gap(self._make_gap(now - waiting_since, events), now)
 
-    def _make_gap(self, seconds: float, events: int) -> Gap:
-        shape = self._wanted.service.engine
-        tokens = events * shape.event_tokens if shape is not None else 0
-        return Gap(seconds, self._wanted.route.gap_objective_s or DEFAULT_GAP_S, tokens)
+    def _make_gap(self, seconds: float, events: int) -> TokenGap:
+        shape = self._routed.service.engine
+        tokens = events * shape.tokens_per_event if shape is not None else 0
+        return TokenGap(
+            seconds, self._routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S, tokens
+        )
 
 
 HOP_BY_HOP = frozenset(
@@ -114,7 +116,7 @@
 """Headers that apply to one connection only; Content-Length is set again when the body is known."""
 
 
-def list_end_to_end_headers(head: ReplyHead) -> list[Header]:
+def list_end_to_end_headers(head: ResponseHead) -> list[Header]:
     """Return the headers of a response that are forwarded to the caller."""
     named = {
         token.strip().lower()
--- a/cloverway/serving/requests/target_selector.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -7,32 +7,32 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import NamedTuple
 
-from cloverway.core.choice import (
-    choose_endpoint,
-    choose_region,
-    estimate_start,
-    estimate_wait,
-    update_offer,
-)
+from cloverway.core.cold_start import compute_cold_send_interval
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Directory, Endpoint
-from cloverway.core.fetch import Source, find_source
-from cloverway.core.isolation import Isolation, keep_apart
-from cloverway.core.members import Members, Offer, Peer
-from cloverway.core.pacing import compute_cold_spacing
+from cloverway.core.isolation import LargePromptIsolation, apply_isolation
+from cloverway.core.kv_fetch import FetchSource, find_source
+from cloverway.core.members import AdvertisedCapacity, Members, Peer
 from cloverway.core.prediction import (
     Candidate,
-    Far,
-    RegionOffer,
+    RegionCandidate,
+    RemoteRegion,
+    RoutedCall,
     Sender,
-    Wanted,
-    estimate_far_work,
+    estimate_remote_work,
     predict,
     predict_region,
 )
+from cloverway.core.selection import (
+    choose_endpoint,
+    choose_region,
+    estimate_start,
+    estimate_wait,
+    extrapolate_offer,
+)
 from cloverway.serving.clock import read_clock
-from cloverway.serving.hosts.suspects import SuspectWatch
-from cloverway.serving.http.client import Place
+from cloverway.serving.hosts.suspects import SuspectTracker
+from cloverway.serving.http.client import Destination
 from cloverway.serving.requests.limit_shares import LimitShares
 from cloverway.serving.requests.request_queue import RequestQueue
 from cloverway.serving.settings import FleetSettings
@@ -71,13 +71,13 @@
     @property
     def fetch_from(self) -> str:
         """The address of the endpoint to fetch cached prompt segments from, or an empty string."""
-        source = self.candidate.source if self.candidate is not None else None
+        source = self.candidate.fetch_source if self.candidate is not None else None
         return source.entry.address if source is not None else ""
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Destination:
         """The address and endpoint that a connection for the request leads to."""
-        return Place(self.address, self.name if self.candidate is not None else "")
+        return Destination(self.address, self.name if self.candidate is not None else "")
 
 
 class TargetSelector:
@@ -88,7 +88,7 @@
         settings: FleetSettings,
         directory: Directory,
         members: Members,
-        suspects: SuspectWatch,
+        suspects: SuspectTracker,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -97,7 +97,7 @@
         self._started_at = read_clock()
         self._numbers = itertools.count(1)
         self._queues: dict[str, RequestQueue[Target]] = {}
-        self._isolations: dict[str, Isolation] = {}
+        self._isolations: dict[str, LargePromptIsolation] = {}
         self._shares = LimitShares(members, directory, self._started_at)
         self._isolated: dict[str, frozenset[str]] = {}
         """The engines that large prompts of each service were last restricted to."""
@@ -112,25 +112,25 @@
         """Return the seconds of work of the requests that are queued here for a service."""
         return self.get_queue(service).sum_work()
 
-    def take(self, wanted: Wanted, ahead_s: float, now: float) -> Target | None:
+    def take(self, routed: RoutedCall, ahead_s: float, now: float) -> Target | None:
         """Reserve a target for a request; return None when there is none now.
 
         `ahead_s` is the work of the requests queued before it.
         """
-        candidates = self.list_candidates(wanted, now)
+        candidates = self.list_candidates(routed, now)
         local = choose_endpoint(candidates)
-        if wanted.call.passed_on is None:
-            offers = self._list_offers(wanted, now)
+        if routed.call.passed_on is None:
+            offers = self._list_offers(routed, now)
             local_cost_s = local.cost_s if local is not None else estimate_wait(candidates, ahead_s)
             remote = choose_region(local_cost_s, offers, REMOTE_REGION_MARGIN_S)
-            peer = self._choose_peer(wanted, remote.region, now) if remote is not None else None
+            peer = self._choose_peer(routed, remote.region, now) if remote is not None else None
             if peer is not None:
-                return self._take_remote(peer, wanted.service)
-        return self._take_local(wanted, local, now) if local is not None else None
+                return self._take_remote(peer, routed.service)
+        return self._take_local(routed, local, now) if local is not None else None
 
-    def estimate_start(self, wanted: Wanted, ahead_s: float, now: float) -> float | None:
+    def estimate_start(self, routed: RoutedCall, ahead_s: float, now: float) -> float | None:
         """Estimate the seconds until a request behind others can start here; None if unknown."""
-        return estimate_start(self.list_candidates(wanted, now), ahead_s)
+        return estimate_start(self.list_candidates(routed, now), ahead_s)
 
     def release(self, target: Target) -> None:
         """Release a reserved target."""
@@ -147,35 +147,35 @@
         `sent_at` already accounts for that queue and is kept.
         """
         for peer in self._members.peers.values():
-            if peer.member.region == region and peer.offers_at <= sent_at:
-                peer.offers.pop(service, None)
+            if peer.member.region == region and peer.advertised_at <= sent_at:
+                peer.advertised.pop(service, None)
 
-    def explain(self, wanted: Wanted, now: float) -> str:
+    def explain(self, routed: RoutedCall, now: float) -> str:
         """Return why no target can be selected for a request."""
-        if not self._directory.list_usable(wanted.service.name, now):
+        if not self._directory.list_usable(routed.service.name, now):
             return "no usable endpoint of the service is known"
-        candidates = self.list_candidates(wanted, now)
+        candidates = self.list_candidates(routed, now)
         if not candidates:
             return "no endpoint that may run it is left in this region"
-        full = sum(candidate.full for candidate in candidates)
+        full = sum(candidate.is_full for candidate in candidates)
         limited = sum(self._directory.is_limited(candidate.endpoint) for candidate in candidates)
         by_limit = f", {limited} name a limit" if limited else ""
         return f"{full} of {len(candidates)} endpoints here are full{by_limit}"
 
-    def has_alternative(self, wanted: Wanted, now: float) -> bool:
+    def has_alternative(self, routed: RoutedCall, now: float) -> bool:
         """Return whether an endpoint here or another region may run a request that failed once.
 
         If other regions were ignored, a region with a single endpoint of the service would never
         retry.
         """
-        if self.list_candidates(wanted, now):
+        if self.list_candidates(routed, now):
             return True
-        return wanted.call.passed_on is None and bool(self._list_offers(wanted, now))
+        return routed.call.passed_on is None and bool(self._list_offers(routed, now))
 
-    def list_candidates(self, wanted: Wanted, now: float) -> Sequence[Candidate]:
+    def list_candidates(self, routed: RoutedCall, now: float) -> Sequence[Candidate]:
         """List the endpoints of this region that may run a request, with their predictions."""
         region = self._settings.region
-        if wanted.route.homes and region not in wanted.route.homes:
+        if routed.route.home_regions and region not in routed.route.home_regions:
             return []
         sender = Sender(
             self._settings.domain,
@@ -184,22 +184,22 @@
         )
         local_endpoints = [
             endpoint
-            for endpoint in self._directory.list_usable(wanted.service.name, now)
+            for endpoint in self._directory.list_usable(routed.service.name, now)
             if endpoint.region == region
         ]
-        source = _find_source(wanted, local_endpoints, now)
+        source = _find_source(routed, local_endpoints, now)
         predicted = (
-            predict(wanted, endpoint, sender=sender, now=now, source=source)
+            predict(routed, endpoint, sender=sender, now=now, source=source)
             for endpoint in local_endpoints
-            if not wanted.tried[endpoint.entry.life]
-            and self._allows_cold_send(endpoint, wanted.service, now)
+            if not routed.tried[endpoint.entry.incarnation]
+            and self._allows_cold_send(endpoint, routed.service, now)
         )
-        allowed = list(self._filter_by_limit(predicted, wanted.service, now))
-        candidates = self._suspects.keep_apart(wanted, allowed, now)
-        if wanted.service.engine is None or wanted.call.prompt is None:
+        allowed = list(self._filter_by_limit(predicted, routed.service, now))
+        candidates = self._suspects.weigh_candidates(routed, allowed, now)
+        if routed.service.engine is None or routed.call.prompt is None:
             return candidates
-        return keep_apart(
-            wanted, candidates, self._choose_isolated(wanted.service.name, local_endpoints, now)
+        return apply_isolation(
+            routed, candidates, self._choose_isolated(routed.service.name, local_endpoints, now)
         )
 
     def _filter_by_limit(
@@ -215,17 +215,17 @@
             wait_s = self._shares.estimate_wait(candidate.endpoint, waiting, now)
             if wait_s is not None:
                 pause_s = self._directory.get_pause_s(candidate.endpoint, now)
-                yield candidate.delay(max(wait_s, pause_s))
+                yield candidate.with_delay(max(wait_s, pause_s))
 
-    def get_isolation(self, service: str) -> Isolation:
+    def get_isolation(self, service: str) -> LargePromptIsolation:
         """Return the recorded prefills and inter-token gaps of a service."""
-        return self._isolations.setdefault(service, Isolation(service))
+        return self._isolations.setdefault(service, LargePromptIsolation(service))
 
     def _choose_isolated(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> frozenset[str]:
         """Choose the engines that large prompts are restricted to, and log each change."""
-        chosen = self.get_isolation(service).choose(endpoints, now)
+        chosen = self.get_isolation(service).select_engines(endpoints, now)
         if chosen != self._isolated.get(service, frozenset()):
             self._isolated[service] = chosen
             log_event("large_prompts_kept", service=service, endpoints=sorted(chosen))
@@ -244,7 +244,7 @@
         reserved_service = service.name if service.engine is None else ""
         number = next(self._numbers)
         return Target(
-            member.inner,
+            member.forwarding_address,
             member.name,
             member.region,
             number,
@@ -255,54 +255,56 @@
     def _adjust_free(self, region: str, service: str, by: int) -> None:
         """Change the number of places that a region is assumed to have free."""
         for peer in self._members.peers.values():
-            offer = peer.offers.get(service)
+            offer = peer.advertised.get(service)
             if peer.member.region == region and offer is not None:
-                peer.offers[service] = offer._replace(free=offer.free + by)
+                peer.advertised[service] = offer._replace(free_slots=offer.free_slots + by)
 
-    def _take_local(self, wanted: Wanted, local: Candidate, now: float) -> Target:
+    def _take_local(self, routed: RoutedCall, local: Candidate, now: float) -> Target:
         endpoint = local.endpoint
         number = next(self._numbers)
-        endpoint.load.begin(number, local.work, wanted.call.prompt, now)
-        if local.work.unread:
-            self.get_isolation(wanted.service.name).note_prompt(wanted, local, now)
-        if local.work.unread >= MIN_BROADCAST_TOKENS:
+        endpoint.load.begin(number, local.work, routed.call.prompt, now)
+        if local.work.prefill_tokens:
+            self.get_isolation(routed.service.name).note_prompt(routed, local, now)
+        if local.work.prefill_tokens >= MIN_BROADCAST_TOKENS:
             self.on_large_prompt()
         if endpoint.is_cold(now):
-            endpoint.last_cold_send = now
+            endpoint.last_cold_send_at = now
         self._shares.take(endpoint, now)
         entry = endpoint.entry
-        until = min(wanted.call.deadline, wanted.call.arrived_at + wanted.route.timeout_s)
-        self._suspects.begin(number, wanted, entry.life, until, now)
-        return Target(entry.address, entry.life, self._settings.region, number, candidate=local)
+        until = min(routed.call.deadline, routed.call.arrived_at + routed.route.timeout_s)
+        self._suspects.begin(number, routed, entry.incarnation, until, now)
+        return Target(
+            entry.address, entry.incarnation, self._settings.region, number, candidate=local
+        )
 
     def _allows_cold_send(self, endpoint: Endpoint, service: Service, now: float) -> bool:
         """Return whether a cold endpoint may get a request now; always true for a warm one."""
-        if not endpoint.is_cold(now) or not service.cold_per_s:
+        if not endpoint.is_cold(now) or not service.cold_requests_per_s:
             return True
-        spacing = compute_cold_spacing(
-            service.cold_per_s,
+        spacing = compute_cold_send_interval(
+            service.cold_requests_per_s,
             self._settings.cold,
             endpoint.entry.id,
             self._members.own.name,
             self._members.list_region(),
             age_s=now - self._started_at,
         )
-        return spacing is not None and now - endpoint.last_cold_send >= spacing
+        return spacing is not None and now - endpoint.last_cold_send_at >= spacing
 
-    def _list_offers(self, wanted: Wanted, now: float) -> list[RegionOffer]:
+    def _list_offers(self, routed: RoutedCall, now: float) -> list[RegionCandidate]:
         """Predict the cost of a request in each other region that may run it and has capacity."""
         predicted = []
-        work = estimate_far_work(wanted.call)
-        for region, offer in self._find_latest_offers(wanted.service.name, now).items():
-            is_home = not wanted.route.homes or region in wanted.route.homes
-            has_room = offer.free > 0 and offer.room >= work.unread
-            if is_home and has_room and wanted.tried[region] < MAX_REGION_DECLINES:
+        work = estimate_remote_work(routed.call)
+        for region, offer in self._find_latest_offers(routed.service.name, now).items():
+            is_home = not routed.route.home_regions or region in routed.route.home_regions
+            has_room = offer.free_slots > 0 and offer.max_prompt_tokens >= work.prefill_tokens
+            if is_home and has_room and routed.tried[region] < MAX_REGION_DECLINES:
                 predicted.append(
-                    predict_region(wanted, offer, Far(region, INTER_REGION_RTT_S), now)
+                    predict_region(routed, offer, RemoteRegion(region, INTER_REGION_RTT_S), now)
                 )
         return predicted
 
-    def _find_latest_offers(self, service: str, now: float) -> dict[str, Offer]:
+    def _find_latest_offers(self, service: str, now: float) -> dict[str, AdvertisedCapacity]:
         """Return the capacity that each other region advertised last.
 
         If several hosts of a region advertise, the most favourable value would be the least
@@ -311,25 +313,25 @@
         latest: dict[str, Peer] = {}
         for peer in self._members.list_alive(now):
             region = peer.member.region
-            usable = service in peer.offers and peer.member.ready and now >= peer.failed_until
+            usable = service in peer.advertised and peer.member.ready and now >= peer.backoff_until
             if region == self._settings.region or not usable:
                 continue
-            if region not in latest or peer.offers_at > latest[region].offers_at:
+            if region not in latest or peer.advertised_at > latest[region].advertised_at:
                 latest[region] = peer
         return {
-            region: update_offer(peer.offers[service], now - peer.offers_at)
+            region: extrapolate_offer(peer.advertised[service], now - peer.advertised_at)
             for region, peer in latest.items()
         }
 
-    def _choose_peer(self, wanted: Wanted, region: str, now: float) -> Peer | None:
-        peers = self._members.list_for_passing(region, now)
-        peers = [peer for peer in peers if not wanted.tried[peer.member.name]]
+    def _choose_peer(self, routed: RoutedCall, region: str, now: float) -> Peer | None:
+        peers = self._members.list_forwarding_targets(region, now)
+        peers = [peer for peer in peers if not routed.tried[peer.member.name]]
         return random.choice(peers) if peers else None
 
 
-def _find_source(wanted: Wanted, endpoints: list[Endpoint], now: float) -> Source | None:
+def _find_source(routed: RoutedCall, endpoints: list[Endpoint], now: float) -> FetchSource | None:
     """Find the endpoint that others may fetch the KV cache of a prompt's prefix from."""
-    prompt, shape = wanted.call.prompt, wanted.service.engine
+    prompt, shape = routed.call.prompt, routed.service.engine
     if prompt is None or shape is None or not shape.can_fetch:
         return None
     return find_source(prompt, endpoints, now)
--- a/cloverway/tests/test_at_most_once.py
+++ b/cloverway/tests/test_at_most_once.py
@@ -14,13 +14,13 @@
     Recorded,
     Settlement,
 )
-from cloverway.tests.ledgers import ANSWER, BOUNDS, claim_of, issue, make_ledger, settle_of
+from cloverway.tests.ledgers import ANSWER, BOUNDS, issue, make_claim, make_ledger, make_settle_call
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Claimants that are killed, paused and late; messages lost, doubled and out of order.
+    """Claimants that are killed, paused and late; messages lost, duplicated and out of order.
 
-    `runs` counts the runs of each key, as its endpoint would; two of them are the failure.
+    `runs` counts the runs of each key, as its endpoint would; two runs of one key are the failure.
     """
 
     def __init__(self):
@@ -58,7 +58,7 @@
     )
     def claim(self, data, left_s, fate):
         key = data.draw(st.sampled_from(self.keys))
-        call = claim_of(key, f"c{next(self.names)}", left_s=left_s)
+        call = make_claim(key, f"c{next(self.names)}", left_s=left_s)
         if fate != "arrives":
             self.late_claims.append((call, self.now))
         if fate != "late":
@@ -73,7 +73,7 @@
     def deliver(self, call, sent_at, lost):
         result = self.ledger.claim(call, self.now)
         if isinstance(result, Grant):
-            # A late copy of a claim gets its grant again, but its claimant waits for none any more.
+            # A late duplicate of a claim gets its grant again, but its claimant no longer waits.
             assert not self.runs[call.key] or call.claimant in self.held
             if not lost and call.claimant not in self.held:
                 self.held[call.claimant] = (call.key, sent_at + result.lifetime_s)
@@ -95,7 +95,7 @@
             self.runs[key] += 1
         if not killed:
             recorded = ANSWER if settlement is Settlement.DONE else None
-            self.settled.append(settle_of(key, settlement, claimant, recorded))
+            self.settled.append(make_settle_call(key, settlement, claimant, recorded))
             self.ledger.settle(self.settled[-1], self.now)
 
     @precondition(lambda self: self.settled)
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -144,7 +144,11 @@
     def is_up_to_date(self):
         """Return whether all hosts know the running incarnations."""
         known = [
-            host.directory.endpoints[name].entry.born_ms if name in host.directory.endpoints else 0
+            (
+                host.directory.endpoints[name].entry.started_ms
+                if name in host.directory.endpoints
+                else 0
+            )
             for host in self.fleet.hosts
             for name in self.incarnations
         ]
@@ -203,7 +207,7 @@
         await wait_for(lambda: crashing.count_usable(host) >= 2)
         assert (await crashing.fleet.call("/stream/a", host, body=CRASHING_BODY)).status == 502
     assert len(crashing.crashed) == MAX_CRASHES
-    assert host.context.quarantine.count_held(read_clock()) == 1
+    assert host.context.quarantine.count_blocked(read_clock()) == 1
 
 
 def test_all_regions_and_joining_hosts_refuse_a_quarantined_request():
@@ -240,15 +244,15 @@
     async def scenario():
         async with run_crashing_fleet() as crashing:
             local, partitioned = crashing.fleet.hosts
-            local.gossip.news.retell = lambda now: None
-            hear = partitioned.gossip.news.hear
-            partitioned.gossip.news.hear = lambda message, now: True
+            local.gossip.broadcaster.rebroadcast = lambda now: None
+            hear = partitioned.gossip.broadcaster.receive
+            partitioned.gossip.broadcaster.receive = lambda message, now: True
             await quarantine_request(crashing, local)
             await asyncio.sleep(0.5)
-            partitioned.gossip.news.hear = hear
+            partitioned.gossip.broadcaster.receive = hear
             del local.members.peers[partitioned.members.own.name]
             await wait_for(
-                lambda: partitioned.context.quarantine.count_held(read_clock()) == 1, 2.0
+                lambda: partitioned.context.quarantine.count_blocked(read_clock()) == 1, 2.0
             )
             assert (
                 await crashing.fleet.call("/stream/a", partitioned, body=CRASHING_BODY)
@@ -267,10 +271,10 @@
     async def scenario():
         async with run_crashing_fleet(("d1", "d2"), ("d1", "d1")) as crashing:
             local, remote = crashing.fleet.hosts
-            local.gossip.news.send = lambda address, data: None
+            local.gossip.broadcaster.send = lambda address, data: None
             await quarantine_request(crashing, local)
             (peer,) = remote.members.peers.values()
-            await wait_for(lambda: "model" in peer.offers)
+            await wait_for(lambda: "model" in peer.advertised)
             discarded = []
             remote.context.target_selector.discard_offers = lambda *names: discarded.append(names)
             reply = await crashing.fleet.call("/stream/a", remote, body=CRASHING_BODY)
@@ -293,8 +297,8 @@
         async with run_crashing_fleet(("d1",)) as crashing:
             (host,) = crashing.fleet.hosts
             await quarantine_request(crashing, host)
-            host.context.target_selector.take = lambda wanted, ahead_s, now: None
-            host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.target_selector.take = lambda routed, ahead_s, now: None
+            host.context.target_selector.estimate_start = lambda routed, ahead_s, now: None
             began = read_clock()
             reply = await crashing.fleet.call("/stream/a", body=CRASHING_BODY)
             assert read_clock() - began < 0.3
@@ -340,12 +344,12 @@
             choose, go_on = host.context.target_selector.take, asyncio.Event()
             waits = []
 
-            def wait(wanted, ahead_s, now):
-                waits.append(wanted.call.compute_digest())
-                return choose(wanted, ahead_s, now) if go_on.is_set() else None
+            def wait(routed, ahead_s, now):
+                waits.append(routed.call.compute_digest())
+                return choose(routed, ahead_s, now) if go_on.is_set() else None
 
             host.context.target_selector.take = wait
-            host.context.target_selector.estimate_start = lambda wanted, ahead_s, now: None
+            host.context.target_selector.estimate_start = lambda routed, ahead_s, now: None
             sending = await crashing.fleet.begin_call("/stream/a", body=CRASHING_BODY)
             await wait_for(lambda: waits)
             for number in range(MAX_CRASHES):
@@ -356,7 +360,7 @@
             assert head.status == 503
             assert not crashing.crashed
             engines = host.directory.endpoints.values()
-            assert not any(engine.load.sum_own().running for engine in engines)
+            assert not any(engine.load.get_own_load().running for engine in engines)
 
     play(scenario)
 
--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -65,7 +65,7 @@
             await wait_for(lambda: all(len(h.members.peers) == 1 for h in fleet.hosts))
             leaving.is_leaving = True
             await wait_until_leaving_is_known(fleet, first)
-            await wait_for(lambda: second.directory.endpoints["desk-0"].has_said_leaving)
+            await wait_for(lambda: second.directory.endpoints["desk-0"].has_announced_leaving)
             before = len(leaving.arrivals)
             assert await send_load(fleet, second, 1.0) == {200}
             assert len(leaving.arrivals) == before
@@ -81,17 +81,17 @@
             host = fleet.hosts[0]
             leaving = LeavingEndpoint(fleet.endpoints["desk-0"])
             pool = host.context.pool
-            open_connection = pool.open
+            open_connection = pool.acquire
 
             async def open_slowly(place, timeout_s):
                 connection = await open_connection(place, timeout_s)
                 if place.address == leaving.endpoint.address:
-                    host.directory.note_statement(place.life, Statement(leaving=True))
+                    host.directory.note_statement(place.incarnation, Statement(leaving=True))
                 return connection
 
-            pool.open = open_slowly
+            pool.acquire = open_slowly
             assert await send_load(fleet, host, 0.5) == {200}
-            assert host.directory.endpoints["desk-0"].has_said_leaving
+            assert host.directory.endpoints["desk-0"].has_announced_leaving
             assert leaving.arrivals == []
 
     play(scenario)
@@ -101,6 +101,6 @@
     """Send requests to a host until it knows that an endpoint is leaving."""
     for _ in range(50):
         await fleet.call("/safe/a", host)
-        if any(endpoint.has_said_leaving for endpoint in host.directory.endpoints.values()):
+        if any(endpoint.has_announced_leaving for endpoint in host.directory.endpoints.values()):
             return
     raise AssertionError("the endpoint was never asked")
--- a/cloverway/tests/test_fleet_restarts.py
+++ b/cloverway/tests/test_fleet_restarts.py
@@ -6,7 +6,7 @@
 import math
 from contextlib import asynccontextmanager
 
-from cloverway.core.endpoints import REFUSED_S
+from cloverway.core.endpoints import REFUSED_BACKOFF_S
 from cloverway.serving.clock import read_clock
 from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service, share_part
@@ -93,14 +93,14 @@
         async with run_fleet(endpoints=1) as fleet:
             first = fleet.endpoints["desk-0"]
             fleet.store.put("servers/desk-0", first.describe(born=1_000))
-            await wait_for(lambda: get_entry(fleet, "desk-0").born_ms == 1_000)
+            await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 1_000)
             await fleet.call("/once/")
             old = [exchange.connection for exchange in first.requests]
             fleet.store.put("servers/desk-0", first.describe(born=1_000, state="draining"))
             await wait_for(lambda: get_entry(fleet, "desk-0").draining)
             fleet.store.put("servers/desk-0", first.describe(born=2_000))
             began = read_clock()
-            await wait_for(lambda: get_entry(fleet, "desk-0").born_ms == 2_000)
+            await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 2_000)
             count = len(first.requests)
             assert (await fleet.call("/once/")).status == 200
             assert read_clock() - began < 1.0
@@ -131,12 +131,12 @@
                 engine.answer = engine.stream(1, 2)
                 fleet.store.put(f"servers/{engine.name}", engine.describe(born=1_000))
             known = host.directory.endpoints
-            await wait_for(lambda: all(get_entry(fleet, e.name).born_ms for e in engines))
+            await wait_for(lambda: all(get_entry(fleet, e.name).started_ms for e in engines))
             await fleet.call("/cut/", headers=share_part(1, 1_000))
             holder = next(engine for engine in engines if engine.requests)
             await wait_for(lambda: not known[holder.name].load.backlog(read_clock()))
             fleet.store.put(f"servers/{holder.name}", holder.describe(born=2_000))
-            await wait_for(lambda: get_entry(fleet, holder.name).born_ms == 2_000)
+            await wait_for(lambda: get_entry(fleet, holder.name).started_ms == 2_000)
             await fleet.call("/cut/", headers=share_part(3, 1_000))
             sent = [exchange for engine in engines for exchange in engine.requests]
             assert len(sent) == 2
@@ -187,7 +187,7 @@
             for count in (2, 8):
                 calls = [asyncio.create_task(fleet.call("/safe/a")) for _ in range(count)]
                 assert {reply.status for reply in await asyncio.gather(*calls)} == {200}
-            tries = 2 + math.ceil((read_clock() - began) / REFUSED_S)
+            tries = 2 + math.ceil((read_clock() - began) / REFUSED_BACKOFF_S)
             assert opened.count(fleet.endpoints["desk-0"].address) <= tries
 
     play(scenario)
--- a/cloverway/tests/test_fleet_units.py
+++ b/cloverway/tests/test_fleet_units.py
@@ -23,7 +23,7 @@
 from cloverway.platform.dialect import PlatformDialect
 from cloverway.platform.documents import decode_documents
 from cloverway.serving.clock import read_clock
-from cloverway.serving.http.events import EventSplitter
+from cloverway.serving.http.event_stream import EventSplitter
 from cloverway.serving.requests.request_queue import (
     MAX_HEAD_POLLED,
     MAX_TAIL_POLLED,
@@ -55,7 +55,7 @@
 def test_a_partial_event_is_discarded_before_a_stream_is_resumed():
     splitter = EventSplitter()
     assert splitter.split(b"id: 1\ndata: a\n\nid: 2\nda") == [b"id: 1\ndata: a\n\n"]
-    splitter.drop_rest()
+    splitter.drop_incomplete()
     assert splitter.last_id == "1"
     assert splitter.split(b"id: 2\ndata: b\n\n") == [b"id: 2\ndata: b\n\n"]
 
--- a/cloverway/tests/test_incarnations.py
+++ b/cloverway/tests/test_incarnations.py
@@ -31,7 +31,7 @@
 def pretend_crash(host, digest: int = DIGEST):
     """Record a crash of the engine under a request; return the engine as the host knows it."""
     known = host.directory.endpoints["engine"]
-    host.context.quarantine.note_crash(Crash(known.entry.life, (digest,), read_clock()))
+    host.context.quarantine.note_crash(Crash(known.entry.incarnation, (digest,), read_clock()))
     return known
 
 
@@ -45,11 +45,11 @@
         async with run_engine() as (fleet, engine, host):
             engine.answer = engine.break_off
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 502
-            (crash,) = host.context.quarantine.list_news(0.0, 9).crashes
+            (crash,) = host.context.quarantine.list_updates(0.0, 9).crashes
             engine.answer = engine.answer_plainly
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 200
             assert engine.questions == 1
-            assert not host.context.quarantine.has_ended(crash.digests[0], crash.life)
+            assert not host.context.quarantine.has_crashed(crash.digests[0], crash.incarnation)
 
     play(scenario)
 
@@ -61,7 +61,7 @@
             engine.crash()
             assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.is_down(read_clock())
-            assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
+            assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
 
     play(scenario)
 
@@ -94,7 +94,7 @@
             engine.born = 5
             assert not await host.context.incarnations.may_send(known, DIGEST)
             restarted = host.directory.endpoints["engine"]
-            assert restarted.entry.born_ms == 5
+            assert restarted.entry.started_ms == 5
             assert restarted.is_cold(read_clock() + 15.0)
             assert await host.context.incarnations.may_send(restarted, DIGEST), "no crash there yet"
             assert engine.questions == 1
@@ -115,7 +115,7 @@
             known = pretend_crash(host)
             engine.born = answered
             assert await host.context.incarnations.may_send(known, DIGEST)
-            assert host.context.quarantine.has_ended(DIGEST, known.entry.life)
+            assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
             assert engine.questions == questions
 
     play(scenario)
