--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -9,7 +9,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, CrashReport, EndpointCrash
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 REBROADCAST_S = 6.0
 """How long a crash is rebroadcast after it happened."""
@@ -35,10 +35,10 @@
     message = CrashReport
     is_regional = False
 
-    def __init__(self, own_name: str, quarantine: Quarantine, figures: Figures) -> None:
+    def __init__(self, own_name: str, quarantine: Quarantine, metrics: Metrics) -> None:
         self._own_name = own_name
         self._quarantine = quarantine
-        self._figures = figures
+        self._metrics = metrics
         self._detected: defaultdict[str, list[Crash]] = defaultdict(list)
         """Crashes that this host detected and has not broadcast yet, by endpoint incarnation."""
         self._served: list[int] = []
@@ -72,7 +72,7 @@
         recorded = [new for crash in received if (new := self._quarantine.note_crash(crash))]
         for crash in recorded:
             requests = len(crash.digests)
-            tell("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
+            log_event("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
             self._log_blocked_requests(crash, now)
         if is_remote:
             self._forwarded.extend(recorded)
@@ -88,7 +88,7 @@
             [],
         )
         for crash in detected.crashes:
-            tell("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
+            log_event("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
         messages = self._encode(detected, now)
         return UpdateBatch([*messages, *self._encode(forwarded, now)], messages)
 
@@ -110,8 +110,8 @@
         for digest in crash.digests:
             block = self._quarantine.get_block(digest, now)
             if block is not None:
-                self._figures.note_event("request_held")
-                tell(
+                self._metrics.note_event("request_held")
+                log_event(
                     "request_held",
                     request_digest=f"{digest:016x}",
                     ends=block.crashes,
