--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -66,7 +66,7 @@
 
     is_misdirected: bool
     """Whether another endpoint answered."""
-    born_ms: int | None
+    started_ms: int | None
     """Unix time of its start; None if not stated."""
 
 
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -263,7 +263,7 @@
                 why, is_target_fault=False, reached_endpoint=reached_endpoint, is_quarantined=True
             )
         service = self._routed.service.name
-        self._context.target_selector.discard_offers(target.region, service, sent_at)
+        self._context.target_selector.discard_advertised(target.region, service, sent_at)
         return Declined(why, is_target_fault=False, reached_endpoint=reached_endpoint)
 
 
--- a/cloverway/serving/requests/crash_tracker.py
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -31,10 +31,10 @@
 
         `ran` tells whether earlier attempts ran it.
         """
-        hold = self._context.quarantine.get_block(self._digest, read_clock())
-        if hold is not None:
-            why = f"{hold.crashes} endpoints ended while they ran it"
-            left_s = hold.remaining_s if ran is Ran.NO else None
+        block = self._context.quarantine.get_block(self._digest, read_clock())
+        if block is not None:
+            why = f"{block.crashes} endpoints ended while they ran it"
+            left_s = block.remaining_s if ran is Ran.NO else None
             raise RequestError(Kind.QUARANTINED, why, ran=ran, retry_after=left_s)
 
     async def may_send(self, target: Target) -> bool:
@@ -61,10 +61,10 @@
             self._note_crash(target, now)
         elif _is_stalled(target, now):
             self._note_crash(target, self._last_activity_at)
-        for life in outcome.crashed:
+        for incarnation in outcome.crashed:
             # Not broadcast: the host that saw the crash does that. Its response arrives here
             # before its broadcast.
-            self._context.quarantine.note_crash(Crash(life, (self._digest,), now))
+            self._context.quarantine.note_crash(Crash(incarnation, (self._digest,), now))
 
     def note_completed(self, target: Target, answered: Answered) -> None:
         """Record that the request got a complete response, so that it causes no crashes."""
@@ -74,9 +74,9 @@
             # The response proves that the incarnation is running to which the connection was
             # opened. The directory entry alone doesn't tell which that is: a restarted endpoint
             # whose entry still names its previous incarnation would clear the crash of that one.
-            life = target.candidate.endpoint.entry.incarnation
+            incarnation = target.candidate.endpoint.entry.incarnation
             opened_at = answered.sending.connection.opened_at
-            self._context.quarantine.note_alive(life, opened_at, read_clock())
+            self._context.quarantine.note_alive(incarnation, opened_at, read_clock())
 
     def note_abandoned(self, now: float) -> Target | None:
         """Treat the endpoint as crashed if it was silent when the request was abandoned; return it.
@@ -97,9 +97,9 @@
 
     def _note_crash(self, target: Target, at: float) -> None:
         if target.candidate is not None:
-            life = target.candidate.endpoint.entry.incarnation
-            self.crashed.append(life)
-            self._context.crashes.report_crash(life, self._digest, at)
+            incarnation = target.candidate.endpoint.entry.incarnation
+            self.crashed.append(incarnation)
+            self._context.crashes.report_crash(incarnation, self._digest, at)
 
 
 def _is_stalled(target: Target, now: float) -> bool:
--- a/cloverway/serving/requests/incarnations.py
+++ b/cloverway/serving/requests/incarnations.py
@@ -61,27 +61,29 @@
         self._metrics = metrics
         self._queries: dict[str, asyncio.Task[IncarnationStatus]] = {}
         """The queries in progress, by the incarnation of the endpoint."""
-        self.on_restarted: Callable[[str, int], None] = lambda name, born_ms: None
+        self.on_restarted: Callable[[str, int], None] = lambda name, started_ms: None
         """Called with the id of a restarted endpoint and its start, which its entry lacks."""
 
     async def may_send(self, endpoint: Endpoint, digest: int) -> bool:
         """Return whether a request may be sent to an endpoint that may have crashed under it."""
-        life = endpoint.entry.incarnation
-        if endpoint.entry.started_ms is None or not self._quarantine.has_crashed(digest, life):
+        incarnation = endpoint.entry.incarnation
+        if endpoint.entry.started_ms is None or not self._quarantine.has_crashed(
+            digest, incarnation
+        ):
             return True
-        query = self._queries.get(life)
+        query = self._queries.get(incarnation)
         if query is None:
-            query = self._queries[life] = asyncio.create_task(self._query(endpoint))
-            query.add_done_callback(lambda _: self._queries.pop(life))
+            query = self._queries[incarnation] = asyncio.create_task(self._query(endpoint))
+            query.add_done_callback(lambda _: self._queries.pop(incarnation))
         # All requests share the query: one that is cancelled must not cancel it for the others.
         return await asyncio.shield(query) in (IncarnationStatus.SAME, IncarnationStatus.UNKNOWN)
 
     async def _query(self, endpoint: Endpoint) -> IncarnationStatus:
         began_at = read_clock()
-        born_ms, why = None, ""
+        started_ms, why = None, ""
         try:
             facts = await self._fetch_facts(endpoint)
-            born_ms = facts.born_ms
+            started_ms = facts.started_ms
             status = self._note_facts(endpoint, facts)
         except ConnectError as error:
             why = str(error)
@@ -100,7 +102,7 @@
             "life_asked",
             life=endpoint.entry.incarnation,
             standing=status.value,
-            born_ms=born_ms,
+            born_ms=started_ms,
             why=why or None,
             lasted_s=round(now - began_at, 3),
         )
@@ -121,12 +123,12 @@
         if facts.is_misdirected:
             endpoint.misdirected_at = now
             return IncarnationStatus.GONE
-        if facts.born_ms is None or entry.started_ms is None:
+        if facts.started_ms is None or entry.started_ms is None:
             return IncarnationStatus.UNKNOWN
-        if facts.born_ms > entry.started_ms:
-            self.on_restarted(entry.id, facts.born_ms)
+        if facts.started_ms > entry.started_ms:
+            self.on_restarted(entry.id, facts.started_ms)
             return IncarnationStatus.RESTARTED
-        if facts.born_ms < entry.started_ms:
+        if facts.started_ms < entry.started_ms:
             # The previous incarnation answered; that doesn't tell whether this one is running.
             return IncarnationStatus.UNKNOWN
         self._quarantine.note_confirmed_alive(entry.incarnation, now)
--- a/cloverway/serving/requests/limit_shares.py
+++ b/cloverway/serving/requests/limit_shares.py
@@ -17,7 +17,7 @@
         self._members = members
         self._directory = directory
         self._started_at = started_at
-        self._allowances: dict[str, TokenBucket] = {}
+        self._buckets: dict[str, TokenBucket] = {}
         self._hosts: list[str] | None = None
         self._hosts_at = float("-inf")
 
@@ -27,26 +27,26 @@
         If the share is used up for now, `waiting` queued requests go first.
         """
         if not self._directory.is_limited(endpoint):
-            self._allowances.pop(endpoint.entry.incarnation, None)
+            self._buckets.pop(endpoint.entry.incarnation, None)
             return 0.0
         share = self._get_share(endpoint, now)
         if share is None:
             return None
-        wait_s = self._get_allowance(endpoint, now).estimate_wait(share, now)
+        wait_s = self._get_bucket(endpoint, now).estimate_wait(share, now)
         return wait_s + waiting / share.per_s if wait_s > 0 else 0.0
 
     def take(self, endpoint: Endpoint, now: float) -> None:
         """Count a request sent to an endpoint against this host's share."""
         share = self._get_share(endpoint, now) if self._directory.is_limited(endpoint) else None
         if share is not None:
-            self._get_allowance(endpoint, now).take(share, now)
+            self._get_bucket(endpoint, now).take(share, now)
 
-    def _get_allowance(self, endpoint: Endpoint, now: float) -> TokenBucket:
-        life = endpoint.entry.incarnation
-        allowance = self._allowances.get(life)
-        if allowance is None:
-            allowance = self._allowances[life] = TokenBucket(now)
-        return allowance
+    def _get_bucket(self, endpoint: Endpoint, now: float) -> TokenBucket:
+        incarnation = endpoint.entry.incarnation
+        bucket = self._buckets.get(incarnation)
+        if bucket is None:
+            bucket = self._buckets[incarnation] = TokenBucket(now)
+        return bucket
 
     def _get_share(self, endpoint: Endpoint, now: float) -> LimitShare | None:
         limit_per_s = self._directory.statements.get(endpoint.entry.incarnation).limit_per_s
--- a/cloverway/serving/requests/target_selector.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -120,9 +120,9 @@
         candidates = self.list_candidates(routed, now)
         local = choose_endpoint(candidates)
         if routed.call.passed_on is None:
-            offers = self._list_offers(routed, now)
+            remote_regions = self._list_remote_regions(routed, now)
             local_cost_s = local.cost_s if local is not None else estimate_wait(candidates, ahead_s)
-            remote = choose_region(local_cost_s, offers, REMOTE_REGION_MARGIN_S)
+            remote = choose_region(local_cost_s, remote_regions, REMOTE_REGION_MARGIN_S)
             peer = self._choose_peer(routed, remote.region, now) if remote is not None else None
             if peer is not None:
                 return self._take_remote(peer, routed.service)
@@ -140,7 +140,7 @@
         if target.reserved_service:
             self._adjust_free(target.region, target.reserved_service, 1)
 
-    def discard_offers(self, region: str, service: str, sent_at: float) -> None:
+    def discard_advertised(self, region: str, service: str, sent_at: float) -> None:
         """Discard the capacity a region advertised before it was sent a request that it declined.
 
         A region declines requests that timed out in its queue. What its hosts advertised after
@@ -170,7 +170,7 @@
         """
         if self.list_candidates(routed, now):
             return True
-        return routed.call.passed_on is None and bool(self._list_offers(routed, now))
+        return routed.call.passed_on is None and bool(self._list_remote_regions(routed, now))
 
     def list_candidates(self, routed: RoutedCall, now: float) -> Sequence[Candidate]:
         """List the endpoints of this region that may run a request, with their predictions."""
@@ -255,9 +255,9 @@
     def _adjust_free(self, region: str, service: str, by: int) -> None:
         """Change the number of places that a region is assumed to have free."""
         for peer in self._members.peers.values():
-            offer = peer.advertised.get(service)
-            if peer.member.region == region and offer is not None:
-                peer.advertised[service] = offer._replace(free_slots=offer.free_slots + by)
+            capacity = peer.advertised.get(service)
+            if peer.member.region == region and capacity is not None:
+                peer.advertised[service] = capacity._replace(free_slots=capacity.free_slots + by)
 
     def _take_local(self, routed: RoutedCall, local: Candidate, now: float) -> Target:
         endpoint = local.endpoint
@@ -291,20 +291,22 @@
         )
         return spacing is not None and now - endpoint.last_cold_send_at >= spacing
 
-    def _list_offers(self, routed: RoutedCall, now: float) -> list[RegionCandidate]:
+    def _list_remote_regions(self, routed: RoutedCall, now: float) -> list[RegionCandidate]:
         """Predict the cost of a request in each other region that may run it and has capacity."""
         predicted = []
         work = estimate_remote_work(routed.call)
-        for region, offer in self._find_latest_offers(routed.service.name, now).items():
+        for region, capacity in self._find_latest_capacity(routed.service.name, now).items():
             is_home = not routed.route.home_regions or region in routed.route.home_regions
-            has_room = offer.free_slots > 0 and offer.max_prompt_tokens >= work.prefill_tokens
-            if is_home and has_room and routed.tried[region] < MAX_REGION_DECLINES:
+            has_capacity = (
+                capacity.free_slots > 0 and capacity.max_prompt_tokens >= work.prefill_tokens
+            )
+            if is_home and has_capacity and routed.tried[region] < MAX_REGION_DECLINES:
                 predicted.append(
-                    predict_region(routed, offer, RemoteRegion(region, INTER_REGION_RTT_S), now)
+                    predict_region(routed, capacity, RemoteRegion(region, INTER_REGION_RTT_S), now)
                 )
         return predicted
 
-    def _find_latest_offers(self, service: str, now: float) -> dict[str, AdvertisedCapacity]:
+    def _find_latest_capacity(self, service: str, now: float) -> dict[str, AdvertisedCapacity]:
         """Return the capacity that each other region advertised last.
 
         If several hosts of a region advertise, the most favourable value would be the least
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -276,7 +276,9 @@
             (peer,) = remote.members.peers.values()
             await wait_for(lambda: "model" in peer.advertised)
             discarded = []
-            remote.context.target_selector.discard_offers = lambda *names: discarded.append(names)
+            remote.context.target_selector.discard_advertised = lambda *names: discarded.append(
+                names
+            )
             reply = await crashing.fleet.call("/stream/a", remote, body=CRASHING_BODY)
             assert reply.status == 503
             assert b"quarantined" in reply.body
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -102,9 +102,9 @@
             )
             (peer,) = (p for p in north.members.peers.values() if "desk" in p.advertised)
             target_selector = north.context.target_selector
-            target_selector.discard_offers("south", "desk", peer.advertised_at - 0.2)
+            target_selector.discard_advertised("south", "desk", peer.advertised_at - 0.2)
             assert "desk" in peer.advertised
-            target_selector.discard_offers("south", "desk", peer.advertised_at)
+            target_selector.discard_advertised("south", "desk", peer.advertised_at)
             assert "desk" not in peer.advertised
 
     play(scenario)
