--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -184,8 +184,8 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_refusal=reporter.note_refusal,
-            on_left=self._give_up,
+            on_rejection=reporter.note_refusal,
+            on_disconnect=self._give_up,
         )
         operations = Operations(
             list_hosts=self.callers.list_hosts,
@@ -200,7 +200,7 @@
     def _give_up(self, request_id: str) -> None:
         """End what is left to do for a caller that left before its answer began."""
         self.dispatcher.cancel(request_id)
-        self.endpoints.give_up(request_id)
+        self.endpoints.abort(request_id)
 
     def _explain(self, team: str, profile: str) -> Any:
         return self.dispatcher.explain(team, profile, time.monotonic())
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -12,9 +12,9 @@
 
 from cloverway.entry import bodies
 from cloverway.entry.caller_connection import (
-    OLD_PROTOCOL,
+    HTTP_1_0,
     PROBLEM_TYPE,
-    Connection,
+    CallerConnection,
     make_request_id,
 )
 from cloverway.entry.listener import CONNECTION_KEY, REQUEST_KEY
@@ -40,14 +40,14 @@
     target: str
     """The path with its query, as it was sent."""
     headers: Mapping[str, str]
-    connection: Connection
-    http: Any
+    connection: CallerConnection
+    http_request: Any
     """The server's own request, which decides how the answer is framed."""
 
     @property
-    def is_old(self) -> bool:
+    def is_http_1_0(self) -> bool:
         """Whether the caller speaks HTTP/1.0, which has no chunked framing."""
-        return bool(self.http.response_protocol == OLD_PROTOCOL)
+        return bool(self.http_request.response_protocol == HTTP_1_0)
 
     def get_header(self, name: str) -> str:
         """Give a header, or an empty text."""
@@ -64,20 +64,20 @@
         body = bodies.read_body(
             self.connection.rfile,
             self.headers.get("Content-Length"),
-            self.http.chunked_read,
+            self.http_request.chunked_read,
             limit,
         )
         self.connection.limit_reading(None)
         # Only now can the connection be used for another request.
-        self.http.body_is_read = True
-        self.http.rfile.remaining = 0
+        self.http_request.body_is_read = True
+        self.http_request.rfile.remaining = 0
         return body
 
 
 Handler = Callable[[Call], Reply]
 
 
-class QuietLog:
+class CherryPyLog:
     """Send what CherryPy reports to this package's log; requests are logged when they end."""
 
     def error(
@@ -98,7 +98,7 @@
     """Answers each CherryPy request by a handler; every failure becomes a problem."""
 
     def __init__(self, host: str, handle: Handler, answer_bytes: int) -> None:
-        self.closing = False
+        self.close_connections = False
         """Whether each connection is closed after its answer."""
         self._host = host
         self._handle = handle
@@ -107,7 +107,7 @@
     def make_application(self) -> cherrypy.Application:
         """Give the WSGI application."""
         application = cherrypy.Application(None, script_name="", config={"/": self._make_config()})
-        application.log = QuietLog()
+        application.log = CherryPyLog()
         # Set on the class as well, for a head that is rejected before the settings are looked at.
         application.request_class = type(
             "Request",
@@ -121,7 +121,7 @@
             "request.dispatch": self._dispatch,
             "request.process_request_body": False,
             "request.show_tracebacks": False,
-            "request.error_response": self._answer_unknown,
+            "request.error_response": self._respond_to_unhandled_error,
             "error_page.default": self._format_rejection,
             "response.headers.server": "cloverway",
         }
@@ -129,23 +129,23 @@
     def _dispatch(self, path: str) -> None:
         request = cherrypy.serving.request
         request.config = dict(request.app.config["/"])
-        request.handler = self._answer
+        request.handler = self._respond
 
-    def _answer(self) -> Iterable[bytes]:
+    def _respond(self) -> Iterable[bytes]:
         """Handle the current CherryPy request."""
         call = _read_call()
-        if self.closing:
-            call.http.close_connection = True
+        if self.close_connections:
+            call.http_request.close_connection = True
         _set_headers((("X-Request-Id", call.id), ("Cloverway-Host", self._host)))
         try:
-            return self._deliver(call, self._handle(call))
+            return self._make_body(call, self._handle(call))
         except RequestError as error:
-            return self._refuse(call, error)
+            return self._make_problem(call, error)
         except Exception:
             log.exception("a request failed", extra={"request_id": call.id})
-            return self._refuse(call, RequestError(Kind.INTERNAL))
+            return self._make_problem(call, RequestError(Kind.INTERNAL))
 
-    def _deliver(self, call: Call, reply: Reply) -> Iterable[bytes]:
+    def _make_body(self, call: Call, reply: Reply) -> Iterable[bytes]:
         """Give the body of an answer, as a whole or piece by piece."""
         if reply.stream is None:
             _set_head(reply)
@@ -153,16 +153,16 @@
         stream = reply.stream
         _run_at_end(stream.close)
         pieces = iter(stream)
-        if call.is_old:
-            body = self._collect(pieces)
+        if call.is_http_1_0:
+            body = self._buffer_stream(pieces)
             _set_head(reply)
             return [body]
         first = next(pieces, b"")
         _set_head(reply)
         cherrypy.serving.response.stream = True
-        return _relay(call, first, pieces, stream)
+        return _relay_stream(call, first, pieces, stream)
 
-    def _collect(self, pieces: Iterator[bytes]) -> bytes:
+    def _buffer_stream(self, pieces: Iterator[bytes]) -> bytes:
         """Give a stream as a whole, for a caller that could not tell a cut one from a whole one."""
         body = bytearray()
         for piece in pieces:
@@ -173,7 +173,7 @@
                 )
         return bytes(body)
 
-    def _refuse(self, call: Call, error: RequestError) -> Iterable[bytes]:
+    def _make_problem(self, call: Call, error: RequestError) -> Iterable[bytes]:
         """Give the body of a failure."""
         response = cherrypy.serving.response
         response.status = error.status
@@ -182,11 +182,11 @@
             response.headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
         if not _is_body_read(call):
             # What is left of the body would be taken for the next request.
-            call.http.close_connection = True
+            call.http_request.close_connection = True
             call.connection.linger = True
         return [json.dumps(error.as_problem(call.id)).encode()]
 
-    def _answer_unknown(self) -> None:
+    def _respond_to_unhandled_error(self) -> None:
         """Answer for an exception that escaped everything else: no traceback to the caller."""
         response = cherrypy.serving.response
         response.status = 500
@@ -216,15 +216,15 @@
 def _read_call() -> Call:
     request = cherrypy.serving.request
     environ = request.wsgi_environ
-    http = environ[REQUEST_KEY]
+    http_request = environ[REQUEST_KEY]
     return Call(
         id=make_request_id(),
         method=request.method,
         path=environ["PATH_INFO"],
-        target=http.uri.decode("latin-1"),
+        target=http_request.uri.decode("latin-1"),
         headers=request.headers,
         connection=environ[CONNECTION_KEY],
-        http=http,
+        http_request=http_request,
     )
 
 
@@ -250,12 +250,14 @@
 
 def _is_body_read(call: Call) -> bool:
     """Tell whether the next request on the connection would start where it should."""
-    if call.http.body_is_read:
+    if call.http_request.body_is_read:
         return True
-    return not call.http.chunked_read and not call.http.rfile.remaining
+    return not call.http_request.chunked_read and not call.http_request.rfile.remaining
 
 
-def _relay(call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream) -> Iterator[bytes]:
+def _relay_stream(
+    call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream
+) -> Iterator[bytes]:
     """Give the first piece to the server, and hand the connection over for the rest.
 
     `pieces` is held until the end: were it dropped, its generator would close the stream.
@@ -266,14 +268,14 @@
         stream.hand_over(call.connection.socket)
         call.connection.limit_reading(None)
     except Exception as error:
-        _cut(call, error)
+        _abort_response(call, error)
     del pieces
 
 
-def _cut(call: Call, error: Exception) -> None:
+def _abort_response(call: Call, error: Exception) -> None:
     """End an answer so that nobody takes it for whole: no last chunk, connection closed."""
-    call.http.chunked_write = False
-    call.http.close_connection = True
+    call.http_request.chunked_write = False
+    call.http_request.close_connection = True
     if isinstance(error, RequestError | OSError):
         log.info("a stream was cut", extra={"request_id": call.id, "cause": str(error)})
     else:
--- a/cloverway/entry/authentication.py
+++ b/cloverway/entry/authentication.py
@@ -14,7 +14,7 @@
 SCHEME = "bearer"
 MAX_KEY_CHARACTERS = 512
 HASH_PREFIX = "sha256:"
-NO_HASH = HASH_PREFIX + "0" * 64
+UNMATCHED_HASH = HASH_PREFIX + "0" * 64
 
 
 class Caller(NamedTuple):
@@ -42,7 +42,7 @@
     def find_team(self, bearer: str) -> str:
         """Give the team of a bearer key, or an empty name for an unknown key."""
         key_hash = hash_key(bearer)
-        known = key_hash if key_hash in self.teams else NO_HASH
+        known = key_hash if key_hash in self.teams else UNMATCHED_HASH
         # The look-up is by a hash, which a caller can't steer towards a known one byte by byte;
         # the comparison takes the same time for a known and an unknown key.
         if not hmac.compare_digest(known, key_hash):
@@ -51,19 +51,19 @@
 
     def require_team(self, authorization: str) -> str:
         """Give the team behind an Authorization header; raise RequestError UNAUTHENTICATED."""
-        team = self.find_team(read_bearer(authorization))
+        team = self.find_team(parse_bearer(authorization))
         if not team:
             raise RequestError(Kind.UNAUTHENTICATED, "the bearer key is not known")
         return team
 
 
-class Authenticator:
+class KeyIndexCache:
     """Keep the index of the newest configuration that was seen."""
 
     def __init__(self) -> None:
         self._index: KeyIndex | None = None
 
-    def index_of(self, published: Published) -> KeyIndex:
+    def get_index(self, published: Published) -> KeyIndex:
         """Give the index of a configuration; built once for each.
 
         Two threads may both build the first index of a configuration, which are equal.
@@ -95,7 +95,7 @@
     return Caller(team_name, profile_name, profile)
 
 
-def read_bearer(authorization: str) -> str:
+def parse_bearer(authorization: str) -> str:
     """Give the key of an Authorization header; raise RequestError when there is none."""
     scheme, _, bearer = authorization.strip().partition(" ")
     bearer = bearer.strip()
--- a/cloverway/entry/bodies.py
+++ b/cloverway/entry/bodies.py
@@ -8,9 +8,9 @@
 
 from cloverway.errors import Kind, RequestError
 
-PIECE_BYTES = 64 * 1024
-CHUNK_LINE_BYTES = 256
-TRAILER_LINES = 32
+READ_BYTES = 64 * 1024
+MAX_CHUNK_LINE_BYTES = 256
+MAX_TRAILER_LINES = 32
 JSON_TYPE = "application/json"
 
 
@@ -31,7 +31,7 @@
 
     The reader raises TimeoutError when the time for the whole body is up.
     """
-    pieces = _read_chunked(reader, limit) if chunked else _read_counted(reader, length, limit)
+    pieces = _read_chunked(reader, limit) if chunked else _read_sized(reader, length, limit)
     body = bytearray()
     try:
         # Joined at once: a body that comes byte by byte would take forty times its size as a list.
@@ -44,7 +44,7 @@
     return bytes(body)
 
 
-def _read_counted(reader: Reader, length: str | None, limit: int) -> Iterator[bytes]:
+def _read_sized(reader: Reader, length: str | None, limit: int) -> Iterator[bytes]:
     yield from _read_exactly(reader, _parse_length(length, limit))
 
 
@@ -60,7 +60,7 @@
 
 def _read_exactly(reader: Reader, count: int) -> Iterator[bytes]:
     while count:
-        piece = reader.read1(min(count, PIECE_BYTES))
+        piece = reader.read1(min(count, READ_BYTES))
         if not piece:
             raise RequestError(Kind.MALFORMED, "the body ended before its length")
         count -= len(piece)
@@ -69,15 +69,15 @@
 
 def _read_chunked(reader: Reader, limit: int) -> Iterator[bytes]:
     """Decode chunks; the size of each is checked before any of it is read."""
-    left = limit
+    remaining = limit
     while size := _read_chunk_size(reader):
-        if size > left:
+        if size > remaining:
             raise RequestError(Kind.TOO_LARGE, f"a body may have {limit} bytes")
-        left -= size
+        remaining -= size
         yield from _read_exactly(reader, size)
-        if reader.readline(CHUNK_LINE_BYTES) != b"\r\n":
+        if reader.readline(MAX_CHUNK_LINE_BYTES) != b"\r\n":
             raise RequestError(Kind.MALFORMED, "a chunk is longer than its size")
-    for _ in range(TRAILER_LINES):
+    for _ in range(MAX_TRAILER_LINES):
         if _read_line(reader) == b"\r\n":
             return
     raise RequestError(Kind.MALFORMED, "there are too many trailer fields")
@@ -91,7 +91,7 @@
 
 
 def _read_line(reader: Reader) -> bytes:
-    line = reader.readline(CHUNK_LINE_BYTES)
+    line = reader.readline(MAX_CHUNK_LINE_BYTES)
     if not line.endswith(b"\r\n"):
         raise RequestError(Kind.MALFORMED, "a line of the chunked body is cut or too long")
     return line
@@ -102,7 +102,7 @@
     if content_type.partition(";")[0].strip().lower() != JSON_TYPE:
         raise RequestError(Kind.MALFORMED, f"Content-Type must be {JSON_TYPE}")
     try:
-        document = json.loads(body, parse_constant=_refuse_constant)
+        document = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise RequestError(Kind.MALFORMED, "the body is not JSON") from error
     if not isinstance(document, dict):
@@ -110,34 +110,36 @@
     return document
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not JSON")
 
 
-class Completion(NamedTuple):
+class CompletionRequest(NamedTuple):
     """A completion as an endpoint gets it."""
 
     body: bytes
     stream: bool
 
 
-def parse_completion(body: bytes, content_type: str, field: str, model: str) -> Completion:
+def parse_completion(
+    body: bytes, content_type: str, required_field: str, model: str
+) -> CompletionRequest:
     """Check the body of a completion that needs a field, and put the profile's model in it.
 
     The profile decides on the model, not the caller. The body is written anew from what was
     checked: with a name that stands twice, an endpoint could read another value than this host did.
     """
     document = parse_json(body, content_type)
-    if not document.get(field):
-        raise RequestError(Kind.MALFORMED, f"the body has no {field!r}")
+    if not document.get(required_field):
+        raise RequestError(Kind.MALFORMED, f"the body has no {required_field!r}")
     stream = document.get("stream", False)
     if not isinstance(stream, bool | None):
         raise RequestError(Kind.MALFORMED, "'stream' must be true or false")
     document["model"] = model
-    return Completion(_write(document), bool(stream))
+    return CompletionRequest(_encode_json(document), bool(stream))
 
 
-def _write(document: dict[str, Any]) -> bytes:
+def _encode_json(document: dict[str, Any]) -> bytes:
     try:
         return json.dumps(document, separators=(",", ":"), allow_nan=False).encode()
     except (ValueError, RecursionError) as error:
--- a/cloverway/entry/caller_connection.py
+++ b/cloverway/entry/caller_connection.py
@@ -23,12 +23,12 @@
 log = logging.getLogger(__name__)
 
 PROBLEM_TYPE = "application/problem+json"
-OLD_PROTOCOL = "HTTP/1.0"
+HTTP_1_0 = "HTTP/1.0"
 HEAD_END = b"\r\n\r\n"
-SLOWEST_BYTES_PER_S = 64 * 1024
+MIN_WRITE_BYTES_PER_S = 64 * 1024
 """A caller that takes its whole answer more slowly than this is given up."""
-PIECE_BYTES = 64 * 1024
-PROMPT_S = 0.25
+WRITE_BYTES = 64 * 1024
+SLOW_READ_AFTER_S = 0.25
 """What has come within this time was not slow, for all that is read together."""
 LINGER_S = 1.0
 """How long what a refused caller still sends is read and dropped."""
@@ -47,25 +47,25 @@
 }
 
 
-class Early(NamedTuple):
+class EarlyRejection(NamedTuple):
     """A request that was answered before the application saw it."""
 
     request_id: str
     kind: Kind
 
 
-OnEarly = Callable[[Early], None]
+OnEarlyRejection = Callable[[EarlyRejection], None]
 
 
-class HeadBounds(NamedTuple):
+class HeadLimits(NamedTuple):
     """What the head of a request may take."""
 
-    bytes: int
-    seconds: float
+    max_bytes: int
+    timeout_s: float
     """Time for all of it, from its first byte."""
 
 
-class Collected(Enum):
+class HeadState(Enum):
     """How much of the head of a request has come."""
 
     WHOLE = auto()
@@ -86,48 +86,48 @@
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, "r")
         self.deadline = float("inf")
-        self.hold = False
-        self.pending = bytearray()
+        self.detached = False
+        self.prefetched = bytearray()
         """What was received before a thread had the connection."""
         self.on_slow: Callable[[], object] | None = None
         """Called once when what is read has not all come promptly; may raise."""
-        self.prompt_until = 0.0
+        self.slow_after = 0.0
         self._socket = sock
 
     def readinto(self, buffer: Any) -> int | None:
         """Read what is there; raise TimeoutError when the deadline has passed."""
-        if self.hold:
+        if self.detached:
             return None
-        if self.pending:
-            return self._take_pending(memoryview(buffer))
-        self._check_prompt()
-        left = self.deadline - time.monotonic()
-        if left <= 0:
+        if self.prefetched:
+            return self._take_prefetched(memoryview(buffer))
+        self._detect_slow_read()
+        remaining_s = self.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError("timed out")
-        if left != float("inf"):
-            self._socket.settimeout(left)
+        if remaining_s != float("inf"):
+            self._socket.settimeout(remaining_s)
         return super().readinto(buffer)
 
-    def collect(self, limit: int) -> bool:
+    def prefetch(self, limit: int) -> bool:
         """Receive what is there without waiting; tell whether the caller may send more."""
-        if len(self.pending) >= limit or not is_readable(self._socket):
+        if len(self.prefetched) >= limit or not is_readable(self._socket):
             return True
-        data = self._socket.recv(limit - len(self.pending))
-        self.pending += data
+        data = self._socket.recv(limit - len(self.prefetched))
+        self.prefetched += data
         return bool(data)
 
-    def _check_prompt(self) -> None:
+    def _detect_slow_read(self) -> None:
         if self.on_slow is None:
             return
-        wait_s = max(0.0, self.prompt_until - time.monotonic())
+        wait_s = max(0.0, self.slow_after - time.monotonic())
         if not is_readable(self._socket, wait_s):
             on_slow, self.on_slow = self.on_slow, None
             on_slow()
 
-    def _take_pending(self, buffer: memoryview) -> int:
-        count = min(len(buffer), len(self.pending))
-        buffer[:count] = self.pending[:count]
-        del self.pending[:count]
+    def _take_prefetched(self, buffer: memoryview) -> int:
+        count = min(len(buffer), len(self.prefetched))
+        buffer[:count] = self.prefetched[:count]
+        del self.prefetched[:count]
         return count
 
 
@@ -142,16 +142,16 @@
 
     def has_data(self) -> bool:
         """Tell whether the head of a request has been received, without reading."""
-        self._give_back()
-        return HEAD_END in self.source.pending
+        self._unread_buffered()
+        return HEAD_END in self.source.prefetched
 
-    def _give_back(self) -> None:
+    def _unread_buffered(self) -> None:
         """Put what was read beyond the last request back before the next."""
-        self.source.hold = True
+        self.source.detached = True
         try:
-            self.source.pending[:0] = self.read1(len(self.peek(1)))
+            self.source.prefetched[:0] = self.read1(len(self.peek(1)))
         finally:
-            self.source.hold = False
+            self.source.detached = False
 
 
 class TimedWriter(io.RawIOBase):
@@ -162,10 +162,10 @@
 
     bytes_written = 0
 
-    def __init__(self, sock: socket.socket, patience_s: float) -> None:
+    def __init__(self, sock: socket.socket, timeout_s: float) -> None:
         super().__init__()
         self._socket = sock
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
 
     def writable(self) -> bool:
         """Say that this is for writing."""
@@ -173,18 +173,18 @@
 
     def write(self, data: Any) -> int:
         """Send everything; raise TimeoutError when the caller takes nothing, or too slowly."""
-        until = time.monotonic() + self._patience_s + len(data) / SLOWEST_BYTES_PER_S
+        deadline = time.monotonic() + self._timeout_s + len(data) / MIN_WRITE_BYTES_PER_S
         view = memoryview(data)
-        for start in range(0, len(data), PIECE_BYTES):
-            left = min(self._patience_s, until - time.monotonic())
-            if left <= 0:
+        for start in range(0, len(data), WRITE_BYTES):
+            remaining_s = min(self._timeout_s, deadline - time.monotonic())
+            if remaining_s <= 0:
                 raise TimeoutError("timed out")
-            self._socket.settimeout(left)
-            self._socket.sendall(view[start : start + PIECE_BYTES])
+            self._socket.settimeout(remaining_s)
+            self._socket.sendall(view[start : start + WRITE_BYTES])
         return len(data)
 
 
-class Connection(HTTPConnection):
+class CallerConnection(HTTPConnection):
     """A caller's connection."""
 
     def __init__(self, server: Any, sock: socket.socket, makefile: Any = MakeFile) -> None:
@@ -194,11 +194,11 @@
         self.linger = False
         """Whether to read on for a while before closing, so that the answer is not lost."""
         self.had_request = False
-        self.head_until = float("inf")
+        self.head_deadline = float("inf")
         """When the head that has begun to come must be whole."""
 
     def limit_reading(
-        self, seconds: float | None, on_slow: Callable[[], object] | None = None
+        self, timeout_s: float | None, on_slow: Callable[[], object] | None = None
     ) -> None:
         """Bound all reads from now on together, or lift the bound.
 
@@ -206,38 +206,38 @@
         """
         now = time.monotonic()
         source = self.rfile.source
-        source.deadline = float("inf") if seconds is None else now + seconds
+        source.deadline = float("inf") if timeout_s is None else now + timeout_s
         source.on_slow = on_slow
-        source.prompt_until = now + PROMPT_S
+        source.slow_after = now + SLOW_READ_AFTER_S
         self.socket.settimeout(self.server.timeout)
 
-    def collect_head(self, bounds: HeadBounds, now: float) -> Collected:
+    def prefetch_head(self, limits: HeadLimits, now: float) -> HeadState:
         """Receive what has come of a head, without waiting."""
         source = self.rfile.source
         try:
-            more = source.collect(bounds.bytes)
+            more = source.prefetch(limits.max_bytes)
         except OSError:
             more = False
-        if HEAD_END in source.pending or len(source.pending) >= bounds.bytes:
-            self.head_until = float("inf")
+        if HEAD_END in source.prefetched or len(source.prefetched) >= limits.max_bytes:
+            self.head_deadline = float("inf")
             self.had_request = True
-            return Collected.WHOLE
+            return HeadState.WHOLE
         if not more:
-            return Collected.LEFT
-        if source.pending:
-            self.head_until = min(self.head_until, now + bounds.seconds)
-        return Collected.LATE if now >= self.head_until else Collected.PART
+            return HeadState.LEFT
+        if source.prefetched:
+            self.head_deadline = min(self.head_deadline, now + limits.timeout_s)
+        return HeadState.LATE if now >= self.head_deadline else HeadState.PART
 
     def communicate(self) -> bool:
         """Answer one request; tell whether the connection stays open."""
         try:
             return bool(super().communicate())
         finally:
-            self.server.progress.add(-1)
+            self.server.request_counter.add(-1)
 
     def close(self) -> None:
         """Close, after a caller that was refused midway had a chance to read why."""
-        self.server.forget(self)
+        self.server.on_connection_closed(self)
         if self.linger:
             self._discard_input()
         super().close()
@@ -257,14 +257,14 @@
             return
 
 
-class Request(HTTPRequest):
+class CallerRequest(HTTPRequest):
     """A caller's request, whose early failures get the same form of answer as all others."""
 
     body_is_read = False
 
     def parse_request(self) -> None:
         """Read the head within its time."""
-        self.conn.limit_reading(self.server.head_bounds.seconds)
+        self.conn.limit_reading(self.server.head_limits.timeout_s)
         super().parse_request()
         self.conn.limit_reading(None)
         if self.ready:
@@ -273,7 +273,7 @@
     def _check_head(self) -> None:
         """Refuse what two readers may take for two different requests."""
         names = self.inheaders
-        if self.response_protocol != OLD_PROTOCOL and b"Host" not in names:
+        if self.response_protocol != HTTP_1_0 and b"Host" not in names:
             self._reject("HTTP/1.1 needs a Host header")
         if self.chunked_read and b"Content-Length" in names:
             self._reject("send Content-Length or Transfer-Encoding, not both")
@@ -296,10 +296,10 @@
             self.conn.wfile.flush()
         except OSError:
             log.debug("a refused caller had left")
-        self.server.on_early(Early(request_id, kind))
+        self.server.on_early_rejection(EarlyRejection(request_id, kind))
 
 
-Connection.RequestHandlerClass = Request
+CallerConnection.RequestHandlerClass = CallerRequest
 
 
 def is_readable(sock: socket.socket, wait_s: float = 0.0) -> bool:
@@ -309,7 +309,7 @@
     return bool(poll.poll(wait_s * 1000))
 
 
-REASONS = {status.value: status.phrase for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 def make_request_id() -> str:
@@ -322,7 +322,7 @@
     body = json.dumps(error.as_problem(request_id)).encode()
     retry = f"Retry-After: {math.ceil(error.retry_after)}\r\n" if error.retry_after else ""
     head = (
-        f"HTTP/1.1 {error.status} {REASONS.get(error.status, 'Failed')}\r\n"
+        f"HTTP/1.1 {error.status} {REASON_PHRASES.get(error.status, 'Failed')}\r\n"
         f"X-Request-Id: {request_id}\r\n"
         f"Content-Type: {PROBLEM_TYPE}\r\n"
         f"Content-Length: {len(body)}\r\n"
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -21,11 +21,11 @@
     make_json_reply,
     require_method,
 )
-from cloverway.entry.authentication import Authenticator, Caller, authenticate, choose_deadline_s
-from cloverway.entry.caller_connection import Early
-from cloverway.entry.departures import Departures
-from cloverway.entry.directory import Freshness, HostList, list_hosts
-from cloverway.entry.listener import Bounds, Listener
+from cloverway.entry.authentication import Caller, KeyIndexCache, authenticate, choose_deadline_s
+from cloverway.entry.caller_connection import EarlyRejection
+from cloverway.entry.departures import DisconnectWatcher
+from cloverway.entry.directory import HostList, MaxAges, list_hosts
+from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.exchange import Gateway, Reply
 from cloverway.membership.view import ViewHolder
@@ -40,18 +40,18 @@
 SERVICE_METHODS = ("GET", "POST", "PUT", "DELETE")
 PROFILE_HEADER = "Cloverway-Profile"
 DEADLINE_HEADER = "Cloverway-Deadline-Ms"
-MAX_KEYS = 100
+MAX_KEYS_PER_CALL = 100
 MAX_KEY_CHARACTERS = 255
 STARTING_RETRY_S = 1.0
-READER_RETRY_S = 1.0
-READER_PARTS = 4
+SLOW_BODY_RETRY_S = 1.0
+THREADS_PER_SLOW_BODY = 4
 """One team's bodies may hold one in this many of the threads."""
 SAFE_TARGET = re.compile(r"/[A-Za-z0-9/._~!$&'()*+,;=:@%?-]*")
 DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
-HIDDEN_SLASH = re.compile(r"%(2f|5c|00)", re.IGNORECASE)
+ENCODED_SLASH = re.compile(r"%(2f|5c|00)", re.IGNORECASE)
 
 
-class Refusal(NamedTuple):
+class Rejection(NamedTuple):
     """A request that was refused before it reached the gateway. Times are seconds."""
 
     request_id: str
@@ -66,7 +66,7 @@
     total_s: float
 
 
-class Readers:
+class SlowBodyLimiter:
     """Bounds how many threads wait for slow bodies of one team at a time.
 
     A body may take some seconds. Without a bound for each team, one whose callers are on a bad
@@ -76,24 +76,24 @@
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._lock = threading.Lock()
-        self._reading: Counter[str] = Counter()
+        self._counts: Counter[str] = Counter()
 
     @contextlib.contextmanager
-    def enter(self, team: str) -> Iterator[None]:
+    def count_slow_body(self, team: str) -> Iterator[None]:
         """Count a body for the time of the block; raise RequestError TEAM_LIMIT."""
         with self._lock:
-            if self._reading[team] >= self._limit:
+            if self._counts[team] >= self._limit:
                 raise RequestError(
-                    Kind.TEAM_LIMIT, "too many bodies come slowly", retry_after=READER_RETRY_S
+                    Kind.TEAM_LIMIT, "too many bodies come slowly", retry_after=SLOW_BODY_RETRY_S
                 )
-            self._reading[team] += 1
+            self._counts[team] += 1
         try:
             yield
         finally:
             with self._lock:
-                self._reading[team] -= 1
-                if not self._reading[team]:
-                    del self._reading[team]
+                self._counts[team] -= 1
+                if not self._counts[team]:
+                    del self._counts[team]
 
 
 class CallerServer:
@@ -104,31 +104,33 @@
         settings: Settings,
         holder: ViewHolder,
         gateway: Gateway,
-        issue: Callable[[int], list[str]],
+        issue_keys: Callable[[int], list[str]],
         *,
-        on_refusal: Callable[[Refusal], None] = lambda refusal: None,
-        on_left: Callable[[str], None] = lambda request_id: None,
+        on_rejection: Callable[[Rejection], None] = lambda rejection: None,
+        on_disconnect: Callable[[str], None] = lambda request_id: None,
         clock: Callable[[], float] = time.monotonic,
-        bounds: Bounds | None = None,
+        listener_limits: ListenerLimits | None = None,
     ) -> None:
         self._limits = settings.limits
-        self._freshness = Freshness(settings.timing.suspect_s)
+        self._max_ages = MaxAges(settings.timing.suspect_s)
         self._holder = holder
         self._gateway = gateway
-        self._issue = issue
-        self._on_refusal = on_refusal
+        self._issue = issue_keys
+        self._on_rejection = on_rejection
         self._clock = clock
-        self._departures = Departures(on_left)
-        self._readers = Readers(max(1, settings.limits.threads // READER_PARTS))
-        self._authenticator = Authenticator()
+        self._disconnects = DisconnectWatcher(on_disconnect)
+        self._slow_bodies = SlowBodyLimiter(
+            max(1, settings.limits.threads // THREADS_PER_SLOW_BODY)
+        )
+        self._index_cache = KeyIndexCache()
         self._rotation = count()
         self._responder = Responder(settings.host, self._handle, settings.limits.answer_bytes)
         self._listener = Listener(
             settings.listen.callers,
             self._responder.make_application(),
-            bounds or Bounds.from_limits(settings.limits),
+            listener_limits or ListenerLimits.from_limits(settings.limits),
             "callers",
-            self._note_early,
+            self._report_early_rejection,
         )
 
     @property
@@ -138,7 +140,7 @@
 
     def start(self) -> None:
         """Bind and serve; raises OSError when the address can't be bound."""
-        self._departures.start()
+        self._disconnects.start()
         self._listener.start()
 
     def stop_accepting(self) -> None:
@@ -147,12 +149,12 @@
         Whether new work is refused is the gateway's decision: a repeat with an idempotency key of
         this host must get its recorded answer while the host leaves.
         """
-        self._responder.closing = True
+        self._responder.close_connections = True
 
     def stop(self) -> None:
         """Close everything; call it when nothing is in progress."""
         self._listener.stop()
-        self._departures.stop()
+        self._disconnects.stop()
 
     def in_progress(self) -> int:
         """Count requests, from a whole head until the answer is written; waiting ones as well."""
@@ -162,7 +164,7 @@
         """Give the hosts that a caller should use now."""
         overloaded = self.in_progress() > self._limits.admitted + self._limits.queued
         return list_hosts(
-            self._holder.current, self._clock(), self._freshness, next(self._rotation), overloaded
+            self._holder.current, self._clock(), self._max_ages, next(self._rotation), overloaded
         )
 
     def _handle(self, call: Call) -> Reply:
@@ -171,22 +173,22 @@
             return make_json_reply(self.list_hosts())
         arrived_at = self._clock()
         try:
-            request = self._admit(call, arrived_at)
+            request = self._build_request(call, arrived_at)
         except RequestError as error:
-            self._note_refusal(call, error, arrived_at)
+            self._report_rejection(call, error, arrived_at)
             raise
         if isinstance(request, Reply):
             return request
-        with self._departures.watch(call.connection.socket, call.id):
+        with self._disconnects.watch(call.connection.socket, call.id):
             return self._gateway.run(request)
 
-    def _admit(self, call: Call, arrived_at: float) -> Request | Reply:
+    def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
         """Check a call in the order of what each check costs, and make a request of it."""
         check_path(call)
         published = self._holder.current.published
         if published is None:
             raise RequestError(Kind.STARTING, retry_after=STARTING_RETRY_S)
-        index = self._authenticator.index_of(published)
+        index = self._index_cache.get_index(published)
         if call.path == KEYS_PATH:
             return self._issue_keys(call, index.require_team(call.get_header("Authorization")))
         caller = authenticate(
@@ -199,8 +201,8 @@
         content_type = call.get_header("Content-Type")
         stream = False
         if call.path in COMPLETION_FIELDS:
-            field, model = COMPLETION_FIELDS[call.path], caller.profile.target
-            body, stream = bodies.parse_completion(body, content_type, field, model)
+            required_field, model = COMPLETION_FIELDS[call.path], caller.profile.target
+            body, stream = bodies.parse_completion(body, content_type, required_field, model)
         return Request(
             id=call.id,
             team=caller.team,
@@ -220,26 +222,26 @@
         with contextlib.ExitStack() as stack:
 
             def count_slow() -> None:
-                stack.enter_context(self._readers.enter(team))
+                stack.enter_context(self._slow_bodies.count_slow_body(team))
 
             return call.read_body(self._limits.body_bytes, self._limits.body_timeout_s, count_slow)
 
     def _issue_keys(self, call: Call, team: str) -> Reply:
         body = self._read_body(call, team)
-        wanted: Any = 1
+        key_count: Any = 1
         if body:
-            wanted = bodies.parse_json(body, call.get_header("Content-Type")).get("count", 1)
-        if type(wanted) is not int or not 1 <= wanted <= MAX_KEYS:
-            raise RequestError(Kind.MALFORMED, f"'count' must be from 1 to {MAX_KEYS}")
-        keys = self._issue(wanted)
+            key_count = bodies.parse_json(body, call.get_header("Content-Type")).get("count", 1)
+        if type(key_count) is not int or not 1 <= key_count <= MAX_KEYS_PER_CALL:
+            raise RequestError(Kind.MALFORMED, f"'count' must be from 1 to {MAX_KEYS_PER_CALL}")
+        keys = self._issue(key_count)
         lifetime_s = self._limits.idempotency_key_s
         return make_json_reply({"key": keys[0], "keys": keys, "lifetime_s": lifetime_s})
 
-    def _note_early(self, early: Early) -> None:
-        ran = Ran.UNKNOWN if early.kind is Kind.INTERNAL else Ran.NO
-        self._on_refusal(Refusal(early.request_id, "", "", "", early.kind, ran, 0.0))
+    def _report_early_rejection(self, rejection: EarlyRejection) -> None:
+        ran = Ran.UNKNOWN if rejection.kind is Kind.INTERNAL else Ran.NO
+        self._on_rejection(Rejection(rejection.request_id, "", "", "", rejection.kind, ran, 0.0))
 
-    def _note_refusal(self, call: Call, error: RequestError, arrived_at: float) -> None:
+    def _report_rejection(self, call: Call, error: RequestError, arrived_at: float) -> None:
         # What is logged is the truth on this request; what the caller is told covers its key.
         ran = error.ran
         if call.get_header(KEY_HEADER) and error.kind is not Kind.KEY_INVALID:
@@ -248,14 +250,14 @@
             error.ran = Ran.UNKNOWN
         team, profile = self._identify(call)
         total_s = self._clock() - arrived_at
-        self._on_refusal(Refusal(call.id, call.method, team, profile, error.kind, ran, total_s))
+        self._on_rejection(Rejection(call.id, call.method, team, profile, error.kind, ran, total_s))
 
     def _identify(self, call: Call) -> tuple[str, str]:
         """Give the team and the profile of a refused call, as far as they are known."""
         published = self._holder.current.published
         if published is None:
             return "", ""
-        index = self._authenticator.index_of(published)
+        index = self._index_cache.get_index(published)
         profile = call.get_header(PROFILE_HEADER)
         try:
             team = index.require_team(call.get_header("Authorization"))
@@ -283,7 +285,7 @@
     if not SAFE_TARGET.fullmatch(call.target):
         raise RequestError(Kind.MALFORMED, "the path has characters that must be encoded")
     path = call.target.partition("?")[0]
-    if DOT_SEGMENT.search(path) or HIDDEN_SLASH.search(path) or "//" in path:
+    if DOT_SEGMENT.search(path) or ENCODED_SLASH.search(path) or "//" in path:
         raise RequestError(Kind.MALFORMED, "the path has segments that are not allowed")
     if path in COMPLETION_FIELDS:
         if caller.profile.model is None:
--- a/cloverway/entry/departures.py
+++ b/cloverway/entry/departures.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class _Watched(NamedTuple):
@@ -21,15 +21,15 @@
     request_id: str
 
 
-class Departures:
+class DisconnectWatcher:
     """One thread that watches the sockets of callers whose requests wait.
 
     A caller that closes only its sending half counts as gone: with HTTP that looks the same as
     one that has closed both, and whoever waits for an answer has no reason to do it.
     """
 
-    def __init__(self, on_left: Callable[[str], None]) -> None:
-        self._on_left = on_left
+    def __init__(self, on_disconnect: Callable[[str], None]) -> None:
+        self._on_disconnect = on_disconnect
         self._lock = threading.Lock()
         self._watched: dict[int, _Watched] = {}
         self._epoll = select.epoll()
@@ -76,13 +76,13 @@
         # request is never cancelled; it can't be closed before its block has ended.
         with self._lock:
             watched = self._watched.get(descriptor)
-            left = watched is not None and _is_gone(watched.sock)
-        if watched is not None and left:
+            is_disconnected = watched is not None and _is_disconnected(watched.sock)
+        if watched is not None and is_disconnected:
             log.info("a caller left", extra={"request_id": watched.request_id})
-            self._on_left(watched.request_id)
+            self._on_disconnect(watched.request_id)
 
 
-def _is_gone(sock: socket.socket) -> bool:
+def _is_disconnected(sock: socket.socket) -> bool:
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
-    return any(event & GONE for _, event in poll.poll(0))
+    return any(event & DISCONNECT_EVENTS for _, event in poll.poll(0))
--- a/cloverway/entry/directory.py
+++ b/cloverway/entry/directory.py
@@ -8,10 +8,10 @@
 
 from cloverway.membership.view import HostState, View
 
-LIFETIME_S = 5.0
+LIST_LIFETIME_S = 5.0
 """How long a caller may use a list: a leaving host is then out of use within seconds."""
 MAX_HOSTS = 32
-SUMMARY_FRESH_S = 10.0
+MAX_SUMMARY_AGE_S = 10.0
 
 
 class HostEntry(TypedDict):
@@ -31,15 +31,15 @@
     revision: int
 
 
-class Freshness(NamedTuple):
+class MaxAges(NamedTuple):
     """How old what was heard may be. Seconds."""
 
     host_s: float
-    domain_s: float = SUMMARY_FRESH_S
+    domain_s: float = MAX_SUMMARY_AGE_S
 
 
 def list_hosts(
-    view: View, now: float, freshness: Freshness, rotation: int, overloaded: bool = False
+    view: View, now: float, max_ages: MaxAges, rotation: int, overloaded: bool = False
 ) -> HostList:
     """List the hosts to use: own failure domain first, then own region, then the others.
 
@@ -48,33 +48,33 @@
     """
     published = view.published
     if published is None:
-        return HostList(hosts=[], lifetime_s=LIFETIME_S, revision=0)
+        return HostList(hosts=[], lifetime_s=LIST_LIFETIME_S, revision=0)
     usable = [
         name
         for name in sorted(published.hosts)
-        if _is_usable(view, name, now, freshness, overloaded)
+        if _is_usable(view, name, now, max_ages, overloaded)
     ]
     ranks: tuple[list[str], ...] = ([], [], [])
     for name in usable:
         ranks[_rank(view, name)].append(name)
     ordered = chain.from_iterable(_rotate(rank, rotation) for rank in ranks)
-    entries = [_describe(view, name) for name in ordered][:MAX_HOSTS]
-    return HostList(hosts=entries, lifetime_s=LIFETIME_S, revision=published.revision)
+    entries = [_make_entry(view, name) for name in ordered][:MAX_HOSTS]
+    return HostList(hosts=entries, lifetime_s=LIST_LIFETIME_S, revision=published.revision)
 
 
-def _is_usable(view: View, name: str, now: float, freshness: Freshness, overloaded: bool) -> bool:
+def _is_usable(view: View, name: str, now: float, max_ages: MaxAges, overloaded: bool) -> bool:
     if name == view.host:
         return not view.leaving and not overloaded
     state = view.hosts.get(name)
     if state is not None and (state.leaving or state.overloaded):
         return False
-    if state is not None and now - state.heard_at <= freshness.host_s:
+    if state is not None and now - state.heard_at <= max_ages.host_s:
         return True
-    return _is_in_fresh_domain(view, name, state, now, freshness)
+    return _is_in_fresh_domain(view, name, state, now, max_ages)
 
 
 def _is_in_fresh_domain(
-    view: View, name: str, state: HostState | None, now: float, freshness: Freshness
+    view: View, name: str, state: HostState | None, now: float, max_ages: MaxAges
 ) -> bool:
     """Tell whether a host of another failure domain may be there, though it was not heard itself.
 
@@ -87,7 +87,7 @@
     if state is not None and state.heard_at > float("-inf"):
         return False
     return any(
-        summary.domain == domain and now - summary.at <= freshness.domain_s
+        summary.domain == domain and now - summary.at <= max_ages.domain_s
         for summary in view.summaries.values()
     )
 
@@ -106,7 +106,7 @@
     yield from names[:start]
 
 
-def _describe(view: View, name: str) -> HostEntry:
+def _make_entry(view: View, name: str) -> HostEntry:
     assert view.published is not None
     host = view.published.hosts[name]
     return HostEntry(
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -20,11 +20,11 @@
 from cloverway.config.settings import Limits
 from cloverway.entry.caller_connection import (
     HEAD_END,
-    Collected,
-    Connection,
-    Early,
-    HeadBounds,
-    OnEarly,
+    CallerConnection,
+    EarlyRejection,
+    HeadLimits,
+    HeadState,
+    OnEarlyRejection,
     format_problem,
     make_request_id,
 )
@@ -35,43 +35,43 @@
 CONNECTION_KEY = "cloverway.connection"
 REQUEST_KEY = "cloverway.request"
 
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 """How long a connection may stay open between requests, and one write may block."""
 HEAD_TIMEOUT_S = 10.0
 """How long a caller may take for the head of a request, in all."""
-KEY_NAME = b"idempotency-key:"
-RETRY_S = 1.0
-BACKLOG = 128
-EXPIRE_EVERY_S = 0.2
-STOP_S = 5.0
+KEY_HEADER_PREFIX = b"idempotency-key:"
+RETRY_AFTER_S = 1.0
+ACCEPT_BACKLOG = 128
+EXPIRY_INTERVAL_S = 0.2
+STOP_TIMEOUT_S = 5.0
 
 WsgiApplication = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-class Bounds(NamedTuple):
+class ListenerLimits(NamedTuple):
     """What a listener holds at most. Times are seconds."""
 
     threads: int
-    waiting: int
+    queued: int
     """Connections with a request that wait for a thread; more are closed with a 503."""
     idle: int
     """Connections that are open and say nothing; more are closed."""
     header_bytes: int
     head_timeout_s: float = HEAD_TIMEOUT_S
-    idle_s: float = IDLE_S
+    idle_timeout_s: float = IDLE_TIMEOUT_S
 
     @classmethod
-    def from_limits(cls, limits: Limits) -> Bounds:
+    def from_limits(cls, limits: Limits) -> ListenerLimits:
         """Give the bounds of the callers' listener."""
         return cls(
             threads=limits.threads,
-            waiting=limits.threads,
+            queued=limits.threads,
             idle=limits.threads * 8,
             header_bytes=limits.header_bytes,
         )
 
 
-class Progress:
+class RequestCounter:
     """Counts requests from the moment their head is whole until they are answered.
 
     Those that wait for a thread are counted: a host that leaves must not close them.
@@ -88,7 +88,7 @@
             assert self.value >= 0, "a request ended twice"
 
 
-class Silent:
+class SilentConnections:
     """Parked connections on which no request ever came, oldest first.
 
     When all places are taken, the oldest of them makes room. Otherwise whoever opens enough
@@ -97,18 +97,18 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._parked: dict[Connection, None] = {}
+        self._connections: dict[CallerConnection, None] = {}
 
-    def add(self, conn: Connection) -> None:
+    def add(self, conn: CallerConnection) -> None:
         """Note a connection that is parked."""
         if not conn.had_request:
             with self._lock:
-                self._parked[conn] = None
+                self._connections[conn] = None
 
-    def discard(self, conn: Connection) -> None:
+    def discard(self, conn: CallerConnection) -> None:
         """Note that a connection is not parked any more."""
         with self._lock:
-            self._parked.pop(conn, None)
+            self._connections.pop(conn, None)
 
     def drop_oldest(self) -> bool:
         """End the oldest; tell whether there was one.
@@ -116,10 +116,10 @@
         Shutting it down wakes the connection manager, which finds it ended and closes it.
         """
         with self._lock:
-            oldest = next(iter(self._parked), None)
+            oldest = next(iter(self._connections), None)
             if oldest is None:
                 return False
-            del self._parked[oldest]
+            del self._connections[oldest]
             with contextlib.suppress(OSError):
                 oldest.socket.shutdown(socket.SHUT_RDWR)
         return True
@@ -141,63 +141,65 @@
 class BoundedServer(wsgi.Server):
     """A server that gives a thread only to connections that have something to say."""
 
-    ConnectionClass = Connection
+    ConnectionClass = CallerConnection
 
     def __init__(
         self,
         address: tuple[str, int],
         application: WsgiApplication,
-        bounds: Bounds,
-        on_early: OnEarly,
+        limits: ListenerLimits,
+        on_early_rejection: OnEarlyRejection,
     ) -> None:
         super().__init__(
             address,
             application,
-            numthreads=bounds.threads,
-            max=bounds.threads,
-            request_queue_size=BACKLOG,
-            timeout=bounds.idle_s,  # type: ignore[arg-type]
-            shutdown_timeout=STOP_S,  # type: ignore[arg-type]
+            numthreads=limits.threads,
+            max=limits.threads,
+            request_queue_size=ACCEPT_BACKLOG,
+            timeout=limits.idle_timeout_s,  # type: ignore[arg-type]
+            shutdown_timeout=STOP_TIMEOUT_S,  # type: ignore[arg-type]
         )
-        self.bounds = bounds
-        self.head_bounds = HeadBounds(bounds.header_bytes, bounds.head_timeout_s)
-        self.on_early = on_early
-        self.progress = Progress()
-        self._silent = Silent()
+        self.limits = limits
+        self.head_limits = HeadLimits(limits.header_bytes, limits.head_timeout_s)
+        self.on_early_rejection = on_early_rejection
+        self.request_counter = RequestCounter()
+        self._silent = SilentConnections()
         self.gateway = ConnectionGateway
-        self.max_request_header_size = bounds.header_bytes
-        self.keep_alive_conn_limit = bounds.idle
-        self.expiration_interval = EXPIRE_EVERY_S
+        self.max_request_header_size = limits.header_bytes
+        self.keep_alive_conn_limit = limits.idle
+        self.expiration_interval = EXPIRY_INTERVAL_S
 
-    def process_conn(self, conn: Connection) -> None:
+    def process_conn(self, conn: CallerConnection) -> None:
         """Hand a connection to a thread once the head of a request is there, or park it.
 
         Callers that open connections and say nothing, or send a head byte by byte, cost a place
         in a bounded table of parked connections, and no thread.
         """
         self._silent.discard(conn)
-        match conn.collect_head(self.head_bounds, time.monotonic()):
-            case Collected.WHOLE if self.progress.value < self.bounds.threads + self.bounds.waiting:
-                self.progress.add(1)
+        match conn.prefetch_head(self.head_limits, time.monotonic()):
+            case HeadState.WHOLE if (
+                self.request_counter.value < self.limits.threads + self.limits.queued
+            ):
+                self.request_counter.add(1)
                 super().process_conn(conn)
-            case Collected.WHOLE:
-                self._turn_away(conn, Kind.OVERLOADED, "every thread is busy")
-            case Collected.LATE:
-                self._turn_away(conn, Kind.TOO_SLOW, "the head did not arrive in time")
-            case Collected.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
+            case HeadState.WHOLE:
+                self._reject(conn, Kind.OVERLOADED, "every thread is busy")
+            case HeadState.LATE:
+                self._reject(conn, Kind.TOO_SLOW, "the head did not arrive in time")
+            case HeadState.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
                 self._silent.add(conn)
                 self.put_conn(conn)
             case _:
                 conn.close()
 
-    def forget(self, conn: Connection) -> None:
+    def on_connection_closed(self, conn: CallerConnection) -> None:
         """Note that a connection was closed."""
         self._silent.discard(conn)
 
-    def _turn_away(self, conn: Connection, kind: Kind, detail: str) -> None:
+    def _reject(self, conn: CallerConnection, kind: Kind, detail: str) -> None:
         request_id = make_request_id()
-        self.on_early(Early(request_id, kind))
-        turn_away(conn, kind, detail, request_id)
+        self.on_early_rejection(EarlyRejection(request_id, kind))
+        send_rejection(conn, kind, detail, request_id)
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
         """Log what the server reports."""
@@ -211,11 +213,13 @@
         self,
         address: str,
         application: WsgiApplication,
-        bounds: Bounds,
+        limits: ListenerLimits,
         name: str,
-        on_early: OnEarly = lambda early: None,
+        on_early_rejection: OnEarlyRejection = lambda rejection: None,
     ) -> None:
-        self._server = BoundedServer(split_address(address), application, bounds, on_early)
+        self._server = BoundedServer(
+            split_address(address), application, limits, on_early_rejection
+        )
         self._thread = threading.Thread(target=self._serve, name=name, daemon=True)
 
     @property
@@ -226,7 +230,7 @@
     @property
     def in_progress(self) -> int:
         """Requests whose head is whole and that are not answered yet."""
-        return self._server.progress.value
+        return self._server.request_counter.value
 
     def start(self) -> None:
         """Bind and start all threads; raises OSError when the address can't be bound."""
@@ -236,17 +240,17 @@
     def stop(self) -> None:
         """Close all connections; every thread has returned afterwards, or is forced to."""
         self._server.stop()
-        self._thread.join(STOP_S)
+        self._thread.join(STOP_TIMEOUT_S)
 
     def _serve(self) -> None:
         self._server.serve()
 
 
-def turn_away(conn: Connection, kind: Kind, detail: str, request_id: str) -> None:
+def send_rejection(conn: CallerConnection, kind: Kind, detail: str, request_id: str) -> None:
     """Answer a request that no thread takes, without waiting for anything, and close."""
-    head = conn.rfile.source.pending
-    keyless = HEAD_END in head and KEY_NAME not in head.lower()
-    retry_after = RETRY_S if ANSWERS[kind].come_back else None
+    head = conn.rfile.source.prefetched
+    keyless = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
+    retry_after = RETRY_AFTER_S if ANSWERS[kind].come_back else None
     ran = Ran.NO if keyless else Ran.UNKNOWN
     error = RequestError(kind, detail, ran=ran, retry_after=retry_after)
     with contextlib.suppress(OSError):
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -18,7 +18,7 @@
 from cloverway.membership.view import ViewHolder
 from cloverway.messages import Admitted, Away, Local, Outcome, Refused, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
-from cloverway.upstream.streams import RecordedStream, WatchedStream
+from cloverway.upstream.streams import ObservedStream, RecordedStream
 
 log = logging.getLogger(__name__)
 
@@ -305,7 +305,7 @@
         if self.grant is not None:
             recorded = RecordedStream(reply.stream, self.gateway.recorded_bytes, end_stream)
             return reply._replace(stream=recorded)
-        return reply._replace(stream=WatchedStream(reply.stream, end_stream))
+        return reply._replace(stream=ObservedStream(reply.stream, end_stream))
 
     def _finish_whole(
         self, admitted: Admitted, error: RequestError | None, reply: Reply | None
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -143,7 +143,7 @@
 ) -> str:
     events = EventStream(body)
     seen, last = 0, begin
-    while not events.whole:
+    while not events.complete:
         data = await reader.read(READ_BYTES)
         if not data:
             return CUT
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -15,7 +15,7 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import Call, Responder, make_json_reply, require_method
 from cloverway.entry.directory import HostList
-from cloverway.entry.listener import Bounds, Listener
+from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, RequestError
 from cloverway.exchange import Reply
 from cloverway.membership.view import View, ViewHolder
@@ -65,7 +65,9 @@
             "/v1/drain": ("POST", self._drain),
         }
         responder = Responder(settings.host, self._handle, BODY_BYTES)
-        bounds = Bounds(settings.limits.admin_threads, WAITING, IDLE, settings.limits.header_bytes)
+        bounds = ListenerLimits(
+            settings.limits.admin_threads, WAITING, IDLE, settings.limits.header_bytes
+        )
         self._listener = Listener(
             settings.listen.admin, responder.make_application(), bounds, "admin"
         )
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from cloverway.entry.callers import Refusal
+from cloverway.entry.callers import Rejection
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import ViewHolder
 from cloverway.messages import Request
@@ -94,7 +94,7 @@
             )
         )
 
-    def note_refusal(self, refusal: Refusal) -> None:
+    def note_refusal(self, refusal: Rejection) -> None:
         """Report a request that was refused before the gateway saw it."""
         log.info(
             "request",
--- a/cloverway/tests/callers_bench.py
+++ b/cloverway/tests/callers_bench.py
@@ -15,7 +15,7 @@
 from cloverway.config.settings import Limits, Listen, PlatformSettings, Security, Settings
 from cloverway.entry.authentication import hash_key
 from cloverway.entry.callers import CallerServer
-from cloverway.entry.listener import Bounds
+from cloverway.entry.listener import ListenerLimits
 from cloverway.exchange import Reply
 from cloverway.membership.view import View, ViewHolder
 from cloverway.messages import Request
@@ -56,7 +56,7 @@
 HEADERS = {"Authorization": f"Bearer {BEARER}", "Content-Type": "application/json"}
 CHAT = {**HEADERS, "Cloverway-Profile": "chat"}
 CHAT_BODY = b'{"messages": [{"role": "user", "content": "insulin?"}]}'
-PASSED_BODY = json.dumps(
+FORWARDED_BODY = json.dumps(
     {**json.loads(CHAT_BODY), "model": "clover-7b"}, separators=(",", ":")
 ).encode()
 """The same with the profile's model, as an endpoint gets it."""
@@ -74,13 +74,13 @@
         self.pieces = iter(pieces)
         self.error = error
         self.closed = threading.Event()
-        self.go_on = threading.Event()
-        self.go_on.set()
+        self.resume = threading.Event()
+        self.resume.set()
 
     def __iter__(self) -> Iterator[bytes]:
         for piece in self.pieces:
             yield piece
-            self.go_on.wait(5)
+            self.resume.wait(5)
         if self.error is not None:
             raise self.error
 
@@ -98,14 +98,14 @@
     def __init__(self) -> None:
         self.requests: list[Request] = []
         self.answer: Reply | Exception = Reply(200, "application/json", b"{}")
-        self.entered = threading.Event()
-        self.go_on = threading.Event()
-        self.go_on.set()
+        self.started = threading.Event()
+        self.resume = threading.Event()
+        self.resume.set()
 
     def run(self, request: Request) -> Reply:
         self.requests.append(request)
-        self.entered.set()
-        self.go_on.wait(10)
+        self.started.set()
+        self.resume.wait(10)
         if isinstance(self.answer, Exception):
             raise self.answer
         return self.answer
@@ -143,30 +143,30 @@
     return View("pl-1-a", "i-1", "pl-1", "port-louis", published=published)._replace(**fields)
 
 
-class Bench:
+class CallerServerHarness:
     """A callers' server on a free port with a fake gateway behind it."""
 
-    def __init__(self, bounds: Bounds | None = None, **limits: Any) -> None:
+    def __init__(self, listener_limits: ListenerLimits | None = None, **limits: Any) -> None:
         self.gateway = FakeGateway()
-        self.refusals: list[Any] = []
-        self.left: list[str] = []
+        self.rejections: list[Any] = []
+        self.disconnected: list[str] = []
         self.holder = ViewHolder(make_view())
         self.server = CallerServer(
             make_settings(**limits),
             self.holder,
             self.gateway,
             issue,
-            on_refusal=self.refusals.append,
-            on_left=self.left.append,
-            bounds=bounds,
+            on_rejection=self.rejections.append,
+            on_disconnect=self.disconnected.append,
+            listener_limits=listener_limits,
         )
 
-    def __enter__(self) -> Bench:
+    def __enter__(self) -> CallerServerHarness:
         self.server.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.gateway.go_on.set()
+        self.gateway.resume.set()
         self.server.stop()
 
     def call(
@@ -175,11 +175,11 @@
         path: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
-        old: bool = False,
+        http_1_0: bool = False,
     ) -> Answer:
         """Send one request on a connection of its own, and read the whole answer."""
         connection = http.client.HTTPConnection(self.server.address, timeout=10)
-        if old:
+        if http_1_0:
             connection._http_vsn, connection._http_vsn_str = 10, "HTTP/1.0"  # type: ignore
         with contextlib.closing(connection):
             connection.request(method, path, body, HEADERS if headers is None else headers)
--- a/cloverway/tests/copying.py
+++ b/cloverway/tests/copying.py
@@ -10,8 +10,8 @@
 from cloverway.config.settings import Limits
 from cloverway.messages import Request
 from cloverway.tests.raw_endpoint import (
-    PATIENCE_S,
-    Conversation,
+    TIMEOUT_S,
+    EndpointSideConnection,
     make_request,
 )
 from cloverway.upstream.copiers import Copier, EndpointStream
@@ -20,10 +20,10 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 EVENTS = (b"data: a\n\n", b"data: b\n\n", b"data: c\n\n", b"data: [DONE]\n\n")
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Bench:
+class StreamHarness:
     """A client whose streams are copied to callers, each in a thread of its own."""
 
     def __init__(self, copier: Copier) -> None:
@@ -51,16 +51,16 @@
             caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             caller.connect(listener.getsockname())
             served, _ = listener.accept()
-        caller.settimeout(PATIENCE_S)
+        caller.settimeout(TIMEOUT_S)
         served.settimeout(7.0)
         self.sockets += [caller, served]
         return caller, self.workers.submit(self._copy, stream, served)
 
     def copy(self, stream: EndpointStream) -> bytes:
         """Copy a stream to a caller that reads all, and give what it read."""
-        caller, ended = self.hand_over(stream)
+        caller, copy_future = self.hand_over(stream)
         data = b"".join(iter(lambda: caller.recv(65536), b""))
-        ended.result(PATIENCE_S)
+        copy_future.result(TIMEOUT_S)
         return data
 
     def _copy(self, stream: EndpointStream, served: socket.socket) -> None:
@@ -82,19 +82,19 @@
     return b"%x\r\n%b\r\n" % (len(event), event)
 
 
-def play(*pieces: bytes, hold: bool = False) -> Callable[[Conversation], None]:
+def make_script(*pieces: bytes, hold: bool = False) -> Callable[[EndpointSideConnection], None]:
     """Make a script: answer each request by these pieces; then hold the connection or end it."""
 
-    def script(conversation: Conversation) -> None:
-        while conversation.read_request():
+    def script(connection: EndpointSideConnection) -> None:
+        while connection.read_request():
             for piece in (HEAD, *pieces):
-                conversation.send(piece)
+                connection.send(piece)
             if hold:
-                conversation.wait_for_close()
-            if hold or END not in pieces:
+                connection.wait_for_close()
+            if hold or LAST_CHUNK not in pieces:
                 return
 
     return script
 
 
-WHOLE = (*map(chunk, EVENTS), END)
+COMPLETE_STREAM = (*map(chunk, EVENTS), LAST_CHUNK)
--- a/cloverway/tests/measure_callers.py
+++ b/cloverway/tests/measure_callers.py
@@ -16,7 +16,7 @@
 from cloverway.errors import Ran
 from cloverway.exchange import Reply
 from cloverway.operations.metrics import Metrics, RequestEnded, StreamEnded
-from cloverway.tests.callers_bench import CHAT, CHAT_BODY, DOCUMENTS, Bench
+from cloverway.tests.callers_bench import CHAT, CHAT_BODY, DOCUMENTS, CallerServerHarness
 
 REQUESTS = 2000
 IDLE = 1000
@@ -25,9 +25,9 @@
 
 
 def measure_requests() -> None:
-    with Bench(threads=192, admitted=64, queued=64) as bench:
-        bench.gateway.answer = Reply(200, "application/json", b"{}")
-        connection = http.client.HTTPConnection(bench.server.address)
+    with CallerServerHarness(threads=192, admitted=64, queued=64) as harness:
+        harness.gateway.answer = Reply(200, "application/json", b"{}")
+        connection = http.client.HTTPConnection(harness.server.address)
         before, times = time.process_time(), []
         for _ in range(REQUESTS):
             start = time.perf_counter()
@@ -42,11 +42,14 @@
 
 
 def measure_idle_connections() -> None:
-    with Bench(threads=192, admitted=64, queued=64) as bench, contextlib.ExitStack() as stack:
+    with (
+        CallerServerHarness(threads=192, admitted=64, queued=64) as harness,
+        contextlib.ExitStack() as stack,
+    ):
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         for _ in range(IDLE):
-            stack.enter_context(bench.connect())
-        status = bench.call("POST", "/v1/chat/completions", CHAT_BODY, CHAT).status
+            stack.enter_context(harness.connect())
+        status = harness.call("POST", "/v1/chat/completions", CHAT_BODY, CHAT).status
         after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     print(
         f"idle: {(after - before) / IDLE:.1f} KB for each of {IDLE}, a call beside them: {status}"
--- a/cloverway/tests/raw_endpoint.py
+++ b/cloverway/tests/raw_endpoint.py
@@ -10,10 +10,10 @@
 
 from cloverway.messages import Request
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def make_request(deadline_s: float = PATIENCE_S, **fields: object) -> Request:
+def make_request(deadline_s: float = TIMEOUT_S, **fields: object) -> Request:
     now = time.monotonic()
     values = {
         "id": "r1",
@@ -29,14 +29,14 @@
     return Request(**(values | fields))
 
 
-class Conversation:
+class EndpointSideConnection:
     """One accepted connection, as the endpoint sees it."""
 
     def __init__(self, sock: socket.socket, number: int) -> None:
         self.sock = sock
         self.number = number
         self.requests: list[bytes] = []
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read_request(self) -> bytes:
@@ -80,13 +80,13 @@
 class RawEndpoint:
     """Accepts connections on a free port and plays a script for each, by its number."""
 
-    def __init__(self, *scripts: Callable[[Conversation], None]) -> None:
+    def __init__(self, *scripts: Callable[[EndpointSideConnection], None]) -> None:
         self._scripts = scripts
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.url = f"http://127.0.0.1:{self._listener.getsockname()[1]}"
-        self.conversations: list[Conversation] = []
+        self.connections: list[EndpointSideConnection] = []
         self.cancels: list[bytes] = []
-        self.ended = 0
+        self.closed_count = 0
         threading.Thread(target=self._accept, daemon=True).start()
 
     def __enter__(self) -> RawEndpoint:
@@ -94,8 +94,8 @@
 
     def __exit__(self, *_: object) -> None:
         self.stop_listening()
-        for conversation in self.conversations:
-            conversation.sock.close()
+        for connection in self.connections:
+            connection.sock.close()
 
     def stop_listening(self) -> None:
         with suppress(OSError):
@@ -104,7 +104,7 @@
 
     @property
     def requests(self) -> list[bytes]:
-        return [request for each in self.conversations for request in each.requests]
+        return [request for each in self.connections for request in each.requests]
 
     def _accept(self) -> None:
         with suppress(OSError):
@@ -114,14 +114,14 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with sock, suppress(OSError):
-            sock.settimeout(PATIENCE_S)
+            sock.settimeout(TIMEOUT_S)
             start = sock.recv(15, socket.MSG_PEEK | socket.MSG_WAITALL)
             if start == b"POST /v1/cancel":
-                cancel = Conversation(sock, -1)
+                cancel = EndpointSideConnection(sock, -1)
                 cancel.answer(b"{}")
                 self.cancels += cancel.requests
                 return
-            conversation = Conversation(sock, len(self.conversations))
-            self.conversations.append(conversation)
-            self._scripts[min(conversation.number, len(self._scripts) - 1)](conversation)
-        self.ended += 1
+            connection = EndpointSideConnection(sock, len(self.connections))
+            self.connections.append(connection)
+            self._scripts[min(connection.number, len(self._scripts) - 1)](connection)
+        self.closed_count += 1
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -12,7 +12,7 @@
 from cloverway.tests.callers_bench import (
     CHAT,
     CHAT_BODY,
-    Bench,
+    CallerServerHarness,
     make_settings,
     make_view,
     wait_until,
@@ -106,8 +106,8 @@
     At this moment an operator asks what goes on, and lets the host leave. With one pool for both,
     the question would wait as well, and the host would look dead to whoever checks its health.
     """
-    with Bench() as bench, ThreadPoolExecutor(8) as callers:
-        bench.gateway.go_on.clear()
+    with CallerServerHarness() as bench, ThreadPoolExecutor(8) as callers:
+        bench.gateway.resume.clear()
         calls = [
             callers.submit(bench.call, "POST", "/v1/chat/completions", CHAT_BODY, CHAT)
             for _ in range(8)
@@ -115,5 +115,5 @@
         assert wait_until(lambda: bench.server.in_progress() == 8)
         for path in ("/healthz", "/metrics", "/v1/status", "/v1/hosts"):
             assert admin.ask("GET", path)[0] == 200
-        bench.gateway.go_on.set()
+        bench.gateway.resume.set()
         assert [call.result().status for call in calls] == [200] * 8
--- a/cloverway/tests/test_authentication.py
+++ b/cloverway/tests/test_authentication.py
@@ -7,12 +7,12 @@
 from cloverway.config.published import Published
 from cloverway.config.schema import Profile
 from cloverway.entry.authentication import (
-    Authenticator,
     KeyIndex,
+    KeyIndexCache,
     authenticate,
     choose_deadline_s,
     hash_key,
-    read_bearer,
+    parse_bearer,
 )
 from cloverway.errors import RequestError
 from cloverway.tests.callers_bench import BEARER, DOCUMENTS
@@ -21,28 +21,28 @@
 
 
 def test_the_index_is_built_once_for_each_configuration():
-    authenticator = Authenticator()
-    index = authenticator.index_of(PUBLISHED)
-    assert authenticator.index_of(PUBLISHED) is index
+    index_cache = KeyIndexCache()
+    index = index_cache.get_index(PUBLISHED)
+    assert index_cache.get_index(PUBLISHED) is index
     later = PUBLISHED._replace(revision=4)
-    assert authenticator.index_of(later).published is later
+    assert index_cache.get_index(later).published is later
 
 
 def test_a_key_that_was_taken_back_is_refused_at_once():
     """An operator withdraws a key that was lost; the next call with it is refused."""
-    authenticator = Authenticator()
-    authenticate(authenticator.index_of(PUBLISHED), f"Bearer {BEARER}", "chat")
+    index_cache = KeyIndexCache()
+    authenticate(index_cache.get_index(PUBLISHED), f"Bearer {BEARER}", "chat")
     pharmacy = PUBLISHED.teams["pharmacy"]._replace(key_hashes=())
     later = PUBLISHED._replace(revision=4, teams={**PUBLISHED.teams, "pharmacy": pharmacy})
     with pytest.raises(RequestError, match="unauthenticated"):
-        authenticate(authenticator.index_of(later), f"Bearer {BEARER}", "chat")
+        authenticate(index_cache.get_index(later), f"Bearer {BEARER}", "chat")
 
 
 @given(st.text(max_size=600))
 def test_only_a_published_key_names_a_team(text):
     index = KeyIndex.from_published(PUBLISHED)
     try:
-        bearer = read_bearer(text)
+        bearer = parse_bearer(text)
     except RequestError as error:
         assert error.kind == "unauthenticated"
         return
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -14,10 +14,10 @@
 from cloverway.tests.callers_bench import (
     CHAT,
     CHAT_BODY,
+    FORWARDED_BODY,
     HEADERS,
-    PASSED_BODY,
     STREAM_BODY,
-    Bench,
+    CallerServerHarness,
     FakeStream,
     wait_until,
 )
@@ -26,98 +26,100 @@
 
 
 @pytest.fixture(scope="module")
-def bench():
-    with Bench() as started:
+def harness():
+    with CallerServerHarness() as started:
         yield started
 
 
 @pytest.fixture(autouse=True)
-def _reset(bench):
-    bench.gateway.answer = Reply(200, "application/json", b"{}")
-    bench.gateway.requests.clear()
-    bench.refusals.clear()
+def _reset(harness):
+    harness.gateway.answer = Reply(200, "application/json", b"{}")
+    harness.gateway.requests.clear()
+    harness.rejections.clear()
 
 
-def test_a_completion_reaches_the_gateway(bench):
-    bench.gateway.answer = Reply(200, "application/json", b'{"a": 1}', headers=(("X-Ran", "pl"),))
-    answer = bench.call("POST", COMPLETIONS, CHAT_BODY, {**CHAT, "Cloverway-Deadline-Ms": "900"})
+def test_a_completion_reaches_the_gateway(harness):
+    harness.gateway.answer = Reply(200, "application/json", b'{"a": 1}', headers=(("X-Ran", "pl"),))
+    answer = harness.call("POST", COMPLETIONS, CHAT_BODY, {**CHAT, "Cloverway-Deadline-Ms": "900"})
     assert (answer.status, answer.body) == (200, b'{"a": 1}')
     assert answer.headers["X-Ran"] == "pl"
     assert answer.headers["Cloverway-Host"] == "pl-1-a"
-    [request] = bench.gateway.requests
+    [request] = harness.gateway.requests
     assert answer.headers["X-Request-Id"] == request.id
-    assert (request.team, request.profile, request.body) == ("pharmacy", "chat", PASSED_BODY)
+    assert (request.team, request.profile, request.body) == ("pharmacy", "chat", FORWARDED_BODY)
     assert request.deadline - request.arrived_at == pytest.approx(0.9)
     assert request.revision == 3
     assert not request.stream
 
 
-def test_a_service_call_keeps_its_target(bench):
+def test_a_service_call_keeps_its_target(harness):
     headers = {**HEADERS, "Cloverway-Profile": "allocate", "Idempotency-Key": "k-1"}
     target = "/v1/services/stock/boxes/7?of=insulin&at=%41"
-    assert bench.call("PUT", target, b"{}", headers).status == 200
-    [request] = bench.gateway.requests
+    assert harness.call("PUT", target, b"{}", headers).status == 200
+    [request] = harness.gateway.requests
     assert (request.method, request.path, request.key) == ("PUT", target, "k-1")
 
 
-def test_a_stream_comes_whole(bench):
+def test_a_stream_comes_whole(harness):
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n", b"data: [DONE]\n\n"])
-    bench.gateway.answer = Reply(200, "text/event-stream", stream=stream)
-    answer = bench.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
+    answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
     assert answer.body == b"data: 1\n\ndata: 2\n\ndata: [DONE]\n\n"
     assert answer.headers["Content-Type"] == "text/event-stream"
     assert stream.closed.wait(5)
-    assert bench.gateway.requests[0].stream
+    assert harness.gateway.requests[0].stream
 
 
 @pytest.mark.parametrize("error", [RequestError(Kind.TRUNCATED), RuntimeError("bug")])
-def test_a_cut_stream_never_looks_whole(bench, error):
+def test_a_cut_stream_never_looks_whole(harness, error):
     """The caller has read a part when its connection closes without the last chunk.
 
     The endpoint sends one piece and is lost. Were the last chunk sent, the caller would take a
     part of an allocation list for all of it.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"], error)
-    bench.gateway.answer = Reply(200, "text/event-stream", stream=stream)
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
     with pytest.raises(http.client.IncompleteRead) as caught:
-        bench.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
+        harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
     assert caught.value.partial == b"data: 1\n\ndata: 2\n\n"
     assert stream.closed.wait(5)
-    assert wait_until(lambda: bench.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.in_progress() == 0)
 
 
-def test_a_stream_that_is_cut_at_once_is_a_problem(bench):
+def test_a_stream_that_is_cut_at_once_is_a_problem(harness):
     stream = FakeStream([], RequestError(Kind.ENDPOINT_FAILED))
-    bench.gateway.answer = Reply(200, "text/event-stream", stream=stream)
-    answer = bench.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
+    answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
     assert answer.status == 502
     assert answer.problem["kind"] == "endpoint_failed"
     assert stream.closed.wait(5)
 
 
-def test_an_old_caller_gets_a_length(bench):
+def test_an_old_caller_gets_a_length(harness):
     """A caller of HTTP/1.0 knows the end of a stream only by the closed connection.
 
     A cut stream closes it too, so such a caller could not tell a part from the whole. It gets
     the stream collected, with its length, or a problem.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"])
-    bench.gateway.answer = Reply(200, "text/event-stream", stream=stream)
-    answer = bench.call("POST", COMPLETIONS, STREAM_BODY, CHAT, old=True)
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
+    answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT, http_1_0=True)
     assert answer.headers["Content-Length"] == "18"
     assert answer.body == b"data: 1\n\ndata: 2\n\n"
     cut = FakeStream([b"data: 1\n\n"], RequestError(Kind.TRUNCATED))
-    bench.gateway.answer = Reply(200, "text/event-stream", stream=cut)
-    assert bench.call("POST", COMPLETIONS, STREAM_BODY, CHAT, old=True).problem["status"] == 502
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=cut)
+    assert (
+        harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT, http_1_0=True).problem["status"] == 502
+    )
 
 
-def test_failures_of_the_gateway_become_problems(bench):
-    bench.gateway.answer = RequestError(Kind.OVERLOADED, retry_after=1.2)
-    answer = bench.call("POST", COMPLETIONS, CHAT_BODY, CHAT)
+def test_failures_of_the_gateway_become_problems(harness):
+    harness.gateway.answer = RequestError(Kind.OVERLOADED, retry_after=1.2)
+    answer = harness.call("POST", COMPLETIONS, CHAT_BODY, CHAT)
     assert (answer.status, answer.headers["Retry-After"]) == (429, "2")
     assert (answer.problem["kind"], answer.problem["ran"]) == ("overloaded", "no")
-    bench.gateway.answer = RuntimeError("a secret detail")
-    answer = bench.call("POST", COMPLETIONS, CHAT_BODY, CHAT)
+    harness.gateway.answer = RuntimeError("a secret detail")
+    answer = harness.call("POST", COMPLETIONS, CHAT_BODY, CHAT)
     assert (answer.problem["kind"], answer.problem["ran"]) == ("internal", "unknown")
     assert b"secret" not in answer.body
 
@@ -145,51 +147,51 @@
         ),
     ],
 )
-def test_what_is_refused(bench, method, path, headers, kind):
-    answer = bench.call(method, path, CHAT_BODY, headers)
+def test_what_is_refused(harness, method, path, headers, kind):
+    answer = harness.call(method, path, CHAT_BODY, headers)
     assert (answer.problem["kind"], answer.problem["ran"]) == (kind, "no")
-    assert not bench.gateway.requests
-    assert [refusal.kind for refusal in bench.refusals] == [kind]
+    assert not harness.gateway.requests
+    assert [rejection.kind for rejection in harness.rejections] == [kind]
 
 
 @pytest.mark.parametrize(
     "path", ["/../load", "/a/../../x", "/%2e%2e/x", "/a%2f..%2fb", "//x", "/a\\b"]
 )
-def test_a_target_stays_below_its_service(bench, path):
+def test_a_target_stays_below_its_service(harness, path):
     """A caller must not reach an endpoint's orders by a path that the endpoint folds up."""
     headers = {**HEADERS, "Cloverway-Profile": "lookup"}
-    answer = bench.call("GET", "/v1/services/stock" + path, None, headers)
+    answer = harness.call("GET", "/v1/services/stock" + path, None, headers)
     assert answer.problem["kind"] in ("malformed", "not_found")
-    assert not bench.gateway.requests
+    assert not harness.gateway.requests
 
 
-def test_a_refusal_before_the_key_is_looked_up_promises_nothing(bench):
+def test_a_refusal_before_the_key_is_looked_up_promises_nothing(harness):
     """A caller repeats a call with its key after a lost answer, and is refused.
 
     The first request may have run. Were the refusal of the repeat marked `ran: no`, the caller
     would allocate again with a new key.
     """
     headers = {**HEADERS, "Cloverway-Profile": "none", "Idempotency-Key": "k-1"}
-    answer = bench.call("POST", "/v1/services/stock/a", b"{}", headers)
+    answer = harness.call("POST", "/v1/services/stock/a", b"{}", headers)
     assert (answer.problem["kind"], answer.problem["ran"]) == ("forbidden", "unknown")
     headers = {**HEADERS, "Cloverway-Profile": "allocate", "Idempotency-Key": "k" * 300}
-    answer = bench.call("POST", "/v1/services/stock/a", b"{}", headers)
+    answer = harness.call("POST", "/v1/services/stock/a", b"{}", headers)
     assert (answer.problem["kind"], answer.problem["ran"]) == ("key_invalid", "no")
 
 
-def test_hosts_and_keys(bench):
-    answer = bench.call("GET", "/v1/hosts", headers={})
+def test_hosts_and_keys(harness):
+    answer = harness.call("GET", "/v1/hosts", headers={})
     assert [host["name"] for host in json.loads(answer.body)["hosts"]] == ["pl-1-a"]
-    answer = bench.call("POST", "/v1/idempotency-keys", b'{"count": 2}')
+    answer = harness.call("POST", "/v1/idempotency-keys", b'{"count": 2}')
     assert json.loads(answer.body) == {
         "key": "key-0",
         "keys": ["key-0", "key-1"],
         "lifetime_s": 3600.0,
     }
-    assert bench.call("POST", "/v1/idempotency-keys").status == 200
-    answer = bench.call("POST", "/v1/idempotency-keys", b'{"count": 101}')
+    assert harness.call("POST", "/v1/idempotency-keys").status == 200
+    answer = harness.call("POST", "/v1/idempotency-keys", b'{"count": 101}')
     assert answer.problem["kind"] == "malformed"
-    assert bench.call("POST", "/v1/idempotency-keys", headers={}).problem["status"] == 401
+    assert harness.call("POST", "/v1/idempotency-keys", headers={}).problem["status"] == 401
 
 
 def test_the_callers_guide_has_every_kind_as_it_is_answered():
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -17,10 +17,10 @@
 
 from cloverway.entry import bodies
 from cloverway.entry.application import Call
-from cloverway.entry.listener import Bounds
+from cloverway.entry.listener import ListenerLimits
 from cloverway.errors import ANSWERS, RequestError
 from cloverway.exchange import Reply
-from cloverway.tests.callers_bench import CHAT, CHAT_BODY, Bench, read_all, wait_until
+from cloverway.tests.callers_bench import CHAT, CHAT_BODY, CallerServerHarness, read_all, wait_until
 
 COUNT = int(os.environ.get("CLOVERWAY_FUZZ", "100"))
 LIMIT = 2048
@@ -82,9 +82,11 @@
 
 
 @pytest.fixture(scope="module")
-def bench():
-    bounds = Bounds(threads=4, waiting=8, idle=32, header_bytes=4096, head_timeout_s=5, idle_s=5)
-    with Bench(bounds=bounds, body_bytes=LIMIT) as started:
+def harness():
+    listener_limits = ListenerLimits(
+        threads=4, queued=8, idle=32, header_bytes=4096, head_timeout_s=5, idle_timeout_s=5
+    )
+    with CallerServerHarness(listener_limits=listener_limits, body_bytes=LIMIT) as started:
         yield started
 
 
@@ -131,13 +133,13 @@
 
 @PURE
 @given(st.sampled_from(SOUND), changes, st.booleans())
-def test_any_call_is_refused_or_made_a_sound_request(bench, sound, changed, chunked):
+def test_any_call_is_refused_or_made_a_sound_request(harness, sound, changed, chunked):
     fields = {**sound, **changed}
     length = {"Content-Length": str(len(fields["body"]))}
     fields["sent_headers"] = {**length, **fields["sent_headers"], **fields.pop("more", {})}
     call = make_call(**fields, chunked=chunked)
     try:
-        request = bench.server._admit(call, 10.0)
+        request = harness.server._build_request(call, 10.0)
     except RequestError as error:
         assert error.kind in ANSWERS
         event(error.kind)
@@ -173,18 +175,18 @@
 
 @OVER_SOCKETS
 @given(heads, st.binary(max_size=100), st.booleans())
-def test_any_bytes_get_an_answer_or_a_close(bench, head, body, known):
+def test_any_bytes_get_an_answer_or_a_close(harness, head, body, known):
     method, path, fields = head
     lines = [f"{method} /{path} HTTP/1.1", "Host: h", *(f"{n}: {v}" for n, v in fields.items())]
     if known:
         lines += [f"{name}: {text}" for name, text in CHAT.items()]
         lines.append(f"Content-Length: {len(body)}")
     text = "\r\n".join(lines).encode("utf-8", "surrogatepass") + b"\r\n\r\n" + body
-    with bench.connect() as sock:
+    with harness.connect() as sock:
         sock.sendall(text)
         sock.shutdown(socket.SHUT_WR)
         answer = read_all(sock)
     assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
     assert b"Traceback" not in answer
     assert not answer.startswith(b"HTTP/1.1 500")
-    assert wait_until(lambda: bench.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.in_progress() == 0)
--- a/cloverway/tests/test_copiers.py
+++ b/cloverway/tests/test_copiers.py
@@ -7,10 +7,18 @@
 import pytest
 
 from cloverway.errors import EndpointLostError, Kind
-from cloverway.tests.copying import END, EVENTS, HEAD, WHOLE, Bench, chunk, play
+from cloverway.tests.copying import (
+    COMPLETE_STREAM,
+    EVENTS,
+    HEAD,
+    LAST_CHUNK,
+    StreamHarness,
+    chunk,
+    make_script,
+)
 from cloverway.tests.raw_endpoint import (
-    PATIENCE_S,
-    Conversation,
+    TIMEOUT_S,
+    EndpointSideConnection,
     RawEndpoint,
     make_request,
 )
@@ -23,24 +31,24 @@
 
 
 @pytest.fixture(params=[WorkerCopier, lambda: RelayCopier(Relay.start())], ids=["worker", "relay"])
-def bench(request: pytest.FixtureRequest) -> Iterator[Bench]:
-    bench = Bench(request.param())
-    yield bench
-    bench.close()
+def harness(request: pytest.FixtureRequest) -> Iterator[StreamHarness]:
+    harness = StreamHarness(request.param())
+    yield harness
+    harness.close()
 
 
-def test_whole_stream_and_its_connection_is_used_again(bench: Bench) -> None:
-    with RawEndpoint(play(*WHOLE)) as endpoint:
+def test_whole_stream_and_its_connection_is_used_again(harness: StreamHarness) -> None:
+    with RawEndpoint(make_script(*COMPLETE_STREAM)) as endpoint:
         for _ in range(2):
             body = ChunkedBody()
-            assert body.feed(bench.copy(bench.open(endpoint.url))) == b"".join(EVENTS)
+            assert body.feed(harness.copy(harness.open(endpoint.url))) == b"".join(EVENTS)
             assert not body.ended, "the last chunk is the caller's server to write"
-        assert len(endpoint.conversations) == 1
+        assert len(endpoint.connections) == 1
         assert endpoint.cancels == []
-    assert [stats.tokens for _, stats in bench.stats] == [3, 3]
+    assert [stats.tokens for _, stats in harness.stats] == [3, 3]
 
 
-def test_first_piece_is_read_before_the_rest_is_handed_over(bench: Bench) -> None:
+def test_first_piece_is_read_before_the_rest_is_handed_over(harness: StreamHarness) -> None:
     """The caller gets every event once, though the worker read the first ones itself.
 
     A generator around the stream reads a piece and is dropped, which closes what it reads from;
@@ -52,38 +60,40 @@
 
     first_read = threading.Event()
 
-    def wait_between(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(HEAD + WHOLE[0])
-        assert first_read.wait(PATIENCE_S)
-        conversation.send(b"".join(WHOLE[1:]))
+    def wait_between(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(HEAD + COMPLETE_STREAM[0])
+        assert first_read.wait(TIMEOUT_S)
+        connection.send(b"".join(COMPLETE_STREAM[1:]))
 
     with RawEndpoint(wait_between) as endpoint:
-        stream = bench.open(endpoint.url)
+        stream = harness.open(endpoint.url)
         assert next(iter(read_around(stream))) == EVENTS[0]
         first_read.set()
-        assert ChunkedBody().feed(bench.copy(stream)) == b"".join(EVENTS[1:])
+        assert ChunkedBody().feed(harness.copy(stream)) == b"".join(EVENTS[1:])
 
 
-def test_everything_arrives_with_the_head(bench: Bench) -> None:
-    with RawEndpoint(lambda c: c.read_request() and c.send(HEAD + b"".join(WHOLE))) as endpoint:
-        assert ChunkedBody().feed(bench.copy(bench.open(endpoint.url))) == b"".join(EVENTS)
+def test_everything_arrives_with_the_head(harness: StreamHarness) -> None:
+    with RawEndpoint(
+        lambda c: c.read_request() and c.send(HEAD + b"".join(COMPLETE_STREAM))
+    ) as endpoint:
+        assert ChunkedBody().feed(harness.copy(harness.open(endpoint.url))) == b"".join(EVENTS)
 
 
-def test_stream_cut_at_every_byte(bench: Bench) -> None:
+def test_stream_cut_at_every_byte(harness: StreamHarness) -> None:
     """The caller never takes a part of a stream for the whole, wherever it is cut.
 
     The endpoint closes after each possible number of bytes: between frames, within one, after
     `[DONE]` but before the last chunk. The worker is told, and neither `[DONE]` nor the last
     chunk was copied.
     """
-    wire = b"".join(WHOLE)
-    scripts = [play(wire[:place]) for place in range(len(wire))]
+    wire = b"".join(COMPLETE_STREAM)
+    scripts = [make_script(wire[:place]) for place in range(len(wire))]
     with RawEndpoint(*scripts) as endpoint:
         for place in range(len(wire)):
-            caller, ended = bench.hand_over(bench.open(endpoint.url))
+            caller, copy_future = harness.hand_over(harness.open(endpoint.url))
             copied = b"".join(iter(lambda: caller.recv(4096), b""))  # noqa: B023
-            error = ended.exception(PATIENCE_S)
+            error = copy_future.exception(TIMEOUT_S)
             assert isinstance(error, EndpointLostError), place
             assert error.kind is Kind.TRUNCATED
             assert b"[DONE]" not in copied
@@ -92,81 +102,81 @@
             assert not body.ended
 
 
-def test_malformed_stream(bench: Bench) -> None:
-    with RawEndpoint(play(chunk(EVENTS[0]), b"oops\r\n", hold=True)) as endpoint:
-        _, ended = bench.hand_over(bench.open(endpoint.url))
-        assert ended.exception(PATIENCE_S).kind is Kind.ENDPOINT_FAILED
-        wait_until(lambda: endpoint.ended == 1, what="close")
+def test_malformed_stream(harness: StreamHarness) -> None:
+    with RawEndpoint(make_script(chunk(EVENTS[0]), b"oops\r\n", hold=True)) as endpoint:
+        _, copy_future = harness.hand_over(harness.open(endpoint.url))
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.ENDPOINT_FAILED
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
 
 
-def test_silent_endpoint(bench: Bench) -> None:
+def test_silent_endpoint(harness: StreamHarness) -> None:
     """The caller's stream ends, cut, once the endpoint was silent for the gap limit.
 
     One event comes and then nothing, with the connection open: something between the two ends
     has lost track of it. The engine is told on a new connection, and its old one is closed.
     """
-    with RawEndpoint(play(chunk(EVENTS[0]), hold=True)) as endpoint:
-        caller, ended = bench.hand_over(bench.open(endpoint.url, gap_s=0.15))
+    with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
+        caller, copy_future = harness.hand_over(harness.open(endpoint.url, gap_s=0.15))
         assert caller.recv(4096) == chunk(EVENTS[0])
-        assert ended.exception(PATIENCE_S).kind is Kind.TIMED_OUT
-        wait_until(lambda: endpoint.ended == 1, what="close")
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.TIMED_OUT
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
         assert b'"r1"' in endpoint.cancels[0]
 
 
-def test_endless_stream_keeps_to_the_deadline(bench: Bench) -> None:
-    def drip(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(HEAD)
-        conversation.sock.settimeout(0.01)
-        while not conversation.wait_for_close():
-            conversation.send(chunk(EVENTS[0]))
+def test_endless_stream_keeps_to_the_deadline(harness: StreamHarness) -> None:
+    def drip(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(HEAD)
+        connection.sock.settimeout(0.01)
+        while not connection.wait_for_close():
+            connection.send(chunk(EVENTS[0]))
 
     with RawEndpoint(drip) as endpoint:
-        _, ended = bench.hand_over(bench.open(endpoint.url, make_request(0.3)))
-        assert ended.exception(PATIENCE_S).kind is Kind.TIMED_OUT
-        wait_until(lambda: endpoint.ended == 1, what="close")
+        _, copy_future = harness.hand_over(harness.open(endpoint.url, make_request(0.3)))
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.TIMED_OUT
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
 
 
-def test_caller_leaves_while_tokens_come(bench: Bench) -> None:
-    def go_on(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(HEAD)
-        conversation.sock.settimeout(0.005)
-        while not conversation.wait_for_close():
-            conversation.send(chunk(EVENTS[0]))
+def test_caller_leaves_while_tokens_come(harness: StreamHarness) -> None:
+    def go_on(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(HEAD)
+        connection.sock.settimeout(0.005)
+        while not connection.wait_for_close():
+            connection.send(chunk(EVENTS[0]))
 
     with RawEndpoint(go_on) as endpoint:
-        caller, ended = bench.hand_over(bench.open(endpoint.url))
+        caller, copy_future = harness.hand_over(harness.open(endpoint.url))
         caller.recv(4096)
         caller.close()
-        assert ended.exception(PATIENCE_S).kind is Kind.CALLER_LEFT
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
 
 
-def test_next_request_of_the_caller_is_left_alone(bench: Bench) -> None:
-    with RawEndpoint(play(*WHOLE)) as endpoint:
-        stream = bench.open(endpoint.url)
-        caller, ended = bench.hand_over(stream)
+def test_next_request_of_the_caller_is_left_alone(harness: StreamHarness) -> None:
+    with RawEndpoint(make_script(*COMPLETE_STREAM)) as endpoint:
+        stream = harness.open(endpoint.url)
+        caller, copy_future = harness.hand_over(stream)
         caller.sendall(b"GET /v1/hosts HTTP/1.1\r\n")
-        ended.result(PATIENCE_S)
-        assert bench.sockets[-1].recv(4096) == b"GET /v1/hosts HTTP/1.1\r\n"
+        copy_future.result(TIMEOUT_S)
+        assert harness.sockets[-1].recv(4096) == b"GET /v1/hosts HTTP/1.1\r\n"
 
 
-def test_streams_at_once_are_never_mixed(bench: Bench) -> None:
-    def echo(conversation: Conversation) -> None:
-        while request := conversation.read_request():
+def test_streams_at_once_are_never_mixed(harness: StreamHarness) -> None:
+    def echo(connection: EndpointSideConnection) -> None:
+        while request := connection.read_request():
             event = b"data: %b\n\n" % request.partition(b"\r\n\r\n")[2]
-            conversation.send(HEAD + chunk(event))
+            connection.send(HEAD + chunk(event))
             for _ in range(50):
-                conversation.send(chunk(event))
-            conversation.send(chunk(EVENTS[-1]) + END)
+                connection.send(chunk(event))
+            connection.send(chunk(EVENTS[-1]) + LAST_CHUNK)
 
     def ask(number: int) -> bool:
         body = b"%d" % number * 40
         with RawEndpoint(echo) as endpoint:
             answer = ChunkedBody().feed(
-                bench.copy(bench.open(endpoint.url, make_request(body=body)))
+                harness.copy(harness.open(endpoint.url, make_request(body=body)))
             )
         return answer == b"data: %b\n\n" % body * 51 + EVENTS[-1]
 
@@ -174,17 +184,17 @@
         assert all(callers.map(ask, range(40)))
 
 
-def test_unused_stream_is_given_up(bench: Bench) -> None:
-    with RawEndpoint(play(chunk(EVENTS[0]), hold=True)) as endpoint:
-        stream = bench.open(endpoint.url)
+def test_unused_stream_is_given_up(harness: StreamHarness) -> None:
+    with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
+        stream = harness.open(endpoint.url)
         stream.close()
         stream.close()
-        wait_until(lambda: endpoint.ended == 1, what="close")
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
-    assert len(bench.stats) == 1
+    assert len(harness.stats) == 1
 
 
-def test_engine_ends_the_run_of_a_caller_that_left(bench: Bench) -> None:
+def test_engine_ends_the_run_of_a_caller_that_left(harness: StreamHarness) -> None:
     """The engine ends the run whose caller left, and does not keep it to be resumed.
 
     The end of the connection only interrupts the run. The call that follows names it by the
@@ -193,8 +203,8 @@
     with Engine(timing=Timing(token_s=0.05)) as engine:
         body = b'{"model": "clover-assist", "prompt": "x", "max_tokens": 500, "stream": true}'
         request = make_request(path="/v1/completions", body=body)
-        caller, ended = bench.hand_over(bench.open(engine.url, request))
+        caller, copy_future = harness.hand_over(harness.open(engine.url, request))
         assert caller.recv(4096)
         caller.close()
-        assert ended.exception(PATIENCE_S).kind is Kind.CALLER_LEFT
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
         wait_until(lambda: engine.batch.runs["r1"].state == "cancelled", what="cancel")
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_directory.py
@@ -1,12 +1,12 @@
 from __future__ import annotations
 
 from cloverway.config.published import Published
-from cloverway.entry.directory import MAX_HOSTS, Freshness, list_hosts
+from cloverway.entry.directory import MAX_HOSTS, MaxAges, list_hosts
 from cloverway.membership.view import HostState, Summary, View
 from cloverway.tests.callers_bench import DOCUMENTS
 
 NOW = 100.0
-FRESH = Freshness(2.0)
+FRESH = MaxAges(2.0)
 DOMAINS = {"pl-1": "port-louis", "pl-2": "port-louis", "cu-1": "curepipe"}
 
 
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -12,15 +12,15 @@
 from cloverway.exchange import Reply
 from cloverway.messages import Request
 from cloverway.tests.raw_endpoint import (
-    PATIENCE_S,
-    Conversation,
+    TIMEOUT_S,
+    EndpointSideConnection,
     RawEndpoint,
     make_request,
 )
 from cloverway.tests.standins.waiting import wait_until
-from cloverway.upstream.connections import Connection
+from cloverway.upstream.connections import EndpointConnection
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.waits import Waits
+from cloverway.upstream.waits import PendingExchanges
 
 
 @pytest.fixture
@@ -35,15 +35,15 @@
     return client.send(url, request or make_request(), **(defaults | options))
 
 
-def answer_forever(conversation: Conversation) -> None:
-    while conversation.sock.fileno() >= 0:
-        before = len(conversation.requests)
-        conversation.answer(b'{"n": %d}' % before)
-        if len(conversation.requests) == before:
+def answer_forever(connection: EndpointSideConnection) -> None:
+    while connection.sock.fileno() >= 0:
+        before = len(connection.requests)
+        connection.answer(b'{"n": %d}' % before)
+        if len(connection.requests) == before:
             return
 
 
-def fail(client: EndpointClient, *scripts, **options) -> RequestError:
+def send_expecting_error(client: EndpointClient, *scripts, **options) -> RequestError:
     with RawEndpoint(*scripts) as endpoint, pytest.raises(RequestError) as failure:
         send(client, endpoint.url, **options)
     return failure.value
@@ -68,11 +68,11 @@
     count would look like an ordinary end.
     """
 
-    def cut(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1234")
+    def cut(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1234")
 
-    failure = fail(client, cut)
+    failure = send_expecting_error(client, cut)
     assert (failure.kind, failure.ran) == (Kind.TRUNCATED, Ran.UNKNOWN)
     assert isinstance(failure, EndpointLostError)
 
@@ -94,15 +94,15 @@
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
 
 
-def stream_three(conversation: Conversation) -> None:
+def stream_three(connection: EndpointSideConnection) -> None:
     head = (
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
-    while conversation.read_request():
-        conversation.send(head)
+    while connection.read_request():
+        connection.send(head)
         for event in (b"data: 0\n\n", b"data: 1\n\n", b"data: 2\n\n", b"data: [DONE]\n\n"):
-            conversation.send(b"%x\r\n%b\r\n" % (len(event), event))
-        conversation.send(b"0\r\n\r\n")
+            connection.send(b"%x\r\n%b\r\n" % (len(event), event))
+        connection.send(b"0\r\n\r\n")
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
     ],
 )
 def test_answers_that_are_not_for_the_caller(client, answer, kind, ran) -> None:
-    failure = fail(client, lambda c: c.answer(b"{}", answer), idempotent=False)
+    failure = send_expecting_error(client, lambda c: c.answer(b"{}", answer), idempotent=False)
     assert (failure.kind, failure.ran) == (kind, ran)
     assert failure.retry_after == (2.0 if ran is Ran.NO else None)
     assert not isinstance(failure, EndpointLostError), "it answered, so it hasn't ended"
@@ -148,12 +148,12 @@
     The endpoint takes the request, sends what it sends and closes: it may well have run.
     """
 
-    def play(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(answer)
+    def play(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(answer)
 
     client = EndpointClient.from_settings(Limits(answer_bytes=65536))
-    failure = fail(client, play, idempotent=False)
+    failure = send_expecting_error(client, play, idempotent=False)
     client.close()
     assert failure.ran is Ran.UNKNOWN
     assert failure.kind in {Kind.ENDPOINT_FAILED, Kind.TRUNCATED}
@@ -172,7 +172,7 @@
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
             send(client, endpoint.url, idempotent=False, check=refuse)
-        wait_until(lambda: endpoint.ended == 1, what="close")
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
         assert endpoint.requests == []
     assert failure.value.ran is Ran.NO
 
@@ -187,9 +187,9 @@
         assert len(endpoint.requests) == 1
 
 
-def answer_once(conversation: Conversation) -> None:
-    conversation.answer(b"{}")
-    conversation.read_request()
+def answer_once(connection: EndpointSideConnection) -> None:
+    connection.answer(b"{}")
+    connection.read_request()
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -202,18 +202,18 @@
     sent = threading.Event()
     closed: list[bool] = []
 
-    def answer_twice(conversation: Conversation) -> None:
-        conversation.read_request()
+    def answer_twice(connection: EndpointSideConnection) -> None:
+        connection.read_request()
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
-        conversation.send(whole * 2 if at_once else whole)
+        connection.send(whole * 2 if at_once else whole)
         if not at_once:
-            conversation.send(whole)
+            connection.send(whole)
         sent.set()
-        closed.append(conversation.wait_for_close())
+        closed.append(connection.wait_for_close())
 
     with RawEndpoint(answer_twice, answer_forever) as endpoint:
         assert send(client, endpoint.url).body == b"first"
-        assert sent.wait(PATIENCE_S)
+        assert sent.wait(TIMEOUT_S)
         assert send(client, endpoint.url).body == b'{"n": 0}'
         wait_until(lambda: closed == [True], what="close without a second request")
 
@@ -225,10 +225,10 @@
     pooled, and the engine was told to give the request up.
     """
 
-    def answer_late(conversation: Conversation) -> None:
-        conversation.read_request()
-        assert conversation.wait_for_close()
-        conversation.answer(b"late")
+    def answer_late(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        assert connection.wait_for_close()
+        connection.answer(b"late")
 
     with RawEndpoint(answer_late, answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
@@ -245,23 +245,23 @@
     Each byte arrives well within any limit on a single read; only the total tells.
     """
 
-    def drip(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(head)
-        conversation.sock.settimeout(0.01)
-        while not conversation.wait_for_close():
-            conversation.send(b"H")
+    def drip(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(head)
+        connection.sock.settimeout(0.01)
+        while not connection.wait_for_close():
+            connection.send(b"H")
 
-    failure = fail(client, drip, request=make_request(0.2))
+    failure = send_expecting_error(client, drip, request=make_request(0.2))
     assert failure.kind is Kind.TIMED_OUT
 
 
 def test_requests_at_once_are_never_mixed(client: EndpointClient) -> None:
-    def echo(conversation: Conversation) -> None:
-        while request := conversation.read_request():
+    def echo(connection: EndpointSideConnection) -> None:
+        while request := connection.read_request():
             body = request.partition(b"\r\n\r\n")[2]
-            conversation.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-            conversation.send(body)
+            connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
+            connection.send(body)
 
     def ask(number: int) -> bool:
         body = b"%d" % number * 3000
@@ -269,24 +269,26 @@
 
     with RawEndpoint(echo) as endpoint, ThreadPoolExecutor(8) as workers:
         assert all(workers.map(ask, range(200)))
-        assert len(endpoint.conversations) <= 8
+        assert len(endpoint.connections) <= 8
 
 
 @pytest.mark.parametrize("framing", [b"Transfer-Encoding: chunked", b"Content-Length: 7"])
 def test_answers_without_a_body(client: EndpointClient, framing: bytes) -> None:
-    def answer_head(conversation: Conversation) -> None:
-        while conversation.read_request():
-            conversation.send(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
+    def answer_head(connection: EndpointSideConnection) -> None:
+        while connection.read_request():
+            connection.send(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
 
     with RawEndpoint(answer_head) as endpoint:
         request = make_request(method="HEAD", body=b"", path="/v1/services/stock")
         assert [send(client, endpoint.url, request).body for _ in range(2)] == [b"", b""]
-        assert len(endpoint.conversations) == 1
+        assert len(endpoint.connections) == 1
     assert b"content-length: 0" not in endpoint.requests[0].lower()
 
 
 def test_a_path_that_is_no_path_is_not_sent(client: EndpointClient) -> None:
-    failure = fail(client, answer_forever, request=make_request(path="/a b\r\nX: y"))
+    failure = send_expecting_error(
+        client, answer_forever, request=make_request(path="/a b\r\nX: y")
+    )
     assert (failure.kind, failure.ran) == (Kind.MALFORMED, Ran.NO)
 
 
@@ -298,19 +300,19 @@
     connection and asks for a cancel; no second try is made for nobody.
     """
 
-    def never_end(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(head)
-        conversation.wait_for_close()
+    def never_end(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(head)
+        connection.wait_for_close()
 
     with RawEndpoint(answer_once, never_end) as endpoint, ThreadPoolExecutor(1) as worker:
         send(client, endpoint.url)
         client._pool.close()
         ended = worker.submit(send, client, endpoint.url)
         wait_until(lambda: len(endpoint.requests) == 2, what="request")
-        client.give_up("another")
-        client.give_up("r1")
-        error = ended.exception(PATIENCE_S)
+        client.abort("another")
+        client.abort("r1")
+        error = ended.exception(TIMEOUT_S)
         assert (error.kind, error.ran) == (Kind.CALLER_LEFT, Ran.UNKNOWN)
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
         assert len(endpoint.requests) == 2
@@ -319,7 +321,7 @@
 def test_caller_leaves_before_the_first_byte(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, check=lambda: client.give_up("r1"))
+            send(client, endpoint.url, check=lambda: client.abort("r1"))
         assert failure.value.kind is Kind.CALLER_LEFT
 
 
@@ -330,27 +332,27 @@
     """
     asked, go = threading.Event(), threading.Event()
 
-    def answer_slowly(conversation: Conversation) -> None:
+    def answer_slowly(connection: EndpointSideConnection) -> None:
         asked.set()
-        assert go.wait(PATIENCE_S)
-        conversation.answer(b"{}")
+        assert go.wait(TIMEOUT_S)
+        connection.answer(b"{}")
 
     with RawEndpoint(answer_slowly) as endpoint, ThreadPoolExecutor(1) as worker:
         ended = worker.submit(send, client, endpoint.url, idempotent=False)
-        assert asked.wait(PATIENCE_S)
-        client.give_up("r1")
+        assert asked.wait(TIMEOUT_S)
+        client.abort("r1")
         go.set()
-        assert ended.result(PATIENCE_S).body == b"{}"
+        assert ended.result(TIMEOUT_S).body == b"{}"
 
 
 def test_giving_up_never_hits_the_next_request_on_a_connection() -> None:
-    waits = Waits()
+    pending = PendingExchanges()
     left, right = socket.socketpair()
-    with left, right, waits.watch("r1") as wait:
-        wait.connection = Connection.from_address(("127.0.0.1", 1), 1.0)
-        wait.connection.sock = left
-        waits.release(wait)
-        assert waits.give_up("r1")
+    with left, right, pending.track("r1") as pending_exchange:
+        pending_exchange.connection = EndpointConnection.from_address(("127.0.0.1", 1), 1.0)
+        pending_exchange.connection.sock = left
+        pending.detach_connection(pending_exchange)
+        assert pending.abort("r1")
         right.send(b"x")
         assert left.recv(1) == b"x"
-    assert not waits.give_up("r1")
+    assert not pending.abort("r1")
--- a/cloverway/tests/test_endpoints_kept.py
+++ b/cloverway/tests/test_endpoints_kept.py
@@ -10,12 +10,12 @@
 from cloverway.config.settings import Limits
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError
 from cloverway.tests.raw_endpoint import (
-    Conversation,
+    EndpointSideConnection,
     RawEndpoint,
     make_request,
 )
 from cloverway.tests.test_endpoints import answer_forever, answer_once, send
-from cloverway.upstream.connections import IDLE_PER_ADDRESS, Connection, ConnectionPool
+from cloverway.upstream.connections import MAX_IDLE_PER_ADDRESS, ConnectionPool, EndpointConnection
 from cloverway.upstream.endpoints import EndpointClient
 
 
@@ -33,10 +33,10 @@
     connection that was dropped, so it is sent on a new one; but nobody listens there any more.
     """
 
-    def end(conversation: Conversation) -> None:
-        conversation.answer(b"{}")
+    def end(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}")
         endpoint.stop_listening()
-        conversation.read_request()
+        connection.read_request()
 
     with RawEndpoint(end) as endpoint:
         send(client, endpoint.url)
@@ -47,12 +47,12 @@
 
 
 def test_an_endpoint_that_refuses_after_a_kept_connection_was_dropped_is_not_lost(client) -> None:
-    def drop(conversation: Conversation) -> None:
-        conversation.answer(b"{}")
-        conversation.read_request()
+    def drop(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}")
+        connection.read_request()
 
-    def refuse(conversation: Conversation) -> None:
-        conversation.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
+    def refuse(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
 
     with RawEndpoint(drop, refuse) as endpoint:
         send(client, endpoint.url)
@@ -67,7 +67,7 @@
         bodies = [send(client, endpoint.url).body for _ in range(3)]
         assert bodies == [b'{"n": 0}', b'{"n": 1}', b'{"n": 2}']
         send(client, endpoint.url, idempotent=False)
-        assert len(endpoint.conversations) == 2
+        assert len(endpoint.connections) == 2
 
 
 def test_stale_connection_and_a_request_that_may_run_once(client: EndpointClient) -> None:
@@ -79,7 +79,7 @@
     with RawEndpoint(answer_once) as endpoint:
         send(client, endpoint.url)
         assert send(client, endpoint.url, idempotent=False).body == b"{}"
-        assert [len(each.requests) for each in endpoint.conversations] == [1, 1]
+        assert [len(each.requests) for each in endpoint.connections] == [1, 1]
 
 
 def test_stale_connection_and_an_idempotent_request(client: EndpointClient) -> None:
@@ -91,7 +91,7 @@
     with RawEndpoint(answer_once) as endpoint:
         send(client, endpoint.url)
         assert send(client, endpoint.url).body == b"{}"
-        assert [len(each.requests) for each in endpoint.conversations] == [2, 1]
+        assert [len(each.requests) for each in endpoint.connections] == [2, 1]
 
 
 def test_connection_that_went_silent(client: EndpointClient) -> None:
@@ -101,19 +101,19 @@
     lookup goes on a new connection, which works.
     """
 
-    def fall_silent(conversation: Conversation) -> None:
-        conversation.answer(b"{}")
-        conversation.read_request()
-        conversation.wait_for_close()
+    def fall_silent(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}")
+        connection.read_request()
+        connection.wait_for_close()
 
     with RawEndpoint(fall_silent) as endpoint:
         send(client, endpoint.url)
         assert send(client, endpoint.url, gap_s=0.1).body == b"{}"
-        assert len(endpoint.conversations) == 2
+        assert len(endpoint.connections) == 2
 
 
 def test_failure_on_a_new_connection_is_not_repeated(client: EndpointClient) -> None:
-    with RawEndpoint(lambda conversation: conversation.read_request()) as endpoint:
+    with RawEndpoint(lambda connection: connection.read_request()) as endpoint:
         for idempotent in (True, False):
             with pytest.raises(RequestError) as failure:
                 send(client, endpoint.url, idempotent=idempotent)
@@ -126,16 +126,16 @@
     address = ("127.0.0.1", 1)
     left, right = socket.socketpair()
     with left, right:
-        connection = Connection.from_address(address, 1.0)
+        connection = EndpointConnection.from_address(address, 1.0)
         connection.sock = left
-        pool.put(address, connection, now=100.0)
-        assert pool.take(address, now=103.9) is connection
-        pool.put(address, connection, now=100.0)
-        assert pool.take(address, now=104.0) is None
+        pool.release(address, connection, now=100.0)
+        assert pool.acquire(address, now=103.9) is connection
+        pool.release(address, connection, now=100.0)
+        assert pool.acquire(address, now=104.0) is None
         assert left.fileno() == -1
-        for _ in range(IDLE_PER_ADDRESS + 5):
-            pool.put(address, Connection.from_address(address, 1.0), now=100.0)
-        assert len(pool._idle[address]) == IDLE_PER_ADDRESS
+        for _ in range(MAX_IDLE_PER_ADDRESS + 5):
+            pool.release(address, EndpointConnection.from_address(address, 1.0), now=100.0)
+        assert len(pool._idle[address]) == MAX_IDLE_PER_ADDRESS
 
 
 @pytest.mark.parametrize("second", ["refused connection", "refused by check", "refused plainly"])
@@ -152,14 +152,14 @@
         if error is not None:
             raise error
 
-    def answer_once_and_go(conversation: Conversation) -> None:
-        conversation.answer(b"{}")
+    def answer_once_and_go(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}")
         if second == "refused connection":
             endpoint.stop_listening()
-        conversation.read_request()
+        connection.read_request()
 
-    def refuse(conversation: Conversation) -> None:
-        conversation.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
+    def refuse(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
 
     with RawEndpoint(answer_once_and_go, refuse) as endpoint:
         send(client, endpoint.url, check=check)
@@ -170,14 +170,14 @@
 
 
 def test_not_run_is_not_said_when_the_deadline_ends_the_first_try(client: EndpointClient) -> None:
-    def fall_silent(conversation: Conversation) -> None:
-        conversation.answer(b"{}")
-        conversation.read_request()
-        conversation.wait_for_close()
-
-    def never_answer(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.wait_for_close()
+    def fall_silent(connection: EndpointSideConnection) -> None:
+        connection.answer(b"{}")
+        connection.read_request()
+        connection.wait_for_close()
+
+    def never_answer(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.wait_for_close()
 
     with RawEndpoint(fall_silent, never_answer) as endpoint:
         send(client, endpoint.url)
--- a/cloverway/tests/test_framing.py
+++ b/cloverway/tests/test_framing.py
@@ -7,7 +7,13 @@
 from hypothesis import strategies as st
 
 from cloverway.errors import Kind, RequestError
-from cloverway.upstream.framing import MAX_EVENT, MAX_LINE, ChunkedBody, EventStream, LengthBody
+from cloverway.upstream.framing import (
+    MAX_EVENT_BYTES,
+    MAX_LINE_BYTES,
+    ChunkedBody,
+    EventStream,
+    LengthBody,
+)
 
 EVENTS = st.lists(
     st.binary(max_size=40).map(lambda text: b"data: " + text.translate(None, b"\r\n") + b"\n\n"),
@@ -28,7 +34,7 @@
 def feed_all(pieces: list[bytes]) -> tuple[bytes, bool, int, bytes]:
     stream = EventStream(ChunkedBody())
     given_on = b"".join(stream.feed(piece) for piece in pieces)
-    return given_on, stream.whole, stream.tokens, stream.body.rest
+    return given_on, stream.complete, stream.tokens, stream.body.excess
 
 
 @given(EVENTS, st.lists(st.integers(0, 9999), max_size=12), st.lists(st.integers(0, 9999)))
@@ -44,8 +50,8 @@
 def test_a_stream_that_is_cut_never_looks_whole(events, place, cuts) -> None:
     events = [event for event in events if event != DONE]
     wire = chunk(*events, DONE) + b"0\r\n\r\n"
-    given_on, whole, _, _ = feed_all(split(wire[: place % len(wire)], cuts))
-    assert not whole
+    given_on, complete, _, _ = feed_all(split(wire[: place % len(wire)], cuts))
+    assert not complete
     assert DONE not in given_on
 
 
@@ -65,7 +71,7 @@
 def test_length_body(data, length, cuts) -> None:
     body = LengthBody(length)
     read = b"".join(body.feed(piece) for piece in split(data, cuts))
-    assert (read, body.ended, body.rest) == (data[:length], len(data) >= length, data[length:])
+    assert (read, body.ended, body.excess) == (data[:length], len(data) >= length, data[length:])
 
 
 @pytest.mark.parametrize(
@@ -78,13 +84,13 @@
         b"5\r\nhelloXX",
         b"f" * 9 + b"\r\n",
         b"5\nhello\n\r\n",
-        b"5;" + b"x" * MAX_LINE,
+        b"5;" + b"x" * MAX_LINE_BYTES,
         b"0\r\n" + b"a: b\r\n" * 4000,
         chunk(DONE, b"data: late\n\n") + b"0\r\n\r\n",
         chunk(DONE + b"data: late\n\n") + b"0\r\n\r\n",
         chunk(DONE + b"data") + b"0\r\n\r\n",
         chunk(b"data: no end\n\n") + b"0\r\n\r\n",
-        chunk(b"x" * (MAX_EVENT + 1)),
+        chunk(b"x" * (MAX_EVENT_BYTES + 1)),
     ],
 )
 def test_malformed_is_an_error(wire: bytes) -> None:
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -12,7 +12,14 @@
 from cloverway.logs import make_formatter
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
-from cloverway.tests.callers_bench import BEARER, CHAT, HEADERS, Bench, FakeStream, read_all
+from cloverway.tests.callers_bench import (
+    BEARER,
+    CHAT,
+    HEADERS,
+    CallerServerHarness,
+    FakeStream,
+    read_all,
+)
 
 BODY_SECRET = "insulin-for-ward-nine"
 KEY_SECRET = "idempotency-key-of-ward-nine"
@@ -41,7 +48,7 @@
     """
     body = json.dumps({"messages": [{"content": BODY_SECRET}], "stream": True})
     headers = {**CHAT, "Idempotency-Key": KEY_SECRET}
-    with Bench() as bench:
+    with CallerServerHarness() as bench:
         for answer in (
             Reply(200, "application/json", BODY_SECRET.encode()),
             Reply(
@@ -63,13 +70,13 @@
             sock.sendall(f"POST {BODY_SECRET}{BEARER}{KEY_SECRET}\r\n\r\n".encode())
             assert b"400" in read_all(sock)
         reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
-        for refusal in bench.refusals:
+        for refusal in bench.rejections:
             reporter.note_refusal(refusal)
         for request in bench.gateway.requests:
             reporter.note_end(Record(request, "e-1", 1, 0.1, 0.0, 0.2, None, Ran.YES))
     logged = json.dumps(lines())
     assert len(bench.gateway.requests) == 5
-    assert [refusal.kind for refusal in bench.refusals] == [
+    assert [refusal.kind for refusal in bench.rejections] == [
         "malformed",
         "unauthenticated",
         "forbidden",
@@ -80,7 +87,7 @@
 
 
 def test_one_line_with_all_that_an_operator_asks_for(lines):
-    with Bench() as bench:
+    with CallerServerHarness() as bench:
         bench.call("POST", "/v1/chat/completions", b'{"messages": [1]}', CHAT)
         reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
         [request] = bench.gateway.requests
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -8,119 +8,119 @@
 import pytest
 
 from cloverway.errors import Kind, RequestError
-from cloverway.tests.copying import END, EVENTS, HEAD, Bench, chunk, play
+from cloverway.tests.copying import EVENTS, HEAD, LAST_CHUNK, StreamHarness, chunk, make_script
 from cloverway.tests.raw_endpoint import (
-    PATIENCE_S,
-    Conversation,
+    TIMEOUT_S,
+    EndpointSideConnection,
     RawEndpoint,
 )
 from cloverway.tests.standins.waiting import wait_until
 from cloverway.upstream import relay
 from cloverway.upstream.copiers import RelayCopier
 from cloverway.upstream.framing import ChunkedBody
-from cloverway.upstream.meters import Meter
-from cloverway.upstream.relay import Bounds, Link, Relay
+from cloverway.upstream.meters import StreamMeter
+from cloverway.upstream.relay import Relay, RelayedStream, StreamLimits
 
 
 @pytest.fixture
-def relay_bench() -> Iterator[Bench]:
-    bench = Bench(RelayCopier(Relay.start()))
-    yield bench
-    bench.close()
+def relay_harness() -> Iterator[StreamHarness]:
+    harness = StreamHarness(RelayCopier(Relay.start()))
+    yield harness
+    harness.close()
 
 
-def test_caller_leaves_while_the_endpoint_is_silent(relay_bench: Bench) -> None:
+def test_caller_leaves_while_the_endpoint_is_silent(relay_harness: StreamHarness) -> None:
     """The engine is told within moments that its caller has left, not at its next token.
 
     The caller closes its connection while the engine reads a long prompt and sends nothing. The
     loop sees the end of the caller's connection, closes the engine's and asks for a cancel.
     """
-    with RawEndpoint(play(chunk(EVENTS[0]), hold=True)) as endpoint:
-        caller, ended = relay_bench.hand_over(relay_bench.open(endpoint.url))
+    with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
+        caller, copy_future = relay_harness.hand_over(relay_harness.open(endpoint.url))
         assert caller.recv(4096) == chunk(EVENTS[0])
         caller.close()
-        assert ended.exception(PATIENCE_S).kind is Kind.CALLER_LEFT
-        wait_until(lambda: endpoint.ended == 1, what="close")
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
+        wait_until(lambda: endpoint.closed_count == 1, what="close")
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
 
 
 def open_big_stream(
-    bench: Bench, size: int
+    harness: StreamHarness, size: int
 ) -> tuple[RawEndpoint, list[int], socket.socket, Future]:
     """Hand over a stream that is larger than all buffers between its ends."""
     event = b"data: " + b"x" * 65536 + b"\n\n"
     sent = []
 
-    def send_much(conversation: Conversation) -> None:
-        conversation.read_request()
-        conversation.send(HEAD)
+    def send_much(connection: EndpointSideConnection) -> None:
+        connection.read_request()
+        connection.send(HEAD)
         for _ in range(size):
-            conversation.send(chunk(event))
+            connection.send(chunk(event))
             sent.append(len(event))
-        conversation.send(chunk(EVENTS[-1]) + END)
-        conversation.wait_for_close()
+        connection.send(chunk(EVENTS[-1]) + LAST_CHUNK)
+        connection.wait_for_close()
 
     endpoint = RawEndpoint(send_much)
-    caller, ended = bench.hand_over(bench.open(endpoint.url))
-    return endpoint, sent, caller, ended
+    caller, copy_future = harness.hand_over(harness.open(endpoint.url))
+    return endpoint, sent, caller, copy_future
 
 
-def get_paused(bench: Bench) -> list[Link]:
+def get_paused(harness: StreamHarness) -> list[RelayedStream]:
     """Give the streams whose endpoint is not read, because bytes wait for the caller."""
-    task = bench.client._copier._relay
-    waiting = [link for link in list(task._links) if link.waits_for_caller]
-    return [link for link in waiting if link.endpoint.fileno() not in task._handlers]
+    task = harness.client._copier._relay
+    waiting = [stream for stream in list(task._streams) if stream.has_unsent]
+    return [stream for stream in waiting if stream.endpoint.fileno() not in task._handlers]
 
 
-def test_slow_caller_slows_the_endpoint_down(relay_bench: Bench) -> None:
+def test_slow_caller_slows_the_endpoint_down(relay_harness: StreamHarness) -> None:
     """A caller that reads slowly gets all, and what waits for it here stays small.
 
     The caller reads nothing at first. When the buffers of the kernel are full, the endpoint is
     no longer read, so its sends block; once the caller reads, all of it arrives.
     """
-    endpoint, sent, caller, ended = open_big_stream(relay_bench, 256)
+    endpoint, sent, caller, copy_future = open_big_stream(relay_harness, 256)
     with endpoint:
-        wait_until(lambda: get_paused(relay_bench), what="back-pressure")
-        link = get_paused(relay_bench)[0]
-        assert len(link._unsent) <= relay.READ_BYTES + 65536 + 100
+        wait_until(lambda: get_paused(relay_harness), what="back-pressure")
+        stream = get_paused(relay_harness)[0]
+        assert len(stream._unsent) <= relay.READ_BYTES + 65536 + 100
         body, size = ChunkedBody(), 0
         for data in iter(lambda: caller.recv(1 << 20), b""):
             size += len(body.feed(data))
-        ended.result(PATIENCE_S)
+        copy_future.result(TIMEOUT_S)
         assert size == sum(sent) + len(EVENTS[-1])
 
 
-def test_caller_that_never_reads_is_given_up(relay_bench, monkeypatch) -> None:
-    monkeypatch.setattr(relay, "CALLER_STALL_S", 0.2)
-    endpoint, _, _, ended = open_big_stream(relay_bench, 512)
+def test_caller_that_never_reads_is_given_up(relay_harness, monkeypatch) -> None:
+    monkeypatch.setattr(relay, "CALLER_STALL_TIMEOUT_S", 0.2)
+    endpoint, _, _, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
-        assert ended.exception(PATIENCE_S).kind is Kind.CALLER_LEFT
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
 
 
 @pytest.mark.parametrize(
     "leave", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
 )
-def test_caller_leaves_while_bytes_wait_for_it(relay_bench: Bench, leave) -> None:
-    endpoint, _, caller, ended = open_big_stream(relay_bench, 512)
+def test_caller_leaves_while_bytes_wait_for_it(relay_harness: StreamHarness, leave) -> None:
+    endpoint, _, caller, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
-        wait_until(lambda: get_paused(relay_bench), what="back-pressure")
+        wait_until(lambda: get_paused(relay_harness), what="back-pressure")
         leave(caller)
-        assert ended.exception(PATIENCE_S).kind is Kind.CALLER_LEFT
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
 
 
-def test_stop_cuts_and_tells(relay_bench: Bench) -> None:
-    with RawEndpoint(play(chunk(EVENTS[0]), hold=True)) as endpoint:
-        caller, ended = relay_bench.hand_over(relay_bench.open(endpoint.url))
+def test_stop_cuts_and_tells(relay_harness: StreamHarness) -> None:
+    with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
+        caller, copy_future = relay_harness.hand_over(relay_harness.open(endpoint.url))
         caller.recv(4096)
-        relay_bench.client._copier.close()
-        assert ended.exception(PATIENCE_S).kind is Kind.TRUNCATED
+        relay_harness.client._copier.close()
+        assert copy_future.exception(TIMEOUT_S).kind is Kind.TRUNCATED
 
 
 class FakeEvents:
     """Events that are never whole and pass everything on."""
 
-    whole = False
+    complete = False
     tokens = 0
 
     def feed(self, data: bytes) -> bytes:
@@ -137,20 +137,22 @@
     caller, caller_end = socket.socketpair()
     with endpoint, endpoint_end, caller, caller_end:
         caller.setblocking(False)
-        link = Link(endpoint, caller, FakeEvents(), Meter(), Bounds(1000.0, 10.0))
-        link.begin(b"x" * 4_000_000, now=100.0)
-        assert link.waits_for_caller
-        link.check(now=100.0 + relay.CALLER_STALL_S - 0.1)
+        stream = RelayedStream(
+            endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
+        )
+        stream.begin(b"x" * 4_000_000, now=100.0)
+        assert stream.has_unsent
+        stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S - 0.1)
         with pytest.raises(RequestError) as failure:
-            link.check(now=100.0 + relay.CALLER_STALL_S)
+            stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
         assert failure.value.kind is Kind.CALLER_LEFT
-        while link.waits_for_caller:
+        while stream.has_unsent:
             caller_end.recv(1 << 20)
-            link.write(now=120.0)
-        link.check(now=129.9)
+            stream.write(now=120.0)
+        stream.check(now=129.9)
         for now, kind in ((130.0, Kind.TIMED_OUT), (1000.0, Kind.TIMED_OUT)):
             with pytest.raises(RequestError) as failure:
-                link.check(now)
+                stream.check(now)
             assert failure.value.kind is kind
 
 
@@ -165,14 +167,16 @@
     caller, caller_end = socket.socketpair()
     task = Relay(lambda: next(clock))
     with endpoint, endpoint_end, caller, caller_end:
-        link = Link(endpoint, caller, FakeEvents(), Meter(), Bounds(1000.0, 10.0))
-        link.begin(b"", now=100.0)
-        task._links.add(link)
-        task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(link))
+        stream = RelayedStream(
+            endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
+        )
+        stream.begin(b"", now=100.0)
+        task._streams.add(stream)
+        task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(stream))
         task.step()
         endpoint_end.send(b"data: x\n\n")
         task.step()
-        assert not link.ended.done()
+        assert not stream.finished.done()
         assert caller_end.recv(100) == b"9\r\ndata: x\n\n\r\n"
 
 
@@ -194,17 +198,19 @@
         now[0] = 160.0
 
     with slow, slow_end, endpoint, endpoint_end, caller, caller_end:
-        link = Link(endpoint, caller, FakeEvents(), Meter(), Bounds(1000.0, 10.0))
-        link.begin(b"", now=100.0)
-        task._links.add(link)
+        stream = RelayedStream(
+            endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
+        )
+        stream.begin(b"", now=100.0)
+        task._streams.add(stream)
         task._register(slow, select.EPOLLIN, serve_slowly)
-        task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(link))
+        task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(stream))
         slow_end.send(b"x")
         endpoint_end.send(b"data: x\n\n")
         task.step()
         now[0] = 160.1
         task.step()
-        assert not link.ended.done()
+        assert not stream.finished.done()
 
 
 def test_stream_handed_over_to_a_stopped_relay() -> None:
@@ -213,6 +219,8 @@
     with endpoint, endpoint_end, caller, caller_end:
         task = Relay.start()
         task.stop()
-        link = Link(endpoint, caller, FakeEvents(), Meter(), Bounds(1e9, 10.0))
-        task.take(link, b"")
-        assert link.ended.exception(PATIENCE_S).kind is Kind.TRUNCATED
+        stream = RelayedStream(
+            endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1e9, 10.0)
+        )
+        task.add(stream, b"")
+        assert stream.finished.exception(TIMEOUT_S).kind is Kind.TRUNCATED
--- a/cloverway/upstream/cancels.py
+++ b/cloverway/upstream/cancels.py
@@ -9,25 +9,25 @@
 from typing import NamedTuple
 
 from cloverway.task import Task
-from cloverway.upstream.connections import CALL_FAULTS, Connection
+from cloverway.upstream.connections import EXCHANGE_ERRORS, EndpointConnection
 
 log = logging.getLogger(__name__)
 
 CANCEL_PATH = "/v1/cancel"
 TIMEOUT_S = 1.0
-LATEST_S = 10.0
+MAX_DELAY_S = 10.0
 """Cancels that waited longer than this are dropped, which bounds the inbox.
 
 The connection was closed at once, so this only matters for an engine that does not notice.
 """
 
 
-class Cancel(NamedTuple):
+class CancelRequest(NamedTuple):
     """A request that was given up, when, and at which endpoint."""
 
     address: tuple[str, int]
     request_id: str
-    at: float
+    requested_at: float
 
 
 class Canceller:
@@ -49,19 +49,19 @@
 
     def cancel(self, address: tuple[str, int], request_id: str) -> None:
         """Ask for a cancel and return at once."""
-        self._task.send(Cancel(address, request_id, time.monotonic()))
+        self._task.send(CancelRequest(address, request_id, time.monotonic()))
 
-    def _handle(self, cancel: Cancel, answer: Future[None]) -> None:
-        if time.monotonic() - cancel.at < LATEST_S:
+    def _handle(self, cancel: CancelRequest, answer: Future[None]) -> None:
+        if time.monotonic() - cancel.requested_at < MAX_DELAY_S:
             _post(cancel)
         answer.set_result(None)
 
 
-def _post(cancel: Cancel) -> None:
-    connection = Connection.from_address(cancel.address, TIMEOUT_S)
+def _post(cancel: CancelRequest) -> None:
+    connection = EndpointConnection.from_address(cancel.address, TIMEOUT_S)
     try:
         connection.connect()
-        connection.timed.begin(time.monotonic() + TIMEOUT_S)
+        connection.timed_socket.begin(time.monotonic() + TIMEOUT_S)
         connection.request(
             "POST",
             CANCEL_PATH,
@@ -69,7 +69,7 @@
             headers={"Content-Type": "application/json", "X-Request-Id": cancel.request_id},
         )
         connection.read_head()
-    except CALL_FAULTS:
+    except EXCHANGE_ERRORS:
         log.info("a cancel did not arrive", extra={"request_id": cancel.request_id})
     finally:
         connection.close()
--- a/cloverway/upstream/connections.py
+++ b/cloverway/upstream/connections.py
@@ -12,15 +12,15 @@
 import urllib3.connection
 import urllib3.exceptions
 
-IDLE_S = 4.0
+MAX_IDLE_S = 4.0
 """Pooled connections are dropped after this many seconds without use.
 
 Whatever sits between two ends forgets idle connections; one that was in use a moment ago is
 seldom forgotten.
 """
-IDLE_PER_ADDRESS = 64
+MAX_IDLE_PER_ADDRESS = 64
 """Most idle connections to one endpoint."""
-SHORTEST_WAIT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 
 KEEPALIVE_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -35,67 +35,67 @@
 Without them, the wait for a long answer on such a connection lasts until the deadline.
 """
 
-CALL_FAULTS = (OSError, http.client.HTTPException, urllib3.exceptions.HTTPError)
+EXCHANGE_ERRORS = (OSError, http.client.HTTPException, urllib3.exceptions.HTTPError)
 """What an exchange over a connection may raise."""
 
 
 class TimedSocket(socket.socket):
     """A socket whose reads and writes keep to one deadline together, not one each."""
 
-    until = float("inf")
+    deadline = float("inf")
     """Monotonic time after which nothing is waited for."""
-    silence_s = float("inf")
+    read_timeout_s = float("inf")
     """Longest wait for the next byte, in seconds."""
-    started = False
+    send_started = False
     """Whether a byte of the present request may have left."""
-    received = False
+    response_started = False
     """Whether a byte of the present answer came."""
-    polling = False
+    nonblocking = False
     """Whether reads give what is there and wait for nothing."""
 
     @classmethod
-    def take(cls, other: socket.socket) -> TimedSocket:
+    def take_over(cls, other: socket.socket) -> TimedSocket:
         """Take over the descriptor of another socket, which is empty afterwards."""
         return cls(fileno=other.detach())
 
-    def begin(self, until: float, silence_s: float = float("inf")) -> None:
+    def begin(self, deadline: float, read_timeout_s: float = float("inf")) -> None:
         """Set the bounds of a new exchange."""
-        self.until = until
-        self.silence_s = silence_s
-        self.started = False
-        self.received = False
+        self.deadline = deadline
+        self.read_timeout_s = read_timeout_s
+        self.send_started = False
+        self.response_started = False
 
     def recv(self, *args: Any) -> bytes:
         """Receive within the bounds; raise TimeoutError."""
-        self.settimeout(self._find_wait(self.silence_s))
+        self.settimeout(self._compute_timeout(self.read_timeout_s))
         data = super().recv(*args)
-        self.received = self.received or bool(data)
+        self.response_started = self.response_started or bool(data)
         return data
 
     def recv_into(self, *args: Any) -> int:
         """Receive within the bounds; raise TimeoutError."""
-        self.settimeout(self._find_wait(self.silence_s))
+        self.settimeout(self._compute_timeout(self.read_timeout_s))
         count = super().recv_into(*args)
-        self.received = self.received or count > 0
+        self.response_started = self.response_started or count > 0
         return count
 
     def sendall(self, *args: Any) -> None:
         """Send all before the deadline; raise TimeoutError."""
-        self.settimeout(self._find_wait(float("inf")))
-        self.started = True
+        self.settimeout(self._compute_timeout(float("inf")))
+        self.send_started = True
         super().sendall(*args)
 
-    def _find_wait(self, longest: float) -> float | None:
-        if self.polling:
+    def _compute_timeout(self, max_timeout_s: float) -> float | None:
+        if self.nonblocking:
             return 0.0
-        left = self.until - time.monotonic()
-        if left <= 0:
+        remaining_s = self.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError("the deadline has passed")
-        wait = min(left, longest)
-        return None if wait == float("inf") else max(wait, SHORTEST_WAIT_S)
+        timeout_s = min(remaining_s, max_timeout_s)
+        return None if timeout_s == float("inf") else max(timeout_s, MIN_TIMEOUT_S)
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """The head of an answer, and what was received behind it."""
 
     status: int
@@ -103,12 +103,12 @@
     chunked: bool
     length: int | None
     """Length of the body where it is known; 0 where there is none by the status or method."""
-    reusable: bool
+    keep_alive: bool
     """Whether the endpoint keeps the connection open after this answer."""
-    rest: bytes
+    buffered: bytes
 
 
-class Connection(urllib3.connection.HTTPConnection):
+class EndpointConnection(urllib3.connection.HTTPConnection):
     """One connection to an endpoint; carries one exchange at a time."""
 
     auto_open = 0
@@ -116,13 +116,13 @@
     idle_since = 0.0
 
     @classmethod
-    def from_address(cls, address: tuple[str, int], connect_timeout_s: float) -> Connection:
+    def from_address(cls, address: tuple[str, int], connect_timeout_s: float) -> EndpointConnection:
         """Make a connection that is not open yet."""
         host, port = address
         return cls(host, port, timeout=connect_timeout_s, socket_options=KEEPALIVE_OPTIONS)
 
     @property
-    def timed(self) -> TimedSocket:
+    def timed_socket(self) -> TimedSocket:
         """The socket of an open connection."""
         assert isinstance(self.sock, TimedSocket)
         return self.sock
@@ -130,33 +130,33 @@
     def connect(self) -> None:
         """Open the connection."""
         super().connect()
-        self.sock = TimedSocket.take(self.sock)
+        self.sock = TimedSocket.take_over(self.sock)
 
-    def read_head(self) -> Head:
+    def read_head(self) -> ResponseHead:
         """Read the head of the answer and take along what http.client has buffered behind it.
 
         From here on the socket is read directly: http.client's buffer is empty, and its
         response object is closed without closing the socket.
         """
-        timed = self.timed
+        timed_socket = self.timed_socket
         response = http.client.HTTPConnection.getresponse(self)
-        rest = _drain(timed, response)
-        self.sock = TimedSocket.take(timed)
-        self.sock.begin(timed.until, timed.silence_s)
-        self.sock.started = self.sock.received = True
-        head = Head(
+        buffered = _take_buffered(timed_socket, response)
+        self.sock = TimedSocket.take_over(timed_socket)
+        self.sock.begin(timed_socket.deadline, timed_socket.read_timeout_s)
+        self.sock.send_started = self.sock.response_started = True
+        head = ResponseHead(
             response.status,
             response.headers,
             bool(response.chunked),
             response.length,
             not response.will_close,
-            rest,
+            buffered,
         )
         response.close()
         return head
 
 
-def _drain(timed: TimedSocket, response: http.client.HTTPResponse) -> bytes:
+def _take_buffered(timed_socket: TimedSocket, response: http.client.HTTPResponse) -> bytes:
     """Give the bytes that were read behind the head, without waiting for more.
 
     `peek` gives the whole of a filled buffer. When the buffer is empty it reads once, and the
@@ -165,23 +165,23 @@
     reader: Any = response.fp
     if reader is None:
         return b""
-    timed.polling = True
+    timed_socket.nonblocking = True
     try:
         buffered: bytes = reader.peek()
         return buffered
     finally:
-        timed.polling = False
+        timed_socket.nonblocking = False
 
 
 class ConnectionPool:
     """Idle connections by address; the connection used last goes out first."""
 
-    def __init__(self, idle_s: float = IDLE_S) -> None:
+    def __init__(self, idle_s: float = MAX_IDLE_S) -> None:
         self._idle_s = idle_s
         self._lock = threading.Lock()
-        self._idle: dict[tuple[str, int], deque[Connection]] = {}
+        self._idle: dict[tuple[str, int], deque[EndpointConnection]] = {}
 
-    def take(self, address: tuple[str, int], now: float) -> Connection | None:
+    def acquire(self, address: tuple[str, int], now: float) -> EndpointConnection | None:
         """Give an idle connection that was used recently, or None.
 
         One with something to read has ended, or holds bytes of no request of ours.
@@ -192,18 +192,18 @@
             found.close()
         return None
 
-    def put(self, address: tuple[str, int], connection: Connection, now: float) -> None:
+    def release(self, address: tuple[str, int], connection: EndpointConnection, now: float) -> None:
         """Keep a connection whose last answer was read to its end."""
         connection.idle_since = now
         with self._lock:
             idle = self._idle.setdefault(address, deque())
             idle.append(connection)
-            dropped = idle.popleft() if len(idle) > IDLE_PER_ADDRESS else None
+            dropped = idle.popleft() if len(idle) > MAX_IDLE_PER_ADDRESS else None
         if dropped is not None:
             dropped.close()
 
-    def _pop(self, address: tuple[str, int], now: float) -> Connection | None:
-        expired: list[Connection] = []
+    def _pop(self, address: tuple[str, int], now: float) -> EndpointConnection | None:
+        expired: list[EndpointConnection] = []
         with self._lock:
             idle = self._idle.get(address)
             while idle and idle[0].idle_since + self._idle_s <= now:
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -12,13 +12,19 @@
 from cloverway.errors import EndpointLostError, Kind, RequestError
 from cloverway.upstream.connections import TimedSocket
 from cloverway.upstream.framing import EventStream
-from cloverway.upstream.meters import Meter, StreamStats
-from cloverway.upstream.relay import CALLER_STALL_S, READ_BYTES, Bounds, Link, Relay
-
-GRACE_S = 5.0
+from cloverway.upstream.meters import StreamMeter, StreamStats
+from cloverway.upstream.relay import (
+    CALLER_STALL_TIMEOUT_S,
+    READ_BYTES,
+    Relay,
+    RelayedStream,
+    StreamLimits,
+)
+
+RELAY_GRACE_S = 5.0
 """How long after its deadline the relay task is waited for."""
 
-Finish = Callable[[bool, StreamStats], None]
+OnFinish = Callable[[bool, StreamStats], None]
 """Told once whether the stream was read whole, and its figures."""
 
 
@@ -41,15 +47,15 @@
         self,
         endpoint: TimedSocket,
         events: EventStream,
-        received: bytes,
-        finish: Finish,
+        buffered: bytes,
+        finish: OnFinish,
         copier: Copier,
     ) -> None:
         self.endpoint = endpoint
         self.events = events
-        self.meter = Meter()
-        self._received = received
-        self._finish: Finish | None = finish
+        self.meter = StreamMeter()
+        self._buffered = buffered
+        self._finish: OnFinish | None = finish
         self._copier = copier
 
     def __iter__(self) -> Iterator[bytes]:
@@ -58,7 +64,7 @@
         The iterator has no `close`: a generator that reads it by `yield from` and is dropped
         would otherwise end the stream before it was handed over.
         """
-        return iter(self._read_piece, None)
+        return iter(self._read_or_none, None)
 
     def hand_over(self, caller: socket.socket) -> None:
         """Copy the rest to the caller in chunked framing, without the last chunk.
@@ -68,7 +74,7 @@
         """
         timeout = caller.gettimeout()
         with suppress(OSError):  # It has failed already, which the copying will find.
-            milliseconds = int(CALLER_STALL_S * 1000)
+            milliseconds = int(CALLER_STALL_TIMEOUT_S * 1000)
             caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
         try:
             self._copier.copy(self, caller)
@@ -80,14 +86,14 @@
         """Give the rest up. Harmless when the stream has ended."""
         self._end()
 
-    def take_received(self) -> bytes:
+    def take_buffered(self) -> bytes:
         """Give the events that came together with the head of the answer, once."""
-        received, self._received = self._received, b""
-        piece = self.events.feed(received) if received else b""
-        self.meter.note(self.events.tokens, time.monotonic())
+        buffered, self._buffered = self._buffered, b""
+        piece = self.events.feed(buffered) if buffered else b""
+        self.meter.record_tokens(self.events.tokens, time.monotonic())
         return piece
 
-    def _read_piece(self) -> bytes | None:
+    def _read_or_none(self) -> bytes | None:
         """Give the next events, or None after the end; raise RequestError."""
         try:
             piece = self._read_events()
@@ -102,25 +108,25 @@
         except RequestError:
             self._end()
             raise
-        if self.events.whole:
+        if self.events.complete:
             self._end()
         return piece or None
 
     def _read_events(self) -> bytes:
         """Give the next events, or nothing after the end."""
-        piece = self.take_received()
-        while not piece and not self.events.whole:
+        piece = self.take_buffered()
+        while not piece and not self.events.complete:
             data = self.endpoint.recv(READ_BYTES)
             if not data:
                 raise EndpointLostError(Kind.TRUNCATED, "the connection ended within the stream")
             piece = self.events.feed(data)
-            self.meter.note(self.events.tokens, time.monotonic())
+            self.meter.record_tokens(self.events.tokens, time.monotonic())
         return piece
 
     def _end(self) -> None:
         finish, self._finish = self._finish, None
         if finish is not None:
-            finish(self.events.whole, self.meter.summarise(time.monotonic()))
+            finish(self.events.complete, self.meter.get_stats(time.monotonic()))
 
 
 class WorkerCopier:
@@ -128,7 +134,7 @@
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
         """Return when the whole was copied; raise RequestError when it was not."""
-        caller.settimeout(CALLER_STALL_S)
+        caller.settimeout(CALLER_STALL_TIMEOUT_S)
         for piece in stream:
             try:
                 caller.sendall(b"%x\r\n%b\r\n" % (len(piece), piece))
@@ -147,16 +153,16 @@
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
         """Return when the whole was copied; raise RequestError when it was not."""
-        piece = stream.take_received()
-        if stream.events.whole and not piece:
+        piece = stream.take_buffered()
+        if stream.events.complete and not piece:
             return
         endpoint = stream.endpoint
-        bounds = Bounds(endpoint.until, endpoint.silence_s)
-        link = Link(endpoint, caller, stream.events, stream.meter, bounds)
-        self._relay.take(link, piece)
-        left = max(0.0, endpoint.until - time.monotonic())
+        limits = StreamLimits(endpoint.deadline, endpoint.read_timeout_s)
+        relayed = RelayedStream(endpoint, caller, stream.events, stream.meter, limits)
+        self._relay.add(relayed, piece)
+        remaining_s = max(0.0, endpoint.deadline - time.monotonic())
         try:
-            link.ended.result(left + GRACE_S)
+            relayed.finished.result(remaining_s + RELAY_GRACE_S)
         except (TimeoutError, CancelledError) as error:
             raise RequestError(Kind.INTERNAL, "the relay does not answer") from error
 
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -20,10 +20,10 @@
 from cloverway.messages import Request
 from cloverway.upstream.cancels import Canceller
 from cloverway.upstream.connections import (
-    CALL_FAULTS,
-    Connection,
+    EXCHANGE_ERRORS,
     ConnectionPool,
-    Head,
+    EndpointConnection,
+    ResponseHead,
     TimedSocket,
 )
 from cloverway.upstream.copiers import Copier, EndpointStream, RelayCopier
@@ -32,11 +32,11 @@
     ChunkedBody,
     EventStream,
     LengthBody,
-    make_malformed,
+    make_malformed_error,
 )
 from cloverway.upstream.meters import StreamStats
 from cloverway.upstream.relay import Relay
-from cloverway.upstream.waits import Wait, Waits
+from cloverway.upstream.waits import PendingExchange, PendingExchanges
 
 log = logging.getLogger(__name__)
 
@@ -57,13 +57,13 @@
         "upgrade",
     }
 )
-OWN_HEADERS = frozenset({"content-length", "content-type", "date", "server"})
+SERVER_HEADERS = frozenset({"content-length", "content-type", "date", "server"})
 """Headers that the gateway's own server writes."""
 
-Observer = Callable[[Request, StreamStats], None]
+StreamObserver = Callable[[Request, StreamStats], None]
 
 
-class Call(NamedTuple):
+class EndpointCall(NamedTuple):
     """One request to one endpoint."""
 
     address: tuple[str, int]
@@ -74,32 +74,34 @@
     check: Callable[[], None]
 
 
-class _NoConnectionError(RequestError):
+class _ConnectError(RequestError):
     """No connection to an endpoint could be opened."""
 
 
 class _StaleConnectionError(CloverwayError):
     """A re-used connection failed before the first byte of an answer."""
 
-    def __init__(self, started: bool) -> None:
+    def __init__(self, send_started: bool) -> None:
         super().__init__()
-        self.started = started
+        self.send_started = send_started
         """Whether a byte of the request may have left."""
 
 
 class EndpointClient:
     """Sends requests to endpoints and keeps the connections to them."""
 
-    def __init__(self, limits: Limits, copier: Copier, observe: Observer | None = None) -> None:
+    def __init__(
+        self, limits: Limits, copier: Copier, observe: StreamObserver | None = None
+    ) -> None:
         self._limits = limits
         self._copier = copier
         self._observe = observe
         self._pool = ConnectionPool()
         self._canceller = Canceller.start()
-        self._waits = Waits()
+        self._pending = PendingExchanges()
 
     @classmethod
-    def from_settings(cls, limits: Limits, observe: Observer | None = None) -> EndpointClient:
+    def from_settings(cls, limits: Limits, observe: StreamObserver | None = None) -> EndpointClient:
         """Make a client; `observe` is told of each stream when it has ended."""
         return cls(limits, RelayCopier(Relay.start()), observe)
 
@@ -123,85 +125,94 @@
 
         `check` is called just before the first byte is sent and raises when it may not be.
         """
-        call = Call(split_url(url), request, idempotent, gap_s, priority, check)
-        with self._waits.watch(request.id) if idempotent else nullcontext(Wait()) as wait:
+        call = EndpointCall(split_url(url), request, idempotent, gap_s, priority, check)
+        with (
+            self._pending.track(request.id) if idempotent else nullcontext(PendingExchange())
+        ) as pending:
             try:
-                return self._send(call, wait)
+                return self._send(call, pending)
             except RequestError as error:
-                if not wait.given_up:
+                if not pending.aborted:
                     raise
                 self._cancel(call)
                 raise RequestError(Kind.CALLER_LEFT, ran=error.ran) from error
 
-    def give_up(self, request_id: str) -> None:
+    def abort(self, request_id: str) -> None:
         """End the wait for the answer to an idempotent request, because its caller left.
 
         Any other request goes on to its end: a repeat may ask for its recorded answer. A stream
         that has begun is not concerned; it notices by itself that its caller left.
         """
-        if self._waits.give_up(request_id):
+        if self._pending.abort(request_id):
             log.info("a request was given up", extra={"request_id": request_id})
 
-    def _send(self, call: Call, wait: Wait) -> Reply:
-        pooled = self._pool.take(call.address, time.monotonic()) if call.idempotent else None
+    def _send(self, call: EndpointCall, pending: PendingExchange) -> Reply:
+        pooled = self._pool.acquire(call.address, time.monotonic()) if call.idempotent else None
         if pooled is None:
-            return self._exchange(call, wait, self._connect(call), reused=False)
+            return self._exchange(call, pending, self._connect(call), reused=False)
         try:
-            return self._exchange(call, wait, pooled, reused=True)
+            return self._exchange(call, pending, pooled, reused=True)
         except _StaleConnectionError as error:
             log.info("a re-used connection failed", extra={"request_id": call.request.id})
-            return self._send_again(call, wait, error.started)
+            return self._retry(call, pending, error.send_started)
 
-    def _send_again(self, call: Call, wait: Wait, started: bool) -> Reply:
+    def _retry(self, call: EndpointCall, pending: PendingExchange, send_started: bool) -> Reply:
         """Try a new connection; where the first try may have run, never say "not run"."""
         try:
-            return self._exchange(call, wait, self._connect(call), reused=False)
+            return self._exchange(call, pending, self._connect(call), reused=False)
         except RequestError as error:
-            if not started or error.ran is not Ran.NO:
+            if not send_started or error.ran is not Ran.NO:
                 raise
-            if isinstance(error, _NoConnectionError):
+            if isinstance(error, _ConnectError):
                 # A kept connection that was dropped while idle can be opened anew. An endpoint that
                 # ended under the request can't, and each of its ends would go uncounted.
                 raise EndpointLostError(Kind.ENDPOINT_FAILED, error.detail) from error
             kind = Kind.TIMED_OUT if error.kind is Kind.DEADLINE else Kind.ENDPOINT_FAILED
             raise RequestError(kind, error.detail, retry_after=error.retry_after) from error
 
-    def _cancel(self, call: Call) -> None:
+    def _cancel(self, call: EndpointCall) -> None:
         if call.request.path.startswith(ENGINE_PATHS):
             self._canceller.cancel(call.address, call.request.id)
 
-    def _connect(self, call: Call) -> Connection:
-        left = call.request.deadline - time.monotonic()
-        if left <= 0:
+    def _connect(self, call: EndpointCall) -> EndpointConnection:
+        remaining_s = call.request.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise RequestError(Kind.DEADLINE, "the deadline passed before it was sent")
-        connect_timeout_s = min(self._limits.connect_timeout_s, left)
-        connection = Connection.from_address(call.address, connect_timeout_s)
+        connect_timeout_s = min(self._limits.connect_timeout_s, remaining_s)
+        connection = EndpointConnection.from_address(call.address, connect_timeout_s)
         try:
             connection.connect()
-        except CALL_FAULTS as error:
+        except EXCHANGE_ERRORS as error:
             connection.close()
-            raise _NoConnectionError(
+            raise _ConnectError(
                 Kind.ENDPOINT_REFUSED, "no connection to the endpoint", ran=Ran.NO
             ) from error
         return connection
 
-    def _exchange(self, call: Call, wait: Wait, connection: Connection, *, reused: bool) -> Reply:
+    def _exchange(
+        self,
+        call: EndpointCall,
+        pending: PendingExchange,
+        connection: EndpointConnection,
+        *,
+        reused: bool,
+    ) -> Reply:
         """Run one exchange; the connection is pooled or closed unless a stream goes on."""
-        timed = connection.timed
+        timed_socket = connection.timed_socket
         try:
-            wait.connection = connection
-            if wait.given_up:
+            pending.connection = connection
+            if pending.aborted:
                 raise RequestError(Kind.CALLER_LEFT, ran=Ran.NO)
             self._send_request(call, connection, reused)
             head = _read_final_head(connection)
-            if wait.given_up:
+            if pending.aborted:
                 raise RequestError(Kind.CALLER_LEFT)
-            return self._read_reply(call, wait, connection, head)
-        except (*CALL_FAULTS, ValueError) as error:
+            return self._read_reply(call, pending, connection, head)
+        except (*EXCHANGE_ERRORS, ValueError) as error:
             connection.close()
-            failure = _explain(call.request, timed, error)
-            if reused and not timed.received and failure.kind is not Kind.MALFORMED:
-                raise _StaleConnectionError(timed.started) from error
+            failure = _classify_failure(call.request, timed_socket, error)
+            if reused and not timed_socket.response_started and failure.kind is not Kind.MALFORMED:
+                raise _StaleConnectionError(timed_socket.send_started) from error
             if failure.kind is Kind.TIMED_OUT:
                 self._cancel(call)
             raise failure from error
@@ -209,49 +220,65 @@
             connection.close()
             raise
 
-    def _send_request(self, call: Call, connection: Connection, reused: bool) -> None:
+    def _send_request(
+        self, call: EndpointCall, connection: EndpointConnection, reused: bool
+    ) -> None:
         now = time.monotonic()
-        silence_s = min(call.gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
-        connection.timed.begin(call.request.deadline, silence_s)
+        read_timeout_s = (
+            min(call.gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
+        )
+        connection.timed_socket.begin(call.request.deadline, read_timeout_s)
         headers = _make_headers(call, now)
         call.check()
         connection.request(
             call.request.method, call.request.path, body=call.request.body or None, headers=headers
         )
 
-    def _read_reply(self, call: Call, wait: Wait, connection: Connection, head: Head) -> Reply:
-        _raise_refusal(head)
+    def _read_reply(
+        self,
+        call: EndpointCall,
+        pending: PendingExchange,
+        connection: EndpointConnection,
+        head: ResponseHead,
+    ) -> Reply:
+        _raise_for_status(head)
         content_type = head.headers.get("Content-Type", "application/octet-stream")
-        headers = _keep_end_to_end(head)
-        body = _make_parser(head)
+        headers = _filter_headers(head)
+        body = _make_body_parser(head)
         if head.status == 200 and content_type.partition(";")[0].strip().lower() == EVENT_STREAM:
             stream = self._make_stream(call, connection, head, EventStream(body))
             return Reply(head.status, content_type, stream=stream, headers=headers)
-        connection.timed.silence_s = float("inf")
-        whole = self._read_whole(connection, head, body)
-        self._waits.release(wait)
-        self._keep_or_close(call.address, connection, head.reusable and not body.rest)
-        return Reply(head.status, content_type, whole, headers=headers)
+        connection.timed_socket.read_timeout_s = float("inf")
+        content = self._read_body(connection, head, body)
+        self._pending.detach_connection(pending)
+        self._release_or_close(call.address, connection, head.keep_alive and not body.excess)
+        return Reply(head.status, content_type, content, headers=headers)
 
     def _make_stream(
-        self, call: Call, connection: Connection, head: Head, events: EventStream
+        self,
+        call: EndpointCall,
+        connection: EndpointConnection,
+        head: ResponseHead,
+        events: EventStream,
     ) -> EndpointStream:
-        def finish(whole: bool, stats: StreamStats) -> None:
-            clean = whole and head.reusable and not events.body.rest
-            self._keep_or_close(call.address, connection, clean)
-            if not whole:
+        def finish(complete: bool, stats: StreamStats) -> None:
+            reusable = complete and head.keep_alive and not events.body.excess
+            self._release_or_close(call.address, connection, reusable)
+            if not complete:
                 self._cancel(call)
             if self._observe is not None:
                 self._observe(call.request, stats)
 
-        connection.timed.silence_s = call.gap_s
-        return EndpointStream(connection.timed, events, head.rest, finish, self._copier)
+        connection.timed_socket.read_timeout_s = call.gap_s
+        return EndpointStream(connection.timed_socket, events, head.buffered, finish, self._copier)
 
-    def _read_whole(self, connection: Connection, head: Head, body: BodyParser) -> bytes:
-        pieces = [body.feed(head.rest)]
+    def _read_body(
+        self, connection: EndpointConnection, head: ResponseHead, body: BodyParser
+    ) -> bytes:
+        pieces = [body.feed(head.buffered)]
         size = len(pieces[0])
         while not body.ended:
-            data = connection.timed.recv(READ_BYTES)
+            data = connection.timed_socket.recv(READ_BYTES)
             if not data:
                 raise EndpointLostError(Kind.TRUNCATED, "the connection ended within the answer")
             piece = body.feed(data)
@@ -261,14 +288,16 @@
                 raise RequestError(Kind.ENDPOINT_FAILED, "the endpoint's answer is too large")
         return b"".join(pieces)
 
-    def _keep_or_close(self, address: tuple[str, int], connection: Connection, clean: bool) -> None:
-        if clean:
-            self._pool.put(address, connection, time.monotonic())
+    def _release_or_close(
+        self, address: tuple[str, int], connection: EndpointConnection, reusable: bool
+    ) -> None:
+        if reusable:
+            self._pool.release(address, connection, time.monotonic())
         else:
             connection.close()
 
 
-def _make_headers(call: Call, now: float) -> dict[str, str]:
+def _make_headers(call: EndpointCall, now: float) -> dict[str, str]:
     request = call.request
     headers = {
         "Accept-Encoding": "identity",
@@ -284,17 +313,19 @@
     return headers
 
 
-def _read_final_head(connection: Connection) -> Head:
+def _read_final_head(connection: EndpointConnection) -> ResponseHead:
     head = connection.read_head()
     if head.status < 200:
-        raise make_malformed("an interim answer that was not asked for")
+        raise make_malformed_error("an interim answer that was not asked for")
     return head
 
 
-def _explain(request: Request, timed: TimedSocket, error: Exception) -> RequestError:
+def _classify_failure(
+    request: Request, timed_socket: TimedSocket, error: Exception
+) -> RequestError:
     """Give the error for a failed exchange: what is known of whether the request ran."""
     late = time.monotonic() >= request.deadline
-    if not timed.started:
+    if not timed_socket.send_started:
         if isinstance(error, ValueError | http.client.InvalidURL):
             return RequestError(Kind.MALFORMED, "the request can't be written as HTTP")
         if late:
@@ -307,7 +338,7 @@
     return EndpointLostError(Kind.ENDPOINT_FAILED, "the connection to the endpoint failed")
 
 
-def _raise_refusal(head: Head) -> None:
+def _raise_for_status(head: ResponseHead) -> None:
     """Raise for an answer that is not the endpoint's own to give to a caller."""
     if head.status in (429, 503) and head.headers.get("Cloverway-Ran", "").lower() == Ran.NO:
         raise RequestError(Kind.ENDPOINT_REFUSED, ran=Ran.NO, retry_after=_parse_retry_after(head))
@@ -317,28 +348,28 @@
         raise RequestError(Kind.ENDPOINT_FAILED, "the endpoint answered with a redirect")
 
 
-def _parse_retry_after(head: Head) -> float | None:
+def _parse_retry_after(head: ResponseHead) -> float | None:
     text = head.headers.get("Retry-After", "")
     return float(text) if text.isascii() and text.isdigit() else None
 
 
-def _make_parser(head: Head) -> BodyParser:
+def _make_body_parser(head: ResponseHead) -> BodyParser:
     """Give the parser for a body; one that is ended by its connection can't be known whole."""
     if head.length is not None:
         return LengthBody(head.length)
     if head.chunked:
         return ChunkedBody()
-    raise make_malformed("its body has no length")
+    raise make_malformed_error("its body has no length")
 
 
-def _keep_end_to_end(head: Head) -> tuple[tuple[str, str], ...]:
+def _filter_headers(head: ResponseHead) -> tuple[tuple[str, str], ...]:
     """Give the headers that are meant for the caller."""
     named = {
         name.strip().lower()
         for value in head.headers.get_all("Connection", [])
         for name in value.split(",")
     }
-    dropped = HOP_BY_HOP | OWN_HEADERS | named
+    dropped = HOP_BY_HOP | SERVER_HEADERS | named
     return tuple(
         (name, value) for name, value in head.headers.items() if name.lower() not in dropped
     )
--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -11,21 +11,21 @@
 
 from cloverway.errors import Kind, RequestError
 
-MAX_LINE = 4096
+MAX_LINE_BYTES = 4096
 """Longest chunk-size or trailer line, in bytes."""
-MAX_TRAILER = 16 * 1024
-MAX_EVENT = 1024 * 1024
+MAX_TRAILER_BYTES = 16 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 """Longest server-sent event, in bytes; a longer one is never complete."""
 DONE = b"[DONE]"
 
 CRLF = b"\r\n"
 _SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(?:;[^\r\n]*)?\r\n")
 BLANK_LINE = b"\n\n"
-LONGEST_EVENT_END = 3
+MAX_EVENT_END_BYTES = 3
 _EVENT_END = re.compile(rb"\n\r?\n")
 
 
-def make_malformed(detail: str) -> RequestError:
+def make_malformed_error(detail: str) -> RequestError:
     """Give the error for an answer that breaks its own framing."""
     return RequestError(Kind.ENDPOINT_FAILED, f"the endpoint's answer is malformed: {detail}")
 
@@ -35,7 +35,7 @@
 
     ended: bool
     """Whether the body's own end was seen."""
-    rest: bytes
+    excess: bytes
     """Bytes after the end, which belong to no answer that was asked for."""
 
     def feed(self, data: bytes) -> bytes:
@@ -47,16 +47,16 @@
     """A body of a length known from Content-Length."""
 
     def __init__(self, length: int) -> None:
-        self._left = length
+        self._remaining = length
         self.ended = length == 0
-        self.rest = b""
+        self.excess = b""
 
     def feed(self, data: bytes) -> bytes:
         """Take received bytes and give what they add to the body."""
-        body = data[: self._left]
-        self._left -= len(body)
-        self.ended = self._left == 0
-        self.rest += data[len(body) :]
+        body = data[: self._remaining]
+        self._remaining -= len(body)
+        self.ended = self._remaining == 0
+        self.excess += data[len(body) :]
         return body
 
 
@@ -65,19 +65,19 @@
 
     def __init__(self) -> None:
         self.ended = False
-        self.rest = b""
+        self.excess = b""
         self._buffer = b""
-        self._left = 0
+        self._remaining = 0
         """Bytes of the present chunk to come, with the line end after it; 0 between chunks."""
         self._trailer = -1
         """Bytes of trailer seen, or -1 before the last chunk."""
 
     def feed(self, data: bytes) -> bytes:
         """Take received bytes and give what they add to the body; raise RequestError."""
-        if not self._buffer and not self._left:
-            whole = self._take_one_whole(data)
-            if whole is not None:
-                return whole
+        if not self._buffer and not self._remaining:
+            payload = self._take_single_chunk(data)
+            if payload is not None:
+                return payload
         self._buffer += data
         pieces = []
         while not self.ended:
@@ -86,11 +86,11 @@
                 break
             pieces.append(piece)
         if self.ended:
-            self.rest += self._buffer
+            self.excess += self._buffer
             self._buffer = b""
         return b"".join(pieces)
 
-    def _take_one_whole(self, data: bytes) -> bytes | None:
+    def _take_single_chunk(self, data: bytes) -> bytes | None:
         """Give the payload when the bytes are exactly one chunk, which is the common case."""
         if self.ended or self._trailer >= 0:
             return None
@@ -107,7 +107,7 @@
         """Advance by one element; None when more bytes are needed."""
         if self._trailer >= 0:
             return self._read_trailer()
-        if self._left:
+        if self._remaining:
             return self._read_data()
         return self._read_size()
 
@@ -119,11 +119,11 @@
         self._check_line(end)
         line = _SIZE_LINE.fullmatch(self._buffer[: end + 2])
         if line is None:
-            raise make_malformed("a chunk has no size")
+            raise make_malformed_error("a chunk has no size")
         self._buffer = self._buffer[end + 2 :]
         size = int(line[1], 16)
         if size:
-            self._left = size + 2
+            self._remaining = size + 2
         else:
             self._trailer = 0
         return b""
@@ -131,16 +131,16 @@
     def _read_data(self) -> bytes | None:
         if not self._buffer:
             return None
-        if self._left > 2:
-            piece = self._buffer[: self._left - 2]
-            self._left -= len(piece)
+        if self._remaining > 2:
+            piece = self._buffer[: self._remaining - 2]
+            self._remaining -= len(piece)
             self._buffer = self._buffer[len(piece) :]
             return piece
         if len(self._buffer) < 2:
             return None
         if not self._buffer.startswith(CRLF):
-            raise make_malformed("a chunk is longer than its size")
-        self._left = 0
+            raise make_malformed_error("a chunk is longer than its size")
+        self._remaining = 0
         self._buffer = self._buffer[2:]
         return b""
 
@@ -151,15 +151,15 @@
             return None
         self._check_line(end)
         self._trailer += end + 2
-        if self._trailer > MAX_TRAILER:
-            raise make_malformed("its trailer is too long")
+        if self._trailer > MAX_TRAILER_BYTES:
+            raise make_malformed_error("its trailer is too long")
         self._buffer = self._buffer[end + 2 :]
         self.ended = end == 0
         return b""
 
     def _check_line(self, length: int) -> None:
-        if length > MAX_LINE:
-            raise make_malformed("a line of its framing is too long")
+        if length > MAX_LINE_BYTES:
+            raise make_malformed_error("a line of its framing is too long")
 
 
 class EventStream:
@@ -175,28 +175,28 @@
         """Data events that were seen, without `[DONE]`."""
         self._pending = b""
         self._done = b""
-        self._given_whole = False
+        self._end_forwarded = False
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether both `[DONE]` and the end of the body were seen."""
         return bool(self._done) and self.body.ended
 
     def feed(self, data: bytes) -> bytes:
         """Take received bytes and give the whole events to forward; raise RequestError."""
         payload = self.body.feed(data)
-        if self._is_one_token(payload):
+        if self._is_single_event(payload):
             self.tokens += 1
             return payload
-        was_whole = self._given_whole
+        was_forwarded = self._end_forwarded
         events = self._split(payload) if payload else b""
-        if self.body.ended and not was_whole:
-            self._given_whole = True
+        if self.body.ended and not was_forwarded:
+            self._end_forwarded = True
             self._check_end()
             return events + self._done
         return events
 
-    def _is_one_token(self, payload: bytes) -> bool:
+    def _is_single_event(self, payload: bytes) -> bool:
         """Whether it is exactly one data event in the midst of the stream, the common case."""
         return (
             payload.startswith(b"data:")
@@ -211,30 +211,30 @@
     def _split(self, payload: bytes) -> bytes:
         """Give the whole events in front and keep the rest."""
         if self._done:
-            self._refuse_more(payload)
+            self._require_blank(payload)
             return b""
-        searched = max(0, len(self._pending) - LONGEST_EVENT_END + 1)
+        searched = max(0, len(self._pending) - MAX_EVENT_END_BYTES + 1)
         payload = self._pending + payload
         end = 0
-        for mark in _EVENT_END.finditer(payload, searched):
-            event = payload[end : mark.end()]
+        for end_match in _EVENT_END.finditer(payload, searched):
+            event = payload[end : end_match.end()]
             if DONE in event and _read_data(event) == DONE:
                 self._done = event
                 self._pending = b""
-                self._refuse_more(payload[mark.end() :])
+                self._require_blank(payload[end_match.end() :])
                 return payload[:end]
             if event.startswith(b"data") or b"\ndata" in event:
                 self.tokens += 1
-            end = mark.end()
+            end = end_match.end()
         self._pending = payload[end:]
-        if len(self._pending) > MAX_EVENT:
-            raise make_malformed("an event is too long")
+        if len(self._pending) > MAX_EVENT_BYTES:
+            raise make_malformed_error("an event is too long")
         return payload[:end]
 
-    def _refuse_more(self, payload: bytes) -> None:
+    def _require_blank(self, payload: bytes) -> None:
         """Raise when anything but blank lines follows the last event."""
         if payload.strip():
-            raise make_malformed("an event follows its last one")
+            raise make_malformed_error("an event follows its last one")
 
     def _check_end(self) -> None:
         if not self._done:
--- a/cloverway/upstream/meters.py
+++ b/cloverway/upstream/meters.py
@@ -13,35 +13,35 @@
     """What is known of a stream when it has ended. Times are monotonic seconds."""
 
     tokens: int
-    first_at: float | None
+    first_token_at: float | None
     ended_at: float
     gaps: tuple[int, ...]
     """Gaps by the buckets of GAP_BOUNDS_S, and in the end those above them all."""
     gap_sum_s: float
 
 
-class Meter:
+class StreamMeter:
     """Counts the tokens of one stream and the gaps between them."""
 
     def __init__(self) -> None:
         self._tokens = 0
-        self._first_at: float | None = None
-        self._last_at = 0.0
+        self._first_token_at: float | None = None
+        self._last_token_at = 0.0
         self._gaps = [0] * (len(GAP_BOUNDS_S) + 1)
 
-    def note(self, tokens: int, now: float) -> None:
+    def record_tokens(self, tokens: int, now: float) -> None:
         """Note how many tokens there are by now; those that came together have one gap."""
         if tokens == self._tokens:
             return
         self._tokens = tokens
-        if self._first_at is None:
-            self._first_at = now
+        if self._first_token_at is None:
+            self._first_token_at = now
         else:
-            self._gaps[bisect_left(GAP_BOUNDS_S, now - self._last_at)] += 1
-        self._last_at = now
+            self._gaps[bisect_left(GAP_BOUNDS_S, now - self._last_token_at)] += 1
+        self._last_token_at = now
 
-    def summarise(self, now: float) -> StreamStats:
+    def get_stats(self, now: float) -> StreamStats:
         """Give the figures of the stream, which ended now."""
-        first_at = self._first_at
-        spread = self._last_at - first_at if first_at is not None else 0.0
-        return StreamStats(self._tokens, first_at, now, tuple(self._gaps), spread)
+        first_token_at = self._first_token_at
+        spread = self._last_token_at - first_token_at if first_token_at is not None else 0.0
+        return StreamStats(self._tokens, first_token_at, now, tuple(self._gaps), spread)
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -9,7 +9,7 @@
 from cloverway.exchange import Stream
 
 
-class WatchedStream:
+class ObservedStream:
     """Tell how a stream ended: whole, cut, or given up by the caller."""
 
     def __init__(self, stream: Stream, on_end: Callable[[RequestError | None], None]) -> None:
@@ -62,7 +62,7 @@
         self._stream = stream
         self._limit = limit
         self._on_end = on_end
-        self._kept: list[bytes] | None = []
+        self._recorded: list[bytes] | None = []
         self._size = 0
         self._pieces = self._read()
 
@@ -72,10 +72,10 @@
 
     def hand_over(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket; reads on to the end when the caller has left."""
-        left = False
+        caller_left = False
         for piece in self._pieces:
-            left = left or not _send_chunk(caller, piece)
-        if left:
+            caller_left = caller_left or not _send_chunk(caller, piece)
+        if caller_left:
             raise RequestError(Kind.CALLER_LEFT)
 
     def close(self) -> None:
@@ -89,19 +89,19 @@
     def _read(self) -> Iterator[bytes]:
         try:
             for piece in self._stream:
-                self._keep(piece)
+                self._record(piece)
                 yield piece
         except RequestError as error:
             self._on_end(error, None)
             raise
-        self._on_end(None, b"".join(self._kept) if self._kept is not None else None)
+        self._on_end(None, b"".join(self._recorded) if self._recorded is not None else None)
 
-    def _keep(self, piece: bytes) -> None:
+    def _record(self, piece: bytes) -> None:
         self._size += len(piece)
         if self._size > self._limit:
-            self._kept = None
-        if self._kept is not None:
-            self._kept.append(piece)
+            self._recorded = None
+        if self._recorded is not None:
+            self._recorded.append(piece)
 
 
 def _send_chunk(caller: socket.socket, piece: bytes) -> bool:
