--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -37,7 +37,7 @@
 from cloverway.peers.peer_server import PeerServer
 from cloverway.peers.peering import PeerBounds
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.meters import GAP_BOUNDS_S
+from cloverway.upstream.stream_stats import GAP_BOUNDS_S
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/tests/measure_callers.py
+++ b/cloverway/tests/measure_callers.py
@@ -16,7 +16,7 @@
 from cloverway.errors import Ran
 from cloverway.exchange import Reply
 from cloverway.operations.metrics import Metrics, RequestEnded, StreamEnded
-from cloverway.tests.callers_bench import CHAT, CHAT_BODY, DOCUMENTS, CallerServerHarness
+from cloverway.tests.caller_harness import CHAT, CHAT_BODY, DOCUMENTS, CallerServerHarness
 
 REQUESTS = 2000
 IDLE = 1000
--- a/cloverway/tests/copying.py
+++ b/cloverway/tests/stream_harness.py
@@ -16,7 +16,7 @@
 )
 from cloverway.upstream.copiers import Copier, EndpointStream
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.meters import StreamStats
+from cloverway.upstream.stream_stats import StreamStats
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 EVENTS = (b"data: a\n\n", b"data: b\n\n", b"data: c\n\n", b"data: [DONE]\n\n")
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -9,7 +9,7 @@
 from cloverway.entry.directory import HostList
 from cloverway.membership.view import EndpointState, HostState, Summary, ViewHolder
 from cloverway.operations.admin import AdminServer, Operations
-from cloverway.tests.callers_bench import (
+from cloverway.tests.caller_harness import (
     CHAT,
     CHAT_BODY,
     CallerServerHarness,
--- a/cloverway/tests/test_authentication.py
+++ b/cloverway/tests/test_authentication.py
@@ -15,7 +15,7 @@
     parse_bearer,
 )
 from cloverway.errors import RequestError
-from cloverway.tests.callers_bench import BEARER, DOCUMENTS
+from cloverway.tests.caller_harness import BEARER, DOCUMENTS
 
 PUBLISHED = Published.from_documents(DOCUMENTS)
 
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -11,7 +11,7 @@
 
 from cloverway.errors import ANSWERS, Kind, RequestError
 from cloverway.exchange import Reply
-from cloverway.tests.callers_bench import (
+from cloverway.tests.caller_harness import (
     CHAT,
     CHAT_BODY,
     FORWARDED_BODY,
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -20,7 +20,13 @@
 from cloverway.entry.listener import ListenerLimits
 from cloverway.errors import ANSWERS, RequestError
 from cloverway.exchange import Reply
-from cloverway.tests.callers_bench import CHAT, CHAT_BODY, CallerServerHarness, read_all, wait_until
+from cloverway.tests.caller_harness import (
+    CHAT,
+    CHAT_BODY,
+    CallerServerHarness,
+    read_all,
+    wait_until,
+)
 
 COUNT = int(os.environ.get("CLOVERWAY_FUZZ", "100"))
 LIMIT = 2048
--- a/cloverway/tests/test_copiers.py
+++ b/cloverway/tests/test_copiers.py
@@ -7,15 +7,6 @@
 import pytest
 
 from cloverway.errors import EndpointLostError, Kind
-from cloverway.tests.copying import (
-    COMPLETE_STREAM,
-    EVENTS,
-    HEAD,
-    LAST_CHUNK,
-    StreamHarness,
-    chunk,
-    make_script,
-)
 from cloverway.tests.raw_endpoint import (
     TIMEOUT_S,
     EndpointSideConnection,
@@ -25,6 +16,15 @@
 from cloverway.tests.standins.batching import Timing
 from cloverway.tests.standins.engine import Engine
 from cloverway.tests.standins.waiting import wait_until
+from cloverway.tests.stream_harness import (
+    COMPLETE_STREAM,
+    EVENTS,
+    HEAD,
+    LAST_CHUNK,
+    StreamHarness,
+    chunk,
+    make_script,
+)
 from cloverway.upstream.copiers import EndpointStream, RelayCopier, WorkerCopier
 from cloverway.upstream.framing import ChunkedBody
 from cloverway.upstream.relay import Relay
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_directory.py
@@ -3,7 +3,7 @@
 from cloverway.config.published import Published
 from cloverway.entry.directory import MAX_HOSTS, MaxAges, list_hosts
 from cloverway.membership.view import HostState, Summary, View
-from cloverway.tests.callers_bench import DOCUMENTS
+from cloverway.tests.caller_harness import DOCUMENTS
 
 NOW = 100.0
 FRESH = MaxAges(2.0)
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -20,7 +20,7 @@
 from cloverway.tests.standins.waiting import wait_until
 from cloverway.upstream.connections import EndpointConnection
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.waits import PendingExchanges
+from cloverway.upstream.pending import PendingExchanges
 
 
 @pytest.fixture
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -16,7 +16,7 @@
 from cloverway.entry.listener import ListenerLimits
 from cloverway.errors import Kind, RequestError
 from cloverway.exchange import Reply
-from cloverway.tests.callers_bench import (
+from cloverway.tests.caller_harness import (
     BEARER,
     CHAT,
     CHAT_BODY,
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -12,7 +12,7 @@
 from cloverway.logs import make_formatter
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
-from cloverway.tests.callers_bench import (
+from cloverway.tests.caller_harness import (
     BEARER,
     CHAT,
     HEADERS,
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -8,18 +8,25 @@
 import pytest
 
 from cloverway.errors import Kind, RequestError
-from cloverway.tests.copying import EVENTS, HEAD, LAST_CHUNK, StreamHarness, chunk, make_script
 from cloverway.tests.raw_endpoint import (
     TIMEOUT_S,
     EndpointSideConnection,
     RawEndpoint,
 )
 from cloverway.tests.standins.waiting import wait_until
+from cloverway.tests.stream_harness import (
+    EVENTS,
+    HEAD,
+    LAST_CHUNK,
+    StreamHarness,
+    chunk,
+    make_script,
+)
 from cloverway.upstream import relay
 from cloverway.upstream.copiers import RelayCopier
 from cloverway.upstream.framing import ChunkedBody
-from cloverway.upstream.meters import StreamMeter
 from cloverway.upstream.relay import Relay, RelayedStream, StreamLimits
+from cloverway.upstream.stream_stats import StreamMeter
 
 
 @pytest.fixture
--- a/cloverway/tests/test_meters.py
+++ b/cloverway/tests/test_stream_stats.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from cloverway.upstream.meters import GAP_BOUNDS_S, StreamMeter
+from cloverway.upstream.stream_stats import GAP_BOUNDS_S, StreamMeter
 
 
 def test_meter_counts_gaps_by_bucket() -> None:
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -12,7 +12,6 @@
 from cloverway.errors import EndpointLostError, Kind, RequestError
 from cloverway.upstream.connections import TimedSocket
 from cloverway.upstream.framing import EventStream
-from cloverway.upstream.meters import StreamMeter, StreamStats
 from cloverway.upstream.relay import (
     CALLER_STALL_TIMEOUT_S,
     READ_BYTES,
@@ -20,6 +19,7 @@
     RelayedStream,
     StreamLimits,
 )
+from cloverway.upstream.stream_stats import StreamMeter, StreamStats
 
 RELAY_GRACE_S = 5.0
 """How long after its deadline the relay task is waited for."""
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -34,9 +34,9 @@
     LengthBody,
     make_malformed_error,
 )
-from cloverway.upstream.meters import StreamStats
+from cloverway.upstream.pending import PendingExchange, PendingExchanges
 from cloverway.upstream.relay import Relay
-from cloverway.upstream.waits import PendingExchange, PendingExchanges
+from cloverway.upstream.stream_stats import StreamStats
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -20,7 +20,7 @@
 
 from cloverway.errors import EndpointLostError, Kind, RequestError
 from cloverway.upstream.framing import EventStream
-from cloverway.upstream.meters import StreamMeter
+from cloverway.upstream.stream_stats import StreamMeter
 
 log = logging.getLogger(__name__)
 
