--- a/cloverway/core/limits.py
+++ b/cloverway/core/limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cloverway.core.cold_start import SETTLED_S
+from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.core.members import rank_host
 
 MIN_REQUESTS_PER_S = 0.2
@@ -40,7 +40,7 @@
     that a hash ranks first for this endpoint may send. A host that started only `age_s` ago doesn't
     know the others yet and has no share.
     """
-    if age_s < SETTLED_S:
+    if age_s < MIN_HOST_AGE_S:
         return None
     limit_per_s = max(limit_per_s, MIN_REQUESTS_PER_S)
     senders = MIN_SENDERS + int(SENDERS_PER_RPS * limit_per_s)
