--- a/cloverway/upstream/__init__.py
+++ b/cloverway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Requests go out to endpoints, and their answers come back."""
+"""HTTP client that sends requests to endpoints and relays their answers."""
--- a/cloverway/upstream/cancels.py
+++ b/cloverway/upstream/cancels.py
@@ -1,4 +1,4 @@
-"""Tell engines that nobody waits for a request any more, off the path of every caller."""
+"""Cancel abandoned requests at engines, in a background thread that no caller waits for."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 CANCEL_PATH = "/v1/cancel"
 TIMEOUT_S = 1.0
 MAX_DELAY_S = 10.0
-"""Cancels that waited longer than this are dropped, which bounds the inbox.
+"""Cancels that were queued for longer than this are dropped, which bounds the inbox.
 
-The connection was closed at once, so this only matters for an engine that does not notice.
+The connection was closed at once, so a cancel only matters for engines that ignore a disconnect.
 """
 
 
 class CancelRequest(NamedTuple):
-    """A request that was given up, when, and at which endpoint."""
+    """A request to cancel, at which endpoint, and when this was requested (monotonic seconds)."""
 
     address: tuple[str, int]
     request_id: str
@@ -31,24 +31,24 @@
 
 
 class Canceller:
-    """A task that posts cancels one after the other."""
+    """Task that sends cancels one at a time."""
 
     def __init__(self) -> None:
         self._task = Task("cancels", self._handle)
 
     @classmethod
     def start(cls) -> Canceller:
-        """Make a canceller and start its thread."""
+        """Create a canceller and start its thread."""
         canceller = cls()
         canceller._task.start()
         return canceller
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._task.stop()
 
     def cancel(self, address: tuple[str, int], request_id: str) -> None:
-        """Ask for a cancel and return at once."""
+        """Queue a cancel and return at once."""
         self._task.send(CancelRequest(address, request_id, time.monotonic()))
 
     def _handle(self, cancel: CancelRequest, answer: Future[None]) -> None:
@@ -70,6 +70,8 @@
         )
         connection.read_head()
     except EXCHANGE_ERRORS:
-        log.info("a cancel did not arrive", extra={"request_id": cancel.request_id})
+        log.info(
+            "cancel could not be delivered to the endpoint", extra={"request_id": cancel.request_id}
+        )
     finally:
         connection.close()
--- a/cloverway/upstream/connections.py
+++ b/cloverway/upstream/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: each with one deadline, and pooled only while certainly clean."""
+"""Connections to endpoints: one deadline per exchange, pooled only if no bytes are left over."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 import urllib3.exceptions
 
 MAX_IDLE_S = 4.0
-"""Pooled connections are dropped after this many seconds without use.
+"""Pooled connections are closed after this many seconds without use.
 
-Whatever sits between two ends forgets idle connections; one that was in use a moment ago is
-seldom forgotten.
+NAT gateways and firewalls drop the state of idle connections, but rarely that of a connection
+which was used a moment ago.
 """
 MAX_IDLE_PER_ADDRESS = 64
-"""Most idle connections to one endpoint."""
+"""Maximum number of idle connections to one endpoint."""
 MIN_TIMEOUT_S = 0.001
 
 KEEPALIVE_OPTIONS: list[tuple[int, int, int | bytes]] = [
@@ -30,57 +30,57 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 6_000),
 ]
-"""A connection that something between the two ends has forgotten fails after about 6 seconds.
+"""With these, a connection whose state was dropped on the path fails after about 6 seconds.
 
-Without them, the wait for a long answer on such a connection lasts until the deadline.
+Without them, a request that waits for a long answer on such a connection waits until its deadline.
 """
 
 EXCHANGE_ERRORS = (OSError, http.client.HTTPException, urllib3.exceptions.HTTPError)
-"""What an exchange over a connection may raise."""
+"""Exceptions that an exchange over a connection may raise."""
 
 
 class TimedSocket(socket.socket):
-    """A socket whose reads and writes keep to one deadline together, not one each."""
+    """A socket with one deadline for all reads and writes together, instead of one for each."""
 
     deadline = float("inf")
-    """Monotonic time after which nothing is waited for."""
+    """Monotonic time at which reads and writes fail."""
     read_timeout_s = float("inf")
-    """Longest wait for the next byte, in seconds."""
+    """Longest wait for the next bytes, in seconds."""
     send_started = False
-    """Whether a byte of the present request may have left."""
+    """Whether a byte of the current request may have been sent."""
     response_started = False
-    """Whether a byte of the present answer came."""
+    """Whether a byte of the current answer was received."""
     nonblocking = False
-    """Whether reads give what is there and wait for nothing."""
+    """Whether reads return what is available without waiting."""
 
     @classmethod
     def take_over(cls, other: socket.socket) -> TimedSocket:
-        """Take over the descriptor of another socket, which is empty afterwards."""
+        """Take over the file descriptor of another socket, which is detached afterwards."""
         return cls(fileno=other.detach())
 
     def begin(self, deadline: float, read_timeout_s: float = float("inf")) -> None:
-        """Set the bounds of a new exchange."""
+        """Set the deadline and the read timeout of a new exchange."""
         self.deadline = deadline
         self.read_timeout_s = read_timeout_s
         self.send_started = False
         self.response_started = False
 
     def recv(self, *args: Any) -> bytes:
-        """Receive within the bounds; raise TimeoutError."""
+        """Receive within the deadline and the read timeout; raise TimeoutError."""
         self.settimeout(self._compute_timeout(self.read_timeout_s))
         data = super().recv(*args)
         self.response_started = self.response_started or bool(data)
         return data
 
     def recv_into(self, *args: Any) -> int:
-        """Receive within the bounds; raise TimeoutError."""
+        """Receive within the deadline and the read timeout; raise TimeoutError."""
         self.settimeout(self._compute_timeout(self.read_timeout_s))
         count = super().recv_into(*args)
         self.response_started = self.response_started or count > 0
         return count
 
     def sendall(self, *args: Any) -> None:
-        """Send all before the deadline; raise TimeoutError."""
+        """Send all bytes before the deadline; raise TimeoutError."""
         self.settimeout(self._compute_timeout(float("inf")))
         self.send_started = True
         super().sendall(*args)
@@ -96,34 +96,34 @@
 
 
 class ResponseHead(NamedTuple):
-    """The head of an answer, and what was received behind it."""
+    """The head of an answer, and the start of its body that was received with it."""
 
     status: int
     headers: http.client.HTTPMessage
     chunked: bool
     length: int | None
-    """Length of the body where it is known; 0 where there is none by the status or method."""
+    """Length of the body if it is known; 0 if the status or method allows no body."""
     keep_alive: bool
     """Whether the endpoint keeps the connection open after this answer."""
     buffered: bytes
 
 
 class EndpointConnection(urllib3.connection.HTTPConnection):
-    """One connection to an endpoint; carries one exchange at a time."""
+    """Connection to an endpoint; carries one exchange at a time."""
 
     auto_open = 0
-    """A connection that was lost is never opened again unasked, in the midst of a request."""
+    """Turns off the reconnect of http.client: a connection lost within a request isn't reopened."""
     idle_since = 0.0
 
     @classmethod
     def from_address(cls, address: tuple[str, int], connect_timeout_s: float) -> EndpointConnection:
-        """Make a connection that is not open yet."""
+        """Create a connection without opening it."""
         host, port = address
         return cls(host, port, timeout=connect_timeout_s, socket_options=KEEPALIVE_OPTIONS)
 
     @property
     def timed_socket(self) -> TimedSocket:
-        """The socket of an open connection."""
+        """Return the socket of an open connection."""
         assert isinstance(self.sock, TimedSocket)
         return self.sock
 
@@ -133,9 +133,9 @@
         self.sock = TimedSocket.take_over(self.sock)
 
     def read_head(self) -> ResponseHead:
-        """Read the head of the answer and take along what http.client has buffered behind it.
+        """Read the head of the answer and the bytes that http.client buffered behind it.
 
-        From here on the socket is read directly: http.client's buffer is empty, and its
+        From here on the socket is read directly: the buffer of http.client is empty, and its
         response object is closed without closing the socket.
         """
         timed_socket = self.timed_socket
@@ -157,10 +157,10 @@
 
 
 def _take_buffered(timed_socket: TimedSocket, response: http.client.HTTPResponse) -> bytes:
-    """Give the bytes that were read behind the head, without waiting for more.
+    """Return the bytes that were buffered behind the head, without waiting for more.
 
-    `peek` gives the whole of a filled buffer. When the buffer is empty it reads once, and the
-    socket does not wait then: where nothing has come, it gives nothing.
+    `peek` returns all of a filled buffer. If the buffer is empty it reads once, without blocking,
+    and returns nothing if nothing is available.
     """
     reader: Any = response.fp
     if reader is None:
@@ -174,7 +174,7 @@
 
 
 class ConnectionPool:
-    """Idle connections by address; the connection used last goes out first."""
+    """Idle connections by address; the most recently used one is reused first."""
 
     def __init__(self, idle_s: float = MAX_IDLE_S) -> None:
         self._idle_s = idle_s
@@ -182,9 +182,10 @@
         self._idle: dict[tuple[str, int], deque[EndpointConnection]] = {}
 
     def acquire(self, address: tuple[str, int], now: float) -> EndpointConnection | None:
-        """Give an idle connection that was used recently, or None.
+        """Return an idle connection that was used recently, or None.
 
-        One with something to read has ended, or holds bytes of no request of ours.
+        A connection that is readable was closed, or holds bytes that belong to no request; it is
+        not reused.
         """
         while (found := self._pop(address, now)) is not None:
             if found.is_connected:
@@ -193,7 +194,7 @@
         return None
 
     def release(self, address: tuple[str, int], connection: EndpointConnection, now: float) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Return a connection to the pool after its last answer was read to the end."""
         connection.idle_since = now
         with self._lock:
             idle = self._idle.setdefault(address, deque())
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -1,4 +1,4 @@
-"""A stream of events from an endpoint: read piece by piece, or handed over to the relay task."""
+"""The event stream of an endpoint: iterated by a worker, then handed over to a copier."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from cloverway.upstream.stream_stats import StreamMeter, StreamStats
 
 RELAY_GRACE_S = 5.0
-"""How long after its deadline the relay task is waited for."""
+"""How long a worker waits for the relay task after the deadline of its stream, in seconds."""
 
 OnFinish = Callable[[bool, StreamStats], None]
-"""Told once whether the stream was read whole, and its figures."""
+"""Called once, with whether the stream was read completely and its statistics."""
 
 
 class Copier(Protocol):
-    """A way to copy the rest of a stream to a caller."""
+    """Copies the rest of a stream to a caller."""
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
-        """Return when the whole was copied; raise RequestError when it was not."""
+        """Copy the stream to its end; raise RequestError if that fails."""
         ...
 
     def close(self) -> None:
-        """End what does the copying; streams in progress are cut."""
+        """Stop copying; streams in progress are aborted."""
         ...
 
 
 class EndpointStream:
-    """The stream of one exchange. It owns the endpoint's socket until it has ended."""
+    """The stream of one exchange, which owns the endpoint's socket until it has ended."""
 
     def __init__(
         self,
@@ -59,21 +59,21 @@
         self._copier = copier
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the whole events as they come; raise RequestError when the stream is cut.
+        """Iterate over complete events as they arrive; raise RequestError on a truncated stream.
 
-        The iterator has no `close`: a generator that reads it by `yield from` and is dropped
-        would otherwise end the stream before it was handed over.
+        The iterator has no `close` on purpose: a generator that delegates to it by `yield from`
+        and is dropped would otherwise end the stream before it is handed over.
         """
         return iter(self._read_or_none, None)
 
     def hand_over(self, caller: socket.socket) -> None:
         """Copy the rest to the caller in chunked framing, without the last chunk.
 
-        A caller that vanished without a sign leaves the kernel to send in vain for a quarter of
-        an hour; the option ends that, so that the engine does not work for nobody.
+        If a caller vanishes without closing its connection, the kernel retransmits for about a
+        quarter of an hour. TCP_USER_TIMEOUT ends that, so that the engine stops decoding for it.
         """
         timeout = caller.gettimeout()
-        with suppress(OSError):  # It has failed already, which the copying will find.
+        with suppress(OSError):  # A socket that has failed is reported by the copier.
             milliseconds = int(CALLER_STALL_TIMEOUT_S * 1000)
             caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
         try:
@@ -83,27 +83,29 @@
             self._end()
 
     def close(self) -> None:
-        """Give the rest up. Harmless when the stream has ended."""
+        """Discard the rest of the stream; does nothing if it has ended."""
         self._end()
 
     def take_buffered(self) -> bytes:
-        """Give the events that came together with the head of the answer, once."""
+        """Return the events that were received with the head of the answer, once."""
         buffered, self._buffered = self._buffered, b""
         piece = self.events.feed(buffered) if buffered else b""
         self.meter.record_tokens(self.events.tokens, time.monotonic())
         return piece
 
     def _read_or_none(self) -> bytes | None:
-        """Give the next events, or None after the end; raise RequestError."""
+        """Return the next events, or None after the end; raise RequestError."""
         try:
             piece = self._read_events()
         except TimeoutError as error:
             self._end()
-            raise RequestError(Kind.TIMED_OUT, "the stream was silent for too long") from error
+            raise RequestError(
+                Kind.TIMED_OUT, "no data from the endpoint within the time limits of the stream"
+            ) from error
         except OSError as error:
             self._end()
             raise EndpointLostError(
-                Kind.TRUNCATED, "the connection failed in the stream"
+                Kind.TRUNCATED, "the connection to the endpoint failed during the stream"
             ) from error
         except RequestError:
             self._end()
@@ -113,12 +115,15 @@
         return piece or None
 
     def _read_events(self) -> bytes:
-        """Give the next events, or nothing after the end."""
+        """Return the next events, or nothing after the end."""
         piece = self.take_buffered()
         while not piece and not self.events.complete:
             data = self.endpoint.recv(READ_BYTES)
             if not data:
-                raise EndpointLostError(Kind.TRUNCATED, "the connection ended within the stream")
+                raise EndpointLostError(
+                    Kind.TRUNCATED,
+                    "the endpoint closed the connection before the end of the stream",
+                )
             piece = self.events.feed(data)
             self.meter.record_tokens(self.events.tokens, time.monotonic())
         return piece
@@ -130,29 +135,31 @@
 
 
 class WorkerCopier:
-    """Copies in the thread that runs the request: the plain way, kept to measure against."""
+    """Copies in the worker thread of the request; kept as the baseline of benchmarks."""
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
-        """Return when the whole was copied; raise RequestError when it was not."""
+        """Copy the stream to its end; raise RequestError if that fails."""
         caller.settimeout(CALLER_STALL_TIMEOUT_S)
         for piece in stream:
             try:
                 caller.sendall(b"%x\r\n%b\r\n" % (len(piece), piece))
             except OSError as error:
-                raise RequestError(Kind.CALLER_LEFT, "the caller left its stream") from error
+                raise RequestError(
+                    Kind.CALLER_LEFT, "the caller disconnected during its stream"
+                ) from error
 
     def close(self) -> None:
-        """Do nothing: there is no task."""
+        """Do nothing, since there is no task to stop."""
 
 
 class RelayCopier:
-    """Hands both sockets to the relay task and sleeps until the stream has ended."""
+    """Hands both sockets to the relay task and blocks until the stream has ended."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
-        """Return when the whole was copied; raise RequestError when it was not."""
+        """Copy the stream to its end; raise RequestError if that fails."""
         piece = stream.take_buffered()
         if stream.events.complete and not piece:
             return
@@ -164,8 +171,10 @@
         try:
             relayed.finished.result(remaining_s + RELAY_GRACE_S)
         except (TimeoutError, CancelledError) as error:
-            raise RequestError(Kind.INTERNAL, "the relay does not answer") from error
+            raise RequestError(
+                Kind.INTERNAL, "the relay task did not finish the stream in time"
+            ) from error
 
     def close(self) -> None:
-        """End the relay task; streams in progress are cut."""
+        """Stop the relay task; streams in progress are aborted."""
         self._relay.stop()
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -1,7 +1,7 @@
-"""Send a request to an endpoint over HTTP and bring the whole of its answer back.
+"""HTTP client for endpoints: send a request and return the complete answer or its stream.
 
-Nothing is repeated here, with one exception: an idempotent request on a re-used connection that
-fails before the first byte of an answer is tried once more on a new connection.
+Nothing is retried here, with one exception: an idempotent request that fails on a pooled
+connection before the first byte of an answer is sent once more on a new connection.
 """
 
 from __future__ import annotations
@@ -58,13 +58,13 @@
     }
 )
 SERVER_HEADERS = frozenset({"content-length", "content-type", "date", "server"})
-"""Headers that the gateway's own server writes."""
+"""Headers that the gateway's own HTTP server writes."""
 
 StreamObserver = Callable[[Request, StreamStats], None]
 
 
 class EndpointCall(NamedTuple):
-    """One request to one endpoint."""
+    """One request to one endpoint; `gap_s` is the longest allowed inter-token gap in seconds."""
 
     address: tuple[str, int]
     request: Request
@@ -75,20 +75,20 @@
 
 
 class _ConnectError(RequestError):
-    """No connection to an endpoint could be opened."""
+    """Connecting to an endpoint failed."""
 
 
 class _StaleConnectionError(CloverwayError):
-    """A re-used connection failed before the first byte of an answer."""
+    """A pooled connection failed before the first byte of an answer."""
 
     def __init__(self, send_started: bool) -> None:
         super().__init__()
         self.send_started = send_started
-        """Whether a byte of the request may have left."""
+        """Whether a byte of the request may have been sent."""
 
 
 class EndpointClient:
-    """Sends requests to endpoints and keeps the connections to them."""
+    """Sends requests to endpoints and pools the connections to them."""
 
     def __init__(
         self, limits: Limits, copier: Copier, observe: StreamObserver | None = None
@@ -102,11 +102,11 @@
 
     @classmethod
     def from_settings(cls, limits: Limits, observe: StreamObserver | None = None) -> EndpointClient:
-        """Make a client; `observe` is told of each stream when it has ended."""
+        """Create a client; `observe` is called with the statistics of each stream that ended."""
         return cls(limits, RelayCopier(Relay.start()), observe)
 
     def close(self) -> None:
-        """End the tasks and close the idle connections; streams in progress are cut."""
+        """Stop the tasks and close the idle connections; streams in progress are aborted."""
         self._copier.close()
         self._canceller.stop()
         self._pool.close()
@@ -121,9 +121,10 @@
         priority: int,
         check: Callable[[], None],
     ) -> Reply:
-        """Send a request and give its whole answer, or its stream; raise RequestError.
+        """Send a request and return its complete answer or its stream; raise RequestError.
 
-        `check` is called just before the first byte is sent and raises when it may not be.
+        `check` is called just before the first byte is sent; it raises if the request must not
+        be sent any more.
         """
         call = EndpointCall(split_url(url), request, idempotent, gap_s, priority, check)
         with (
@@ -138,13 +139,13 @@
                 raise RequestError(Kind.CALLER_LEFT, ran=error.ran) from error
 
     def abort(self, request_id: str) -> None:
-        """End the wait for the answer to an idempotent request, because its caller left.
+        """Abort an idempotent request that waits for its answer, because its caller disconnected.
 
-        Any other request goes on to its end: a repeat may ask for its recorded answer. A stream
-        that has begun is not concerned; it notices by itself that its caller left.
+        A non-idempotent request runs to its end, since a repeat may ask for its recorded answer.
+        A stream that has begun is not affected; its relay detects the disconnect itself.
         """
         if self._pending.abort(request_id):
-            log.info("a request was given up", extra={"request_id": request_id})
+            log.info("request aborted: its caller disconnected", extra={"request_id": request_id})
 
     def _send(self, call: EndpointCall, pending: PendingExchange) -> Reply:
         pooled = self._pool.acquire(call.address, time.monotonic()) if call.idempotent else None
@@ -153,19 +154,25 @@
         try:
             return self._exchange(call, pending, pooled, reused=True)
         except _StaleConnectionError as error:
-            log.info("a re-used connection failed", extra={"request_id": call.request.id})
+            log.info(
+                "pooled connection failed before an answer; retrying on a new one",
+                extra={"request_id": call.request.id},
+            )
             return self._retry(call, pending, error.send_started)
 
     def _retry(self, call: EndpointCall, pending: PendingExchange, send_started: bool) -> Reply:
-        """Try a new connection; where the first try may have run, never say "not run"."""
+        """Retry on a new connection.
+
+        If the first attempt may have run, the error never claims that the request was not run.
+        """
         try:
             return self._exchange(call, pending, self._connect(call), reused=False)
         except RequestError as error:
             if not send_started or error.ran is not Ran.NO:
                 raise
             if isinstance(error, _ConnectError):
-                # A kept connection that was dropped while idle can be opened anew. An endpoint that
-                # ended under the request can't, and each of its ends would go uncounted.
+                # If only the idle connection was dropped, connecting again works. If the endpoint
+                # crashed while it ran the request, connecting fails, and the crash must be counted.
                 raise EndpointLostError(Kind.ENDPOINT_FAILED, error.detail) from error
             kind = Kind.TIMED_OUT if error.kind is Kind.DEADLINE else Kind.ENDPOINT_FAILED
             raise RequestError(kind, error.detail, retry_after=error.retry_after) from error
@@ -177,7 +184,7 @@
     def _connect(self, call: EndpointCall) -> EndpointConnection:
         remaining_s = call.request.deadline - time.monotonic()
         if remaining_s <= 0:
-            raise RequestError(Kind.DEADLINE, "the deadline passed before it was sent")
+            raise RequestError(Kind.DEADLINE, "the deadline passed before the request was sent")
         connect_timeout_s = min(self._limits.connect_timeout_s, remaining_s)
         connection = EndpointConnection.from_address(call.address, connect_timeout_s)
         try:
@@ -185,7 +192,7 @@
         except EXCHANGE_ERRORS as error:
             connection.close()
             raise _ConnectError(
-                Kind.ENDPOINT_REFUSED, "no connection to the endpoint", ran=Ran.NO
+                Kind.ENDPOINT_REFUSED, "connecting to the endpoint failed", ran=Ran.NO
             ) from error
         return connection
 
@@ -197,7 +204,7 @@
         *,
         reused: bool,
     ) -> Reply:
-        """Run one exchange; the connection is pooled or closed unless a stream goes on."""
+        """Run one exchange; unless a stream is returned, pool or close the connection."""
         timed_socket = connection.timed_socket
         try:
             pending.connection = connection
@@ -280,12 +287,17 @@
         while not body.ended:
             data = connection.timed_socket.recv(READ_BYTES)
             if not data:
-                raise EndpointLostError(Kind.TRUNCATED, "the connection ended within the answer")
+                raise EndpointLostError(
+                    Kind.TRUNCATED,
+                    "the endpoint closed the connection before the end of its answer",
+                )
             piece = body.feed(data)
             pieces.append(piece)
             size += len(piece)
             if size > self._limits.answer_bytes:
-                raise RequestError(Kind.ENDPOINT_FAILED, "the endpoint's answer is too large")
+                raise RequestError(
+                    Kind.ENDPOINT_FAILED, "the endpoint's answer exceeds the size limit"
+                )
         return b"".join(pieces)
 
     def _release_or_close(
@@ -316,36 +328,38 @@
 def _read_final_head(connection: EndpointConnection) -> ResponseHead:
     head = connection.read_head()
     if head.status < 200:
-        raise make_malformed_error("an interim answer that was not asked for")
+        raise make_malformed_error("unexpected interim (1xx) response")
     return head
 
 
 def _classify_failure(
     request: Request, timed_socket: TimedSocket, error: Exception
 ) -> RequestError:
-    """Give the error for a failed exchange: what is known of whether the request ran."""
+    """Return the error for a failed exchange, with what is known of whether the request ran."""
     late = time.monotonic() >= request.deadline
     if not timed_socket.send_started:
         if isinstance(error, ValueError | http.client.InvalidURL):
-            return RequestError(Kind.MALFORMED, "the request can't be written as HTTP")
+            return RequestError(Kind.MALFORMED, "the request can't be encoded as HTTP")
         if late:
-            return RequestError(Kind.DEADLINE, "the deadline passed before it was sent")
+            return RequestError(Kind.DEADLINE, "the deadline passed before the request was sent")
         return RequestError(Kind.ENDPOINT_REFUSED, "the request was not sent", ran=Ran.NO)
     if late:
-        return RequestError(Kind.TIMED_OUT, "no whole answer before the deadline")
+        return RequestError(Kind.TIMED_OUT, "no complete answer before the deadline")
     if isinstance(error, TimeoutError):
-        return RequestError(Kind.TIMED_OUT, "the endpoint was silent for too long")
+        return RequestError(Kind.TIMED_OUT, "the endpoint sent nothing within the read timeout")
     return EndpointLostError(Kind.ENDPOINT_FAILED, "the connection to the endpoint failed")
 
 
 def _raise_for_status(head: ResponseHead) -> None:
-    """Raise for an answer that is not the endpoint's own to give to a caller."""
+    """Raise RequestError for an answer that must not be passed to a caller."""
     if head.status in (429, 503) and head.headers.get("Cloverway-Ran", "").lower() == Ran.NO:
         raise RequestError(Kind.ENDPOINT_REFUSED, ran=Ran.NO, retry_after=_parse_retry_after(head))
     if head.status >= 500:
         raise RequestError(Kind.ENDPOINT_FAILED, f"the endpoint answered {head.status}")
     if 300 <= head.status < 400:
-        raise RequestError(Kind.ENDPOINT_FAILED, "the endpoint answered with a redirect")
+        raise RequestError(
+            Kind.ENDPOINT_FAILED, "the endpoint answered with a redirect, which is not followed"
+        )
 
 
 def _parse_retry_after(head: ResponseHead) -> float | None:
@@ -354,16 +368,19 @@
 
 
 def _make_body_parser(head: ResponseHead) -> BodyParser:
-    """Give the parser for a body; one that is ended by its connection can't be known whole."""
+    """Return the parser for a body.
+
+    A body that ends with the connection is refused: it can't be told from a truncated one.
+    """
     if head.length is not None:
         return LengthBody(head.length)
     if head.chunked:
         return ChunkedBody()
-    raise make_malformed_error("its body has no length")
+    raise make_malformed_error("neither Content-Length nor chunked transfer coding")
 
 
 def _filter_headers(head: ResponseHead) -> tuple[tuple[str, str], ...]:
-    """Give the headers that are meant for the caller."""
+    """Return the end-to-end headers, without hop-by-hop headers and those that the server sets."""
     named = {
         name.strip().lower()
         for value in head.headers.get_all("Connection", [])
--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -1,7 +1,7 @@
-"""Parse bodies as their bytes arrive, and know whether they are whole.
+"""Incremental parsers for response bodies, which tell a complete body from a truncated one.
 
-The end of a body is found from its frames, never from its last bytes: a connection that ends is
-no proof that the answer did.
+The end of a body is taken from its framing, never from the end of the connection: a connection
+that closes is no proof that the answer was complete.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from cloverway.errors import Kind, RequestError
 
 MAX_LINE_BYTES = 4096
-"""Longest chunk-size or trailer line, in bytes."""
+"""Maximum length of a chunk-size or trailer line, in bytes."""
 MAX_TRAILER_BYTES = 16 * 1024
 MAX_EVENT_BYTES = 1024 * 1024
-"""Longest server-sent event, in bytes; a longer one is never complete."""
+"""Maximum length of a server-sent event, in bytes; a longer one is malformed."""
 DONE = b"[DONE]"
 
 CRLF = b"\r\n"
@@ -26,25 +26,25 @@
 
 
 def make_malformed_error(detail: str) -> RequestError:
-    """Give the error for an answer that breaks its own framing."""
+    """Return the error for an answer with invalid framing."""
     return RequestError(Kind.ENDPOINT_FAILED, f"the endpoint's answer is malformed: {detail}")
 
 
 class BodyParser(Protocol):
-    """Turns the bytes of a connection into the bytes of one body."""
+    """Decodes the bytes of a connection into the bytes of one body."""
 
     ended: bool
-    """Whether the body's own end was seen."""
+    """Whether the end of the body was parsed."""
     excess: bytes
-    """Bytes after the end, which belong to no answer that was asked for."""
+    """Bytes received after the end of the body, which belong to no requested answer."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body; raise RequestError."""
+        """Parse received bytes and return the body bytes that they contain; raise RequestError."""
         ...
 
 
 class LengthBody:
-    """A body of a length known from Content-Length."""
+    """A body whose length is given by Content-Length."""
 
     def __init__(self, length: int) -> None:
         self._remaining = length
@@ -52,7 +52,7 @@
         self.excess = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body."""
+        """Parse received bytes and return the body bytes that they contain."""
         body = data[: self._remaining]
         self._remaining -= len(body)
         self.ended = self._remaining == 0
@@ -68,12 +68,12 @@
         self.excess = b""
         self._buffer = b""
         self._remaining = 0
-        """Bytes of the present chunk to come, with the line end after it; 0 between chunks."""
+        """Remaining bytes of the current chunk, with its final CRLF; 0 between chunks."""
         self._trailer = -1
-        """Bytes of trailer seen, or -1 before the last chunk."""
+        """Bytes of the trailer parsed, or -1 before the last chunk."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body; raise RequestError."""
+        """Parse received bytes and return the body bytes that they contain; raise RequestError."""
         if not self._buffer and not self._remaining:
             payload = self._take_single_chunk(data)
             if payload is not None:
@@ -91,7 +91,7 @@
         return b"".join(pieces)
 
     def _take_single_chunk(self, data: bytes) -> bytes | None:
-        """Give the payload when the bytes are exactly one chunk, which is the common case."""
+        """Return the payload if the bytes are exactly one chunk (fast path), or None."""
         if self.ended or self._trailer >= 0:
             return None
         line = _SIZE_LINE.match(data)
@@ -104,7 +104,7 @@
         return data[start:-2]
 
     def _step(self) -> bytes | None:
-        """Advance by one element; None when more bytes are needed."""
+        """Parse one element and return its body bytes, or None if more bytes are needed."""
         if self._trailer >= 0:
             return self._read_trailer()
         if self._remaining:
@@ -119,7 +119,7 @@
         self._check_line(end)
         line = _SIZE_LINE.fullmatch(self._buffer[: end + 2])
         if line is None:
-            raise make_malformed_error("a chunk has no size")
+            raise make_malformed_error("invalid chunk size")
         self._buffer = self._buffer[end + 2 :]
         size = int(line[1], 16)
         if size:
@@ -139,7 +139,7 @@
         if len(self._buffer) < 2:
             return None
         if not self._buffer.startswith(CRLF):
-            raise make_malformed_error("a chunk is longer than its size")
+            raise make_malformed_error("chunk data exceeds the chunk size")
         self._remaining = 0
         self._buffer = self._buffer[2:]
         return b""
@@ -152,38 +152,38 @@
         self._check_line(end)
         self._trailer += end + 2
         if self._trailer > MAX_TRAILER_BYTES:
-            raise make_malformed_error("its trailer is too long")
+            raise make_malformed_error("trailer too long")
         self._buffer = self._buffer[end + 2 :]
         self.ended = end == 0
         return b""
 
     def _check_line(self, length: int) -> None:
         if length > MAX_LINE_BYTES:
-            raise make_malformed_error("a line of its framing is too long")
+            raise make_malformed_error("chunk-size or trailer line too long")
 
 
 class EventStream:
     """Server-sent events in a framed body, forwarded event by event.
 
-    The `[DONE]` event is held back until the body's own end was seen, so that a stream which was
-    cut between the two does not look whole to a caller that watches for either.
+    The `[DONE]` event is held back until the end of the body was parsed, so that a stream which is
+    truncated between the two does not look complete to a caller that checks only one of them.
     """
 
     def __init__(self, body: BodyParser) -> None:
         self.body = body
         self.tokens = 0
-        """Data events that were seen, without `[DONE]`."""
+        """Number of data events parsed, without `[DONE]`."""
         self._pending = b""
         self._done = b""
         self._end_forwarded = False
 
     @property
     def complete(self) -> bool:
-        """Whether both `[DONE]` and the end of the body were seen."""
+        """Return whether both `[DONE]` and the end of the body were parsed."""
         return bool(self._done) and self.body.ended
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give the whole events to forward; raise RequestError."""
+        """Parse received bytes and return the complete events to forward; raise RequestError."""
         payload = self.body.feed(data)
         if self._is_single_event(payload):
             self.tokens += 1
@@ -197,7 +197,7 @@
         return events
 
     def _is_single_event(self, payload: bytes) -> bool:
-        """Whether it is exactly one data event in the midst of the stream, the common case."""
+        """Return whether the payload is exactly one data event before the end (fast path)."""
         return (
             payload.startswith(b"data:")
             and payload.find(BLANK_LINE) == len(payload) - len(BLANK_LINE)
@@ -209,7 +209,7 @@
         )
 
     def _split(self, payload: bytes) -> bytes:
-        """Give the whole events in front and keep the rest."""
+        """Return the complete events and buffer the rest."""
         if self._done:
             self._require_blank(payload)
             return b""
@@ -228,20 +228,20 @@
             end = end_match.end()
         self._pending = payload[end:]
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise make_malformed_error("an event is too long")
+            raise make_malformed_error("server-sent event too long")
         return payload[:end]
 
     def _require_blank(self, payload: bytes) -> None:
-        """Raise when anything but blank lines follows the last event."""
+        """Raise RequestError if anything but blank lines follows `[DONE]`."""
         if payload.strip():
-            raise make_malformed_error("an event follows its last one")
+            raise make_malformed_error("an event follows [DONE]")
 
     def _check_end(self) -> None:
         if not self._done:
-            raise RequestError(Kind.TRUNCATED, "the stream ended before its last event")
+            raise RequestError(Kind.TRUNCATED, "the stream ended before its [DONE] event")
 
 
 def _read_data(event: bytes) -> bytes:
-    """Give the data of an event: its data lines, joined."""
+    """Return the data of an event: its data lines, joined."""
     lines = [line[5:] for line in event.splitlines() if line.startswith(b"data:")]
     return b"\n".join(line.removeprefix(b" ") for line in lines)
--- a/cloverway/upstream/pending.py
+++ b/cloverway/upstream/pending.py
@@ -1,4 +1,4 @@
-"""Exchanges that wait for an answer, so that they can be given up when their caller leaves."""
+"""Registry of exchanges that wait for an answer, so that a caller's disconnect aborts them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PendingExchange:
-    """One request whose answer is waited for, and the connection it is waited on."""
+    """One request that waits for its answer, and its connection to the endpoint."""
 
     def __init__(self) -> None:
         self.connection: EndpointConnection | None = None
@@ -19,7 +19,7 @@
 
 
 class PendingExchanges:
-    """The requests that wait, by their ids."""
+    """Pending exchanges by request id."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -27,7 +27,7 @@
 
     @contextmanager
     def track(self, request_id: str) -> Iterator[PendingExchange]:
-        """Let a request be given up for the time of the block."""
+        """Register a request, which can be aborted until the block ends."""
         pending = PendingExchange()
         with self._lock:
             self._by_id[request_id] = pending
@@ -40,17 +40,17 @@
                     del self._by_id[request_id]
 
     def detach_connection(self, pending: PendingExchange) -> None:
-        """Let go of a connection before it is pooled.
+        """Detach the connection before it is pooled.
 
-        The next request may use it at once, and giving up this one must not hit that one.
+        The next request may use it at once, and aborting this request must not abort that one.
         """
         with self._lock:
             pending.connection = None
 
     def abort(self, request_id: str) -> bool:
-        """End the wait of a request; tell whether it waited.
+        """Abort a pending request; return whether it was pending.
 
-        Its thread sleeps in a read. Shutting the socket down wakes it, and the mark tells it why.
+        Its thread blocks in a read. Shutting down the socket wakes it, and `aborted` tells it why.
         """
         with self._lock:
             pending = self._by_id.get(request_id)
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -1,7 +1,7 @@
-"""The relay task: one loop that copies every stream from its endpoint to its caller.
+"""The relay task: one event loop that copies every stream from its endpoint to its caller.
 
-A worker hands both sockets over and sleeps until it is told how the stream ended. Meanwhile the
-loop alone reads and writes them; a thread that woke for each token would cost several times more.
+A worker hands over both sockets and blocks until the stream has ended. Meanwhile only the loop
+reads and writes them; waking a thread for each token would cost several times more.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 READ_BYTES = 16 * 1024
 SWEEP_INTERVAL_S = 0.1
-"""How often silent streams are looked for; limits are kept to about this much."""
+"""Interval between checks of the stream limits, in seconds, and so their precision."""
 CALLER_STALL_TIMEOUT_S = 30.0
-"""How long a caller may take no byte of its stream, in seconds."""
+"""Longest time in which a caller accepts no byte of its stream, in seconds."""
 
 EventHandler = Callable[[int, float], None]
 
 _receive = socket.socket.recv
-"""Receiving without the time bounds of a TimedSocket: the loop keeps them itself."""
+"""Receives without the timeouts of a TimedSocket, since the loop enforces the limits itself."""
 
 
 class StreamLimits(NamedTuple):
-    """How long a stream may last and be silent."""
+    """Deadline of a stream, and the longest inter-token gap in seconds."""
 
     deadline: float
     """Monotonic time."""
@@ -45,10 +45,10 @@
 
 
 class RelayedStream:
-    """One stream that was handed over: its sockets, its parser and what the caller owes to take.
+    """One stream that was handed over: its sockets, its parser and the bytes not sent yet.
 
-    The endpoint is read only while nothing waits for the caller, so a caller that is slow slows
-    the endpoint down, and what is held here is bounded by one read and one event.
+    The endpoint is read only while no bytes wait for the caller. A slow caller therefore puts
+    back-pressure on the endpoint, and the buffer is bounded by one read and one event.
     """
 
     def __init__(
@@ -71,32 +71,34 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether bytes wait for the caller."""
+        """Return whether bytes wait to be sent to the caller."""
         return bool(self._unsent)
 
     @property
     def complete(self) -> bool:
-        """Whether the caller was given the whole stream."""
+        """Return whether the complete stream was sent to the caller."""
         return self._events.complete and not self._unsent
 
     def begin(self, piece: bytes, now: float) -> None:
-        """Start with a piece that was read before the sockets were handed over."""
+        """Start with the bytes that were read before the sockets were handed over."""
         self._last_read_at = self._last_write_at = now
         if piece:
             self._forward(piece, now)
 
     def read(self, now: float) -> None:
-        """Read what the endpoint sent and give it to the caller; raise RequestError."""
+        """Read from the endpoint and forward to the caller; raise RequestError."""
         try:
             data = _receive(self.endpoint, READ_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
             raise EndpointLostError(
-                Kind.TRUNCATED, "the connection failed in the stream"
+                Kind.TRUNCATED, "the connection to the endpoint failed during the stream"
             ) from error
         if not data:
-            raise EndpointLostError(Kind.TRUNCATED, "the connection ended within the stream")
+            raise EndpointLostError(
+                Kind.TRUNCATED, "the endpoint closed the connection before the end of the stream"
+            )
         self._last_read_at = now
         events = self._events
         piece = events.feed(data)
@@ -105,30 +107,37 @@
             self._forward(piece, now)
 
     def write(self, now: float) -> None:
-        """Give the caller what it takes of the bytes that wait; raise RequestError."""
+        """Send as many of the waiting bytes as the caller accepts; raise RequestError."""
         try:
             count = self.caller.send(self._unsent)
         except BlockingIOError:
             return
         except OSError as error:
-            raise RequestError(Kind.CALLER_LEFT, "the caller left within its stream") from error
+            raise RequestError(
+                Kind.CALLER_LEFT, "the caller disconnected during its stream"
+            ) from error
         self._last_write_at = now
         self._unsent = self._unsent[count:]
         if not self._unsent:
             self._last_read_at = now
 
     def check(self, now: float) -> None:
-        """Raise RequestError when a limit is passed.
+        """Raise RequestError if a limit is exceeded.
 
-        While the caller is waited for, the endpoint is not read and its silence is not counted.
+        While bytes wait for the caller, the endpoint is not read and its gap is not measured.
         """
         if now >= self._limits.deadline:
             raise RequestError(Kind.TIMED_OUT, "the stream did not end before its deadline")
         if self._unsent:
             if now - self._last_write_at >= CALLER_STALL_TIMEOUT_S:
-                raise RequestError(Kind.CALLER_LEFT, "the caller takes no more of its stream")
+                raise RequestError(
+                    Kind.CALLER_LEFT,
+                    "the caller accepted no byte of its stream within the stall timeout",
+                )
         elif now - self._last_read_at >= self._limits.max_gap_s:
-            raise RequestError(Kind.TIMED_OUT, "the stream was silent for too long")
+            raise RequestError(
+                Kind.TIMED_OUT, "the endpoint sent nothing within the inter-token timeout"
+            )
 
     def _forward(self, piece: bytes, now: float) -> None:
         self._unsent = b"%x\r\n%b\r\n" % (len(piece), piece)
@@ -137,7 +146,7 @@
 
 
 class Relay:
-    """A task that owns the sockets of all streams that were handed over to it."""
+    """Event loop that owns the sockets of all streams that were handed over to it."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -154,31 +163,31 @@
 
     @classmethod
     def start(cls) -> Relay:
-        """Make a relay and start its thread."""
+        """Create a relay and start its thread."""
         relay = cls()
         relay._register(relay._wake_receiver, select.EPOLLIN, relay._drain_wakeups)
         relay._thread.start()
         return relay
 
     def stop(self, timeout_s: float = 5.0) -> None:
-        """End the thread; streams that are still copied are cut."""
+        """Stop the thread; streams in progress are aborted."""
         self._stopping = True
         self._wake()
         self._thread.join(timeout_s)
 
     def add(self, stream: RelayedStream, piece: bytes) -> None:
-        """Take over the sockets of a stream, and a piece of it to begin with.
+        """Take over the sockets of a stream, and the bytes of it that were read already.
 
-        They belong to the loop until `link.ended` is done.
+        The sockets belong to the loop until `stream.finished` is done.
         """
         if self._stopping:
-            stream.finished.set_exception(RequestError(Kind.TRUNCATED, "the host stopped"))
+            stream.finished.set_exception(RequestError(Kind.TRUNCATED, "the host is shutting down"))
             return
         self._inbox.append((stream, piece))
         self._wake()
 
     def _wake(self) -> None:
-        with suppress(BlockingIOError):  # It is full of wake-ups already.
+        with suppress(BlockingIOError):  # The buffer is full, so the loop wakes up anyway.
             self._wake_sender.send(b"\0")
 
     def _drain_wakeups(self, mask: int, now: float) -> None:
@@ -186,18 +195,19 @@
             self._wake_receiver.recv(4096)
 
     def step(self) -> None:
-        """Wait for sockets that are ready, serve them, and look for streams over their limits.
+        """Wait for ready sockets, serve them, and check the limits of all streams.
 
-        Limits are checked by the time before the wait: a process that slept within it finds what
-        arrived meanwhile before it calls a stream silent. Each stream is served by a time of its
-        own: with one for a batch that took long, all of it would look silent for as long.
+        The limits are checked against the time before the wait. If the process was suspended
+        during the wait, it reads what arrived meanwhile before it treats a stream as stalled.
+        Each socket is served with its own time stamp: with a single one for a batch that takes
+        long, every stream of the batch would look stalled for that long.
         """
         before = self._clock()
         for descriptor, mask in self._poll.poll(SWEEP_INTERVAL_S):
             handler = self._handlers.get(descriptor)
             if handler is not None:
                 handler(mask, self._clock())
-        # Only after the batch, for a new stream may have a descriptor that is named in it.
+        # Only after the batch: a new stream may reuse a descriptor that has an event in it.
         self._add_new()
         if before - self._last_sweep_at >= SWEEP_INTERVAL_S:
             self._last_sweep_at = before
@@ -208,7 +218,7 @@
             self.step()
         self._add_new()
         for stream in list(self._streams):
-            self._end(stream, RequestError(Kind.TRUNCATED, "the host stopped"))
+            self._end(stream, RequestError(Kind.TRUNCATED, "the host is shutting down"))
         self._poll.close()
 
     def _add_new(self) -> None:
@@ -240,7 +250,9 @@
         def handle(mask: int, now: float) -> None:
             try:
                 if mask & ~select.EPOLLOUT:
-                    raise RequestError(Kind.CALLER_LEFT, "the caller left within its stream")
+                    raise RequestError(
+                        Kind.CALLER_LEFT, "the caller disconnected during its stream"
+                    )
                 stream.write(now)
                 self._update_interest(stream, True)
             except Exception as error:
@@ -249,11 +261,11 @@
         return handle
 
     def _update_interest(self, stream: RelayedStream, was_blocked: bool) -> None:
-        """Watch the side that the stream waits for now."""
+        """Register for events of the side that the stream waits for."""
         if stream.complete:
             self._end(stream, None)
         elif stream.has_unsent and not was_blocked:
-            # Not a mask of zero: a reset is reported whatever the mask, over and over.
+            # A mask of zero would not do: epoll reports a reset whatever the mask, repeatedly.
             self._unregister(stream.endpoint)
             self._poll.modify(stream.caller, select.EPOLLOUT | select.EPOLLRDHUP)
         elif was_blocked and not stream.has_unsent:
@@ -271,7 +283,7 @@
             self._end(stream, error)
 
     def _end(self, stream: RelayedStream, error: Exception | None) -> None:
-        """Give the sockets back to the worker and tell it how the stream ended."""
+        """Return the sockets to the worker, with the outcome of the stream."""
         if stream not in self._streams:
             return
         self._streams.discard(stream)
@@ -281,7 +293,7 @@
             stream.finished.set_result(None)
             return
         if not isinstance(error, RequestError):
-            log.error("a stream could not be copied", exc_info=error)
+            log.error("unexpected error while copying a stream", exc_info=error)
         stream.finished.set_exception(error)
 
     def _register(self, sock: socket.socket, mask: int, handler: EventHandler) -> None:
--- a/cloverway/upstream/stream_stats.py
+++ b/cloverway/upstream/stream_stats.py
@@ -1,4 +1,4 @@
-"""Figures of one stream, counted where its bytes pass and delivered once, when it has ended."""
+"""Token counts and inter-token gaps of a stream, reported once when it has ended."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from typing import NamedTuple
 
 GAP_BOUNDS_S = (0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds of the buckets in which gaps between tokens are counted, in seconds."""
+"""Upper bounds of the buckets for inter-token gaps, in seconds."""
 
 
 class StreamStats(NamedTuple):
-    """What is known of a stream when it has ended. Times are monotonic seconds."""
+    """Statistics of a stream that has ended. Times are monotonic seconds."""
 
     tokens: int
     first_token_at: float | None
     ended_at: float
     gaps: tuple[int, ...]
-    """Gaps by the buckets of GAP_BOUNDS_S, and in the end those above them all."""
+    """Number of gaps per bucket of GAP_BOUNDS_S; the last entry counts all longer gaps."""
     gap_sum_s: float
 
 
 class StreamMeter:
-    """Counts the tokens of one stream and the gaps between them."""
+    """Counts the tokens of one stream and measures the gaps between them."""
 
     def __init__(self) -> None:
         self._tokens = 0
@@ -30,7 +30,7 @@
         self._gaps = [0] * (len(GAP_BOUNDS_S) + 1)
 
     def record_tokens(self, tokens: int, now: float) -> None:
-        """Note how many tokens there are by now; those that came together have one gap."""
+        """Record the token count so far; tokens that arrived together count as one gap."""
         if tokens == self._tokens:
             return
         self._tokens = tokens
@@ -41,7 +41,7 @@
         self._last_token_at = now
 
     def get_stats(self, now: float) -> StreamStats:
-        """Give the figures of the stream, which ended now."""
+        """Return the statistics of the stream, which ends at `now`."""
         first_token_at = self._first_token_at
         spread = self._last_token_at - first_token_at if first_token_at is not None else 0.0
         return StreamStats(self._tokens, first_token_at, now, tuple(self._gaps), spread)
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -1,4 +1,4 @@
-"""Wrappers around the stream of an answer that tell, once, how it ended."""
+"""Wrappers around the stream of an answer that report its outcome once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ObservedStream:
-    """Tell how a stream ended: whole, cut, or given up by the caller."""
+    """Reports how a stream ended: complete, truncated, or abandoned by the caller."""
 
     def __init__(self, stream: Stream, on_end: Callable[[RequestError | None], None]) -> None:
         self._stream = stream
@@ -18,7 +18,7 @@
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise RequestError when it is cut."""
+        """Iterate over the body; raise RequestError if it is truncated."""
         try:
             yield from self._stream
         except RequestError as error:
@@ -27,7 +27,7 @@
         self._end(None)
 
     def hand_over(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket; raise RequestError when it is cut."""
+        """Copy the rest to the caller's socket; raise RequestError if it is truncated."""
         try:
             self._stream.hand_over(caller)
         except RequestError as error:
@@ -36,7 +36,7 @@
         self._end(None)
 
     def close(self) -> None:
-        """Give the answer up."""
+        """Abandon the answer."""
         self._stream.close()
         self._end(RequestError(Kind.CALLER_LEFT))
 
@@ -47,10 +47,10 @@
 
 
 class RecordedStream:
-    """Keep a copy of a stream up to a bound, and read it to its end though the caller left.
+    """Records a stream up to a size limit, and reads it to its end even if the caller disconnects.
 
-    A repeat with the same idempotency key gets the copy. Were the run cancelled when the caller
-    leaves, an allocation could stop half done and its repeat would learn nothing.
+    A repeat with the same idempotency key gets the recording. If a disconnect cancelled the run,
+    a non-idempotent operation could stop halfway, and its repeat could not learn the outcome.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
         self._pieces = self._read()
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise RequestError when it is cut."""
+        """Iterate over the body; raise RequestError if it is truncated."""
         return self._pieces
 
     def hand_over(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket; reads on to the end when the caller has left."""
+        """Copy the rest to the caller's socket; read it to the end even if the caller leaves."""
         caller_left = False
         for piece in self._pieces:
             caller_left = caller_left or not _send_chunk(caller, piece)
@@ -79,7 +79,7 @@
             raise RequestError(Kind.CALLER_LEFT)
 
     def close(self) -> None:
-        """Read the rest, so that the record is whole."""
+        """Read the rest, so that the recording is complete."""
         try:
             for _ in self._pieces:
                 pass
@@ -105,7 +105,7 @@
 
 
 def _send_chunk(caller: socket.socket, piece: bytes) -> bool:
-    """Send one chunk; tell whether the caller is still there."""
+    """Send one chunk; return whether the caller is still connected."""
     try:
         caller.sendall(b"%X\r\n%s\r\n" % (len(piece), piece))
     except OSError:
