--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -37,7 +37,7 @@
 from cloverway.peers.peer_server import PeerServer
 from cloverway.peers.peering import PeerBounds
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.meters import GAP_BOUNDS_S
+from cloverway.upstream.stream_stats import GAP_BOUNDS_S
 
 log = logging.getLogger(__name__)
 
@@ -184,8 +184,8 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_refusal=reporter.note_refusal,
-            on_left=self._give_up,
+            on_rejection=reporter.note_refusal,
+            on_disconnect=self._give_up,
         )
         operations = Operations(
             list_hosts=self.callers.list_hosts,
@@ -200,7 +200,7 @@
     def _give_up(self, request_id: str) -> None:
         """End what is left to do for a caller that left before its answer began."""
         self.dispatcher.cancel(request_id)
-        self.endpoints.give_up(request_id)
+        self.endpoints.abort(request_id)
 
     def _explain(self, team: str, profile: str) -> Any:
         return self.dispatcher.explain(team, profile, time.monotonic())
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -1,4 +1,4 @@
-"""Wrappers around the stream of an answer that tell, once, how it ended."""
+"""Wrappers around the stream of an answer that report its outcome once."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from cloverway.exchange import Stream
 
 
-class WatchedStream:
-    """Tell how a stream ended: whole, cut, or given up by the caller."""
+class ObservedStream:
+    """Reports how a stream ended: complete, truncated, or abandoned by the caller."""
 
     def __init__(self, stream: Stream, on_end: Callable[[RequestError | None], None]) -> None:
         self._stream = stream
@@ -18,7 +18,7 @@
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise RequestError when it is cut."""
+        """Iterate over the body; raise RequestError if it is truncated."""
         try:
             yield from self._stream
         except RequestError as error:
@@ -27,7 +27,7 @@
         self._end(None)
 
     def hand_over(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket; raise RequestError when it is cut."""
+        """Copy the rest to the caller's socket; raise RequestError if it is truncated."""
         try:
             self._stream.hand_over(caller)
         except RequestError as error:
@@ -36,7 +36,7 @@
         self._end(None)
 
     def close(self) -> None:
-        """Give the answer up."""
+        """Abandon the answer."""
         self._stream.close()
         self._end(RequestError(Kind.CALLER_LEFT))
 
@@ -47,10 +47,10 @@
 
 
 class RecordedStream:
-    """Keep a copy of a stream up to a bound, and read it to its end though the caller left.
+    """Records a stream up to a size limit, and reads it to its end even if the caller disconnects.
 
-    A repeat with the same idempotency key gets the copy. Were the run cancelled when the caller
-    leaves, an allocation could stop half done and its repeat would learn nothing.
+    A repeat with the same idempotency key gets the recording. If a disconnect cancelled the run,
+    a non-idempotent operation could stop halfway, and its repeat could not learn the outcome.
     """
 
     def __init__(
@@ -62,24 +62,24 @@
         self._stream = stream
         self._limit = limit
         self._on_end = on_end
-        self._kept: list[bytes] | None = []
+        self._recorded: list[bytes] | None = []
         self._size = 0
         self._pieces = self._read()
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise RequestError when it is cut."""
+        """Iterate over the body; raise RequestError if it is truncated."""
         return self._pieces
 
     def hand_over(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket; reads on to the end when the caller has left."""
-        left = False
+        """Copy the rest to the caller's socket; read it to the end even if the caller leaves."""
+        caller_left = False
         for piece in self._pieces:
-            left = left or not _send_chunk(caller, piece)
-        if left:
+            caller_left = caller_left or not _send_chunk(caller, piece)
+        if caller_left:
             raise RequestError(Kind.CALLER_LEFT)
 
     def close(self) -> None:
-        """Read the rest, so that the record is whole."""
+        """Read the rest, so that the recording is complete."""
         try:
             for _ in self._pieces:
                 pass
@@ -89,23 +89,23 @@
     def _read(self) -> Iterator[bytes]:
         try:
             for piece in self._stream:
-                self._keep(piece)
+                self._record(piece)
                 yield piece
         except RequestError as error:
             self._on_end(error, None)
             raise
-        self._on_end(None, b"".join(self._kept) if self._kept is not None else None)
+        self._on_end(None, b"".join(self._recorded) if self._recorded is not None else None)
 
-    def _keep(self, piece: bytes) -> None:
+    def _record(self, piece: bytes) -> None:
         self._size += len(piece)
         if self._size > self._limit:
-            self._kept = None
-        if self._kept is not None:
-            self._kept.append(piece)
+            self._recorded = None
+        if self._recorded is not None:
+            self._recorded.append(piece)
 
 
 def _send_chunk(caller: socket.socket, piece: bytes) -> bool:
-    """Send one chunk; tell whether the caller is still there."""
+    """Send one chunk; return whether the caller is still connected."""
     try:
         caller.sendall(b"%X\r\n%s\r\n" % (len(piece), piece))
     except OSError:
