--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -23,11 +23,11 @@
 from cloverway.config.updates import FetchChanges, Offer, Updates
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.errors import CloverwayError, PeerError
+from cloverway.membership.datagram_auth import Seal
 from cloverway.membership.datagrams import Datagrams
 from cloverway.membership.gossip import Gossip, Own, Received
 from cloverway.membership.heartbeats import parse_incarnation
 from cloverway.membership.reports import EndpointReader, Rounds, Workers
-from cloverway.membership.seal import Seal
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
--- a/cloverway/membership/datagrams.py
+++ b/cloverway/membership/datagrams.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Iterator
 
 from cloverway.addresses import format_address, split_address
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES
 from cloverway.membership.gossip import Outgoing
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -15,7 +15,8 @@
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import Crash, CrashUpdate
 from cloverway.dispatch.ends import CrashTracker
-from cloverway.membership.cutting import BLANK, halve
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, Seal
+from cloverway.membership.endpoint_table import Readings
 from cloverway.membership.heartbeats import (
     DomainSummary,
     EndRow,
@@ -26,8 +27,7 @@
     tag_of,
 )
 from cloverway.membership.membership import Membership, Merged
-from cloverway.membership.readings import Readings
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, Seal
+from cloverway.membership.splitting import BLANK, halve
 from cloverway.membership.summaries import SPEAKERS, Summaries, summarise
 from cloverway.membership.view import EndpointState, HostState, Summary
 
--- a/cloverway/membership/reports.py
+++ b/cloverway/membership/reports.py
@@ -20,7 +20,7 @@
 from cloverway.addresses import split_url
 from cloverway.config.schema import Endpoint, EndpointKind
 from cloverway.errors import PeerError
-from cloverway.membership.readings import Report
+from cloverway.membership.endpoint_table import Report
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -35,7 +35,7 @@
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peering import PeerBounds
-from cloverway.tests.peers import SECRET, Handler, make_request, start_server
+from cloverway.tests.peer_fakes import SECRET, Handler, make_request, start_server
 
 CLAIMS = 2_000
 WARM_UP = 200
--- a/cloverway/tests/gossip_simulation.py
+++ b/cloverway/tests/gossip_simulation.py
@@ -11,11 +11,11 @@
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import QuarantineTerms
 from cloverway.dispatch.ends import CrashTracker
+from cloverway.membership.datagram_auth import Seal
+from cloverway.membership.endpoint_table import Report
 from cloverway.membership.gossip import Gossip, Own
 from cloverway.membership.heartbeats import parse_incarnation
-from cloverway.membership.readings import Report
 from cloverway.membership.reports import Rounds
-from cloverway.membership.seal import Seal
 
 SEAL = Seal.from_secret(b"a secret of the tests that all hosts share")
 LATENCY_S = 0.001
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -9,8 +9,8 @@
 from cloverway.core.quarantine import SERVED_IMMUNITY_S, Crash, CrashUpdate
 from cloverway.dispatch.ends import REBROADCAST_S, CrashTracker
 from cloverway.errors import Kind
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES
 from cloverway.membership.gossip import FULL_EVERY
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES
 from cloverway.tests.builders import make_request, make_settings
 from cloverway.tests.gossip_simulation import GossipSimulation, Shape
 
--- a/cloverway/tests/test_heartbeats.py
+++ b/cloverway/tests/test_heartbeats.py
@@ -8,6 +8,7 @@
 
 from cloverway.errors import PeerError
 from cloverway.membership import heartbeats
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, Seal
 from cloverway.membership.heartbeats import (
     Detail,
     DomainSummary,
@@ -19,7 +20,6 @@
     decode,
     encode,
 )
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, Seal
 
 NAMES = st.from_regex(r"[a-z0-9][a-z0-9.-]{0,20}", fullmatch=True)
 I32 = st.integers(-(2**31), 2**31 - 1)
--- a/cloverway/tests/test_membership.py
+++ b/cloverway/tests/test_membership.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES
+from cloverway.membership.endpoint_table import LIST_LAG_S, Readings, Report
 from cloverway.membership.gossip import Own
 from cloverway.membership.heartbeats import Heartbeat, tag_of
 from cloverway.membership.membership import Membership, Merged
-from cloverway.membership.readings import LIST_LAG_S, Readings, Report
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES
 from cloverway.tests.gossip_simulation import SEAL, GossipSimulation, Shape
 
 SUSPECT_S = 2.0
--- a/cloverway/tests/test_membership_machines.py
+++ b/cloverway/tests/test_membership_stateful.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from cloverway.membership.endpoint_table import LIST_LAG_S, Readings, Report
 from cloverway.membership.heartbeats import Heartbeat
 from cloverway.membership.membership import RETIRED_S, Membership, Merged
-from cloverway.membership.readings import LIST_LAG_S, Readings, Report
 
 NAMES = ("h1", "h2", "h3")
 
--- a/cloverway/tests/test_passed_on.py
+++ b/cloverway/tests/test_passed_on.py
@@ -8,7 +8,7 @@
 from cloverway.messages import Refused
 from cloverway.peers.passed_on import PassedOnRun, as_cut
 from cloverway.peers.peer_server import PeerServer, _Connection
-from cloverway.tests.peers import (
+from cloverway.tests.peer_fakes import (
     BOUNDS,
     CLAIM,
     PEER,
--- a/cloverway/tests/test_peer_answers.py
+++ b/cloverway/tests/test_peer_answers.py
@@ -12,7 +12,7 @@
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind
 from cloverway.peers.peer_client import PeerClient
-from cloverway.tests.peers import (
+from cloverway.tests.peer_fakes import (
     BOUNDS,
     ME,
     PATIENCE_S,
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -13,7 +13,7 @@
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind, Identity
 from cloverway.peers.peer_client import PeerClient
-from cloverway.tests.peers import (
+from cloverway.tests.peer_fakes import (
     BOUNDS,
     CLAIM,
     ME,
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -15,7 +15,7 @@
 from cloverway.once.keys import Bounds, Ledger
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
-from cloverway.tests.peers import (
+from cloverway.tests.peer_fakes import (
     BOUNDS,
     PATIENCE_S,
     SECRET,
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -10,7 +10,7 @@
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import split_pages
 from cloverway.peers.peering import Changes
-from cloverway.tests.peers import (
+from cloverway.tests.peer_fakes import (
     BOUNDS,
     CLAIM,
     ME,
