--- a/cloverway/config/updates.py
+++ b/cloverway/config/updates.py
@@ -21,7 +21,7 @@
 from cloverway.config.published import Published
 from cloverway.config.settings import Settings
 from cloverway.errors import CloverwayError
-from cloverway.membership.reports import Workers
+from cloverway.membership.reports import WorkerThreads
 from cloverway.sources.port import Changes, Platform
 
 log = logging.getLogger(__name__)
@@ -61,8 +61,8 @@
         self._fetch_changes = fetch_changes
         self._clock = clock
         self._gate = StartGate(clock())
-        self._platform_workers = Workers("platform", 1)
-        self._fetch_workers = Workers("fetch", 1)
+        self._platform_workers = WorkerThreads("platform", 1)
+        self._fetch_workers = WorkerThreads("fetch", 1)
         self._fetching = False
         self._fetch_after = 0.0
         self._fault = ""
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -32,10 +32,10 @@
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
 from cloverway.peers.channel import Identity
-from cloverway.peers.handlers import PeerRequests, make_fetch
+from cloverway.peers.handlers import PeerRequestHandler, make_fetch_changes
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import PeerServer
-from cloverway.peers.peering import PeerBounds
+from cloverway.peers.peering import PeerLimits
 from cloverway.upstream.endpoints import EndpointClient
 from cloverway.upstream.meters import GAP_BOUNDS_S
 
@@ -143,7 +143,7 @@
 
     def _make_tasks(self, secret: bytes) -> None:
         settings, holder = self.settings, self.holder
-        bounds = PeerBounds.from_limits(settings.limits)
+        bounds = PeerLimits.from_limits(settings.limits)
         self.metrics = Metrics(time.monotonic, GAP_BOUNDS_S)
         reporter = Reporter(self.metrics, holder)
         self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
@@ -164,11 +164,11 @@
             holder,
             store=ConfigurationStore(),
             secret=secret,
-            fetch_changes=make_fetch(self.peer_client.changes),
+            fetch_changes=make_fetch_changes(self.peer_client.fetch_changes),
             load=self.dispatcher.load,
-            ends=ends,
+            crash_tracker=ends,
         )
-        handler = PeerRequests(self.keys, self.gateway, self.control.changes_after)
+        handler = PeerRequestHandler(self.keys, self.gateway, self.control.changes_after)
         self.peer_server = PeerServer(
             settings.listen.peers,
             Identity(settings.host, self.incarnation),
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -23,11 +23,11 @@
 from cloverway.config.updates import FetchChanges, Offer, Updates
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.errors import CloverwayError, PeerError
-from cloverway.membership.datagram_auth import Seal
-from cloverway.membership.datagrams import Datagrams
-from cloverway.membership.gossip import Gossip, Own, Received
+from cloverway.membership.datagram_auth import DatagramAuthenticator
+from cloverway.membership.datagrams import DatagramSocket
+from cloverway.membership.gossip import Gossip, LocalState, Received
 from cloverway.membership.heartbeats import parse_incarnation
-from cloverway.membership.reports import EndpointReader, Rounds, Workers
+from cloverway.membership.reports import EndpointReader, ReadSchedule, WorkerThreads
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
@@ -35,17 +35,17 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.05
-PAUSE_S = 0.75
+TICK_INTERVAL_S = 0.05
+PAUSE_THRESHOLD_S = 0.75
 """A loop that did not run for so long was paused, or held by the machine: it treats both alike."""
-VIEW_S = 0.25
+VIEW_INTERVAL_S = 0.25
 """How often the view is made anew when nothing urgent has happened."""
-URGENT_S = 0.05
+MIN_BROADCAST_INTERVAL_S = 0.05
 """Least time between two rounds that tell all siblings at once."""
-READ_LIMIT_S = 5.0
+REPORT_TIMEOUT_S = 5.0
 """A report that has not come whole by then is given up."""
 READER_THREADS = 8
-FIRST_REPORTS_S = 1.5
+STARTUP_REPORTS_TIMEOUT_S = 1.5
 """How long a starting host waits for a first word of each of its endpoints."""
 NEVER = float("-inf")
 
@@ -60,10 +60,10 @@
         platform: Platform,
         *,
         store: ConfigurationStore,
-        seal: Seal,
+        authenticator: DatagramAuthenticator,
         fetch_changes: FetchChanges,
         load: Callable[[], float],
-        ends: CrashTracker,
+        crash_tracker: CrashTracker,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._settings = settings
@@ -77,26 +77,26 @@
             settings.domain,
             incarnation=parse_incarnation(holder.current.incarnation),
             timing=settings.timing,
-            seal=seal,
+            authenticator=authenticator,
             random=self._random,
-            ends=ends,
+            crash_tracker=crash_tracker,
         )
         self._updates = Updates(settings, store, platform, fetch_changes, clock)
         self._leaving = False
         self._serving = False
-        self._serve_by: float | None = None
-        self._alive_at = clock()
-        self._urgent = False
-        self._told_at = float("-inf")
-        self._view_due = 0.0
-        self._far_due = 0.0
-        self._far: tuple[dict[str, Any], dict[Any, Any]] = ({}, {})
+        self._serve_deadline: float | None = None
+        self._last_run_at = clock()
+        self._broadcast_due = False
+        self._broadcast_at = float("-inf")
+        self._view_due_at = 0.0
+        self._remote_due_at = 0.0
+        self._remote_state: tuple[dict[str, Any], dict[Any, Any]] = ({}, {})
         self._counts = {"refused": 0, "pauses": 0, "reports": 0, "report_failures": 0}
         self._readers: dict[str, EndpointReader] = {}
-        self._rounds = Rounds(self._random.random)
-        self._report_workers = Workers("reports", READER_THREADS)
-        self._list_workers = Workers("list", 1)
-        self._datagrams = Datagrams(settings.listen.peers)
+        self._read_schedule = ReadSchedule(self._random.random)
+        self._report_workers = WorkerThreads("reports", READER_THREADS)
+        self._list_workers = WorkerThreads("list", 1)
+        self._datagram_socket = DatagramSocket(settings.listen.peers)
         self._loop = asyncio.new_event_loop()
         self._stopping = asyncio.Event()
         self._thread = threading.Thread(target=self._run, name="control", daemon=True)
@@ -112,7 +112,7 @@
         load: Callable[[], float] = lambda: 0.0,
         secret: bytes | None = None,
         platform: Platform | None = None,
-        ends: CrashTracker | None = None,
+        crash_tracker: CrashTracker | None = None,
     ) -> ControlLoop:
         """Make a loop with the platform that the settings name; raise OSError without a secret."""
         adapter = FilePlatform if settings.platform.kind == "file" else HttpPlatform
@@ -123,15 +123,15 @@
             holder,
             platform or adapter.from_settings(settings.platform),
             store=store,
-            seal=Seal.from_secret(secret),
+            authenticator=DatagramAuthenticator.from_secret(secret),
             fetch_changes=fetch_changes,
             load=load,
-            ends=ends or CrashTracker(settings.quarantine),
+            crash_tracker=crash_tracker or CrashTracker(settings.quarantine),
         )
 
     def start(self) -> None:
         """Bind the socket and start the thread; raise OSError when it can't be bound."""
-        self._datagrams.bind()
+        self._datagram_socket.bind()
         self._report_workers.start()
         self._list_workers.start()
         self._updates.start()
@@ -148,7 +148,7 @@
         self._leaving = True
         self._holder.current = self._holder.current._replace(leaving=True)
         with contextlib.suppress(RuntimeError):
-            self._loop.call_soon_threadsafe(self._note_urgent)
+            self._loop.call_soon_threadsafe(self._schedule_broadcast)
 
     def changes_after(self, revision: int) -> Changes:
         """Give a peer the documents after a revision; any thread may call it."""
@@ -157,7 +157,7 @@
     @property
     def address(self) -> str:
         """The address that the UDP socket is bound to."""
-        return self._datagrams.address
+        return self._datagram_socket.address
 
     def status(self) -> dict[str, Any]:
         """Give counts and states for operators; any thread may call it."""
@@ -170,7 +170,7 @@
             "platform_stale": view.platform_stale,
             "resumed_at": self.gossip.resumed_at,
             **self._counts,
-            **self._datagrams.counts,
+            **self._datagram_socket.counts,
         }
 
     def _run(self) -> None:
@@ -180,37 +180,40 @@
         except Exception:
             log.exception("the control loop has failed")
         finally:
-            self._end()
+            self._release_resources()
 
     async def _serve(self) -> None:
-        self._loop.add_reader(self._datagrams.fileno(), self._receive)
+        self._loop.add_reader(self._datagram_socket.fileno(), self._receive)
         periods = [
-            (self._tick, TICK_S),
-            (self._beat, self._settings.timing.heartbeat_s),
-            (self._speak, self._settings.timing.summary_s),
+            (self._tick, TICK_INTERVAL_S),
+            (self._send_heartbeats, self._settings.timing.heartbeat_s),
+            (self._send_summaries, self._settings.timing.summary_s),
         ]
-        steps = [self._repeat(*period) for period in periods]
-        steps += [self._updates.watch_platform(self._is_reader, self._adopt), self._watch_list()]
-        tasks = [self._loop.create_task(step) for step in steps]
+        coroutines = [self._run_periodically(*period) for period in periods]
+        coroutines += [
+            self._updates.watch_platform(self._is_reader, self._adopt),
+            self._poll_member_list(),
+        ]
+        tasks = [self._loop.create_task(step) for step in coroutines]
         await self._stopping.wait()
         if self._leaving:
-            self._datagrams.send(self.gossip.spread(self._clock()))
+            self._datagram_socket.send(self.gossip.make_broadcast(self._clock()))
         tasks.extend(asyncio.all_tasks() - {asyncio.current_task(), *tasks})
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _end(self) -> None:
+    def _release_resources(self) -> None:
         self._report_workers.stop()
         self._list_workers.stop()
         self._updates.stop()
         for reader in self._readers.values():
             reader.abort()
-        self._loop.remove_reader(self._datagrams.fileno())
-        self._datagrams.close()
+        self._loop.remove_reader(self._datagram_socket.fileno())
+        self._datagram_socket.close()
         self._loop.close()
 
-    async def _repeat(self, step: Callable[[float], None], period_s: float) -> None:
+    async def _run_periodically(self, step: Callable[[float], None], period_s: float) -> None:
         """Do a step in each period; a step that fails is logged and done again later."""
         while True:
             try:
@@ -220,73 +223,75 @@
             await asyncio.sleep(period_s)
 
     def _tick(self, now: float) -> None:
-        self._notice_pause(now)
+        self._detect_pause(now)
         self._read_endpoints(now)
         if self._updates.decide_start(now):
-            self._note_urgent()
-        if self.gossip.ends.take_urgent():
-            self._urgent = True
-        if self._urgent and now - self._told_at >= URGENT_S:
-            self._urgent = False
-            self._told_at = now
-            self._datagrams.send(self.gossip.spread(now))
-            self._view_due = now
-        if now >= self._view_due:
+            self._schedule_broadcast()
+        if self.gossip.crash_tracker.take_urgent():
+            self._broadcast_due = True
+        if self._broadcast_due and now - self._broadcast_at >= MIN_BROADCAST_INTERVAL_S:
+            self._broadcast_due = False
+            self._broadcast_at = now
+            self._datagram_socket.send(self.gossip.make_broadcast(now))
+            self._view_due_at = now
+        if now >= self._view_due_at:
             self._publish(now)
 
-    def _beat(self, now: float) -> None:
+    def _send_heartbeats(self, now: float) -> None:
         load = min(1.0, max(0.0, self._load()))
-        self.gossip.own = Own(self._leaving, load >= 1.0, load, self._updates.served_revision)
-        self._datagrams.send(self.gossip.beat(now))
+        self.gossip.local_state = LocalState(
+            self._leaving, load >= 1.0, load, self._updates.served_revision
+        )
+        self._datagram_socket.send(self.gossip.make_heartbeats(now))
 
-    def _speak(self, now: float) -> None:
-        self._datagrams.send(self.gossip.speak(now))
+    def _send_summaries(self, now: float) -> None:
+        self._datagram_socket.send(self.gossip.make_summaries(now))
 
-    def _note_urgent(self) -> None:
-        self.gossip.own = self.gossip.own._replace(
+    def _schedule_broadcast(self) -> None:
+        self.gossip.local_state = self.gossip.local_state._replace(
             leaving=self._leaving, revision=self._updates.served_revision
         )
-        self._urgent = True
-        self._view_due = 0.0
+        self._broadcast_due = True
+        self._view_due_at = 0.0
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         """Notice that this process did not run, before anything is concluded from silence.
 
         A process that was stopped and woken finds every other host silent for as long. Without
         this it would call all of them dead, and read all endpoints itself.
         """
-        paused_at, self._alive_at = self._alive_at, now
-        if now - paused_at < PAUSE_S:
+        paused_at, self._last_run_at = self._last_run_at, now
+        if now - paused_at < PAUSE_THRESHOLD_S:
             return
         self._counts["pauses"] += 1
         log.warning("the control loop did not run", extra={"seconds": round(now - paused_at, 3)})
         self.gossip.resume(paused_at, now)
         # What waits in the socket came at an unknown time since; it is no sign of life now.
-        self._drain(paused_at, now)
+        self._receive_pending(paused_at, now)
 
     def _receive(self) -> None:
         now = self._clock()
-        self._notice_pause(now)
-        self._drain(now, now)
+        self._detect_pause(now)
+        self._receive_pending(now, now)
 
-    def _drain(self, at: float, now: float) -> None:
-        for datagram, source in self._datagrams.receive():
+    def _receive_pending(self, at: float, now: float) -> None:
+        for datagram, source in self._datagram_socket.receive():
             try:
                 received = self.gossip.receive(datagram, at, now)
             except PeerError as error:
                 self._counts["refused"] += 1
                 log.debug("a datagram was refused", extra={"why": str(error)})
                 continue
-            self._react(received, source, now)
+            self._handle_received(received, source, now)
 
-    def _react(self, received: Received, source: str, now: float) -> None:
-        self._datagrams.send(received.replies)
-        if received.news:
-            self._view_due = now
+    def _handle_received(self, received: Received, source: str, now: float) -> None:
+        self._datagram_socket.send(received.replies)
+        if received.state_changed:
+            self._view_due_at = now
         if received.replaced and not self._leaving:
             log.error("another process has taken this host's name; this one leaves")
             self.begin_leaving()
-        if received.proven:
+        if received.is_fresh:
             self._updates.hear_peer(received.host, received.revision)
         published = self._updates.published
         known = published.hosts.get(received.host) if published else None
@@ -300,9 +305,9 @@
         for name in [name for name in self._readers if name not in own]:
             self._readers.pop(name).abort()
         # Told at once, the revision is at all hosts of the domain one trip later.
-        self._note_urgent()
+        self._schedule_broadcast()
 
-    async def _watch_list(self) -> None:
+    async def _poll_member_list(self) -> None:
         """Read the platform's list of live and leaving members."""
         while True:
             await asyncio.sleep(self._settings.timing.list_s)
@@ -310,31 +315,31 @@
                 continue
             try:
                 call = self._list_workers.submit(self._platform.list_states)
-                self._take_list(await asyncio.wrap_future(call))
+                self._apply_member_list(await asyncio.wrap_future(call))
             except CloverwayError as error:
                 log.debug("the platform's list can't be read", extra={"why": str(error)})
             except Exception:
                 log.exception("the platform's list can't be read")
 
-    def _take_list(self, states: HostList) -> None:
+    def _apply_member_list(self, states: HostList) -> None:
         leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
-        if self.gossip.readings.take_list(leaving, self._clock()):
-            self._urgent = True
+        if self.gossip.endpoint_table.apply_member_list(leaving, self._clock()):
+            self._broadcast_due = True
         if states.hosts.get(self._settings.host) is Listed.LEAVING and not self._leaving:
             log.debug("the platform's list says that this host is leaving")
 
     def _is_reader(self, now: float) -> bool:
-        staying = self.gossip.members.staying(now)
+        staying = self.gossip.members.list_staying(now)
         return self._settings.host in choose_readers(staying, self._settings.domain)
 
     def _read_endpoints(self, now: float) -> None:
         published = self._updates.published
         if published is None:
             return
-        names = self.gossip.endpoints_to_read(now)
-        for name in self._rounds.take_due(names, self.gossip.read_interval(now), now):
+        names = self.gossip.list_endpoints_to_read(now)
+        for name in self._read_schedule.take_due(names, self.gossip.update_read_interval(now), now):
             self._loop.create_task(self._read_endpoint(name, published))
-        for name in self._rounds.overdue(READ_LIMIT_S, now):
+        for name in self._read_schedule.list_overdue(REPORT_TIMEOUT_S, now):
             if name in self._readers:
                 self._readers[name].abort()
 
@@ -346,17 +351,17 @@
         self._counts["reports"] += 1
         try:
             report = await asyncio.wrap_future(self._report_workers.submit(reader.read))
-            if self.gossip.readings.take_report(name, report, self._clock()):
-                self._urgent = True
+            if self.gossip.endpoint_table.apply_report(name, report, self._clock()):
+                self._broadcast_due = True
         except PeerError as error:
             self._counts["report_failures"] += 1
             log.debug("no load report", extra={"endpoint": name, "why": str(error)})
         except Exception:
             log.exception("a load report can't be read")
         finally:
-            self._rounds.finish(name)
+            self._read_schedule.finish(name)
 
-    def _judge_start(self, endpoints: Iterable[EndpointState], now: float) -> None:
+    def _update_serving(self, endpoints: Iterable[EndpointState], now: float) -> None:
         """Begin to serve when the configuration is settled and the endpoints were heard of.
 
         A host that served sooner would refuse its first callers for lack of an endpoint. One that
@@ -364,20 +369,23 @@
         """
         if self._serving or not self._updates.settled:
             return
-        if self._serve_by is None:
-            self._serve_by = now + FIRST_REPORTS_S
+        if self._serve_deadline is None:
+            self._serve_deadline = now + STARTUP_REPORTS_TIMEOUT_S
         heard = all(state.reported_at > NEVER for state in endpoints)
-        self._serving = heard or now >= self._serve_by
+        self._serving = heard or now >= self._serve_deadline
 
     def _publish(self, now: float) -> None:
         """Give all other tasks a new picture, by one assignment."""
-        self._view_due = now + VIEW_S
-        if now >= self._far_due:
-            self._far_due = now + self._settings.timing.summary_s
-            self._far = (self.gossip.far_hosts(now), self.gossip.capacities(now))
-        hosts, capacities = self._far
-        endpoints = self.gossip.endpoints(now)
-        self._judge_start(endpoints.values(), now)
+        self._view_due_at = now + VIEW_INTERVAL_S
+        if now >= self._remote_due_at:
+            self._remote_due_at = now + self._settings.timing.summary_s
+            self._remote_state = (
+                self.gossip.get_remote_hosts(now),
+                self.gossip.get_remote_capacity(now),
+            )
+        hosts, capacities = self._remote_state
+        endpoints = self.gossip.get_endpoints(now)
+        self._update_serving(endpoints.values(), now)
         before = self._holder.current
         self._holder.current = View(
             host=before.host,
@@ -385,7 +393,7 @@
             domain=before.domain,
             region=before.region,
             published=self._updates.published if self._serving else None,
-            hosts={**hosts, **self.gossip.near_hosts(now)},
+            hosts={**hosts, **self.gossip.get_domain_hosts(now)},
             endpoints=endpoints,
             summaries=capacities,
             leaving=self._leaving,
--- a/cloverway/membership/datagram_auth.py
+++ b/cloverway/membership/datagram_auth.py
@@ -17,52 +17,52 @@
 """Fits one Ethernet frame: a datagram is not lost for the loss of one of its fragments."""
 PURPOSE = b"cloverway heartbeat 1"
 
-HEAD = struct.Struct("!BI")
-OVERHEAD_BYTES = HEAD.size + MAC_BYTES
+HEADER = struct.Struct("!BI")
+OVERHEAD_BYTES = HEADER.size + MAC_BYTES
 
 
-class Opened(NamedTuple):
+class VerifiedDatagram(NamedTuple):
     """A datagram whose seal is good."""
 
-    to: int
+    recipient_tag: int
     """Tag of the incarnation it was meant for; 0 when the sender did not know it."""
     body: bytes
 
 
-class Seal:
+class DatagramAuthenticator:
     """Makes and checks the seal of datagrams."""
 
     def __init__(self, key: bytes) -> None:
         self._state = hmac.new(key, digestmod=hashlib.sha256)
 
     @classmethod
-    def from_secret(cls, secret: bytes) -> Seal:
+    def from_secret(cls, secret: bytes) -> DatagramAuthenticator:
         """Derive the key from the hosts' shared secret; raise ValueError when it is short."""
         if len(secret) < MIN_SECRET_BYTES:
             raise ValueError(f"the shared secret has less than {MIN_SECRET_BYTES} bytes")
         return cls(hmac.digest(secret, PURPOSE, "sha256"))
 
-    def close(self, body: bytes, to: int) -> bytes:
+    def sign(self, body: bytes, recipient_tag: int) -> bytes:
         """Give the datagram for a body that is meant for one incarnation."""
-        head = HEAD.pack(VERSION, to)
-        return head + self._mac(head, body) + body
+        header = HEADER.pack(VERSION, recipient_tag)
+        return header + self._compute_mac(header, body) + body
 
-    def open(self, datagram: bytes) -> Opened:
+    def verify(self, datagram: bytes) -> VerifiedDatagram:
         """Check the seal; raise PeerError for every datagram that no host of ours made."""
         if not OVERHEAD_BYTES <= len(datagram) <= MAX_DATAGRAM_BYTES:
             raise PeerError("a datagram has an impossible length")
-        head = datagram[: HEAD.size]
-        mac = datagram[HEAD.size : OVERHEAD_BYTES]
+        header = datagram[: HEADER.size]
+        mac = datagram[HEADER.size : OVERHEAD_BYTES]
         body = datagram[OVERHEAD_BYTES:]
-        if not hmac.compare_digest(mac, self._mac(head, body)):
+        if not hmac.compare_digest(mac, self._compute_mac(header, body)):
             raise PeerError("a datagram has a wrong seal")
-        version, to = HEAD.unpack(head)
+        version, recipient_tag = HEADER.unpack(header)
         if version != VERSION:
             raise PeerError(f"a datagram has the unknown version {version}")
-        return Opened(to, body)
+        return VerifiedDatagram(recipient_tag, body)
 
-    def _mac(self, head: bytes, body: bytes) -> bytes:
+    def _compute_mac(self, header: bytes, body: bytes) -> bytes:
         mac = self._state.copy()
-        mac.update(head)
+        mac.update(header)
         mac.update(body)
         return mac.digest()[:MAC_BYTES]
--- a/cloverway/membership/datagrams.py
+++ b/cloverway/membership/datagrams.py
@@ -12,16 +12,16 @@
 
 log = logging.getLogger(__name__)
 
-DATAGRAMS_A_TURN = 256
+MAX_DATAGRAMS_PER_TURN = 256
 """Datagrams that are read before timers get their turn."""
 RECEIVE_BUFFER_BYTES = 256 * 1024
 
 
-class Datagrams:
+class DatagramSocket:
     """Sends and receives without ever waiting; one task owns it."""
 
     def __init__(self, address: str) -> None:
-        self._wanted = address
+        self._listen_address = address
         family = socket.AF_INET6 if ":" in split_address(address)[0] else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
@@ -30,7 +30,7 @@
 
     def bind(self) -> None:
         """Listen at the address; raise OSError when it can't be bound."""
-        self._socket.bind(split_address(self._wanted))
+        self._socket.bind(split_address(self._listen_address))
 
     def fileno(self) -> int:
         """Give the descriptor, to be watched by a loop."""
@@ -47,7 +47,7 @@
 
     def receive(self) -> Iterator[tuple[bytes, str]]:
         """Give the datagrams that are there, each with the address it came from."""
-        for _ in range(DATAGRAMS_A_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 datagram, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
--- a/cloverway/membership/endpoint_table.py
+++ b/cloverway/membership/endpoint_table.py
@@ -12,20 +12,20 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from cloverway.membership.heartbeats import Detail, LoadRow, identify, tag_detail
+from cloverway.membership.heartbeats import Detail, LoadRow, compute_detail_tag, hash_name
 from cloverway.membership.view import EndpointState
 
-RETIRED_INCARNATIONS = 8
-RETIRED_S = 30.0
+MAX_RETIRED_INCARNATIONS = 8
+RETIREMENT_S = 30.0
 """How long the word of a sibling can't bring a replaced incarnation back."""
-LIST_LAG_S = 30.0
+MAX_LIST_LAG_S = 30.0
 """For so long after a replacement the platform's list may still mean the incarnation before."""
-SAME_START_S = 1.0
+START_TIME_TOLERANCE_S = 1.0
 """Two hosts' times of one start differ by less than this."""
 NEVER = float("-inf")
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """An endpoint's own word."""
 
     incarnation: str
@@ -38,7 +38,7 @@
     age_s: float = 0.0
 
 
-class Known(NamedTuple):
+class EndpointRecord(NamedTuple):
     """One endpoint's state with what is needed to merge it."""
 
     state: EndpointState
@@ -49,57 +49,57 @@
     """When a report of it was last known to a host of the domain."""
     detail_at: float = NEVER
     """When the slowly changing part was reported."""
-    own_at: float = NEVER
+    read_at: float = NEVER
     """When this host itself last read it."""
-    left: bool = False
+    leaving_confirmed: bool = False
     """Leaving, for the rest of this incarnation."""
-    listed: bool = False
+    listed_leaving: bool = False
     """The platform's list says leaving, and may mean the incarnation before."""
 
 
-class Readings:
+class EndpointTable:
     """The endpoints of one failure domain."""
 
     def __init__(self, silent_s: float) -> None:
         self.silent_s = silent_s
         """For so long an endpoint may go without a report before it is unknown."""
-        self._known: dict[str, Known] = {}
+        self._records: dict[str, EndpointRecord] = {}
         self._names: dict[int, str] = {}
         self._retired: dict[str, dict[str, float]] = {}
         self._pending: dict[str, tuple[LoadRow, float]] = {}
-        self._list_said: dict[str, bool] = {}
+        self._listed_leaving: dict[str, bool] = {}
         self._replaced_at: dict[str, float] = {}
-        self._news: dict[str, float] = {}
+        self._changed_at: dict[str, float] = {}
         self._grace_until = NEVER
-        self.alone: frozenset[str] = frozenset()
+        self.colliding: frozenset[str] = frozenset()
         """Endpoints whose short identifiers clash: each host reads them itself."""
 
     def adopt(self, names: Iterable[str]) -> None:
         """Take the published endpoints of the failure domain; forget those that are gone."""
         wanted = list(names)
-        gone_names = set(self._known).difference(wanted)
-        counts = Counter(identify(name) for name in wanted)
-        self.alone = frozenset(name for name in wanted if counts[identify(name)] > 1)
-        self._names = {identify(name): name for name in wanted if name not in self.alone}
-        blank = Known(EndpointState(""))
-        self._known = {
-            name: self._known.get(name) or blank._replace(state=EndpointState(name))
+        gone_names = set(self._records).difference(wanted)
+        counts = Counter(hash_name(name) for name in wanted)
+        self.colliding = frozenset(name for name in wanted if counts[hash_name(name)] > 1)
+        self._names = {hash_name(name): name for name in wanted if name not in self.colliding}
+        blank = EndpointRecord(EndpointState(""))
+        self._records = {
+            name: self._records.get(name) or blank._replace(state=EndpointState(name))
             for name in wanted
         }
         self._retired = {name: self._retired.get(name, {}) for name in wanted}
         tables: tuple[dict[str, Any], ...] = (
             self._pending,
-            self._list_said,
+            self._listed_leaving,
             self._replaced_at,
-            self._news,
+            self._changed_at,
         )
         for table, gone in itertools.product(tables, gone_names):
             table.pop(gone, None)
 
-    def take_report(self, name: str, report: Report, now: float) -> bool:
+    def apply_report(self, name: str, report: LoadReport, now: float) -> bool:
         """Take an endpoint's own word; tell whether siblings are to know of it at once."""
-        known = self._known.get(name)
-        if known is None:
+        record = self._records.get(name)
+        if record is None:
             return False
         detail = Detail(
             name=name,
@@ -113,40 +113,40 @@
         )
         # The endpoint itself answered, on a connection that this host opened: that is the only
         # word that may bring an incarnation back.
-        merged = self._merge_detail(known, detail, now, own=True)
+        merged = self._merge_detail(record, detail, now, from_endpoint=True)
         reported_at = max(merged.state.reported_at, now - report.age_s)
-        self._known[name] = merged._replace(
+        self._records[name] = merged._replace(
             observed_at=max(merged.observed_at, now),
-            own_at=now,
+            read_at=now,
             state=merged.state._replace(
                 running=report.running, waiting=report.waiting, reported_at=reported_at
             ),
         )
-        if merged.tag != known.tag:
-            self._news[name] = now
-        return merged.tag != known.tag
+        if merged.tag != record.tag:
+            self._changed_at[name] = now
+        return merged.tag != record.tag
 
-    def take_details(self, details: Iterable[Detail], at: float) -> bool:
+    def apply_details(self, details: Iterable[Detail], at: float) -> bool:
         """Take what a sibling knows; tell whether anything of it was new."""
-        news = False
+        changed = False
         for detail in details:
-            known = self._known.get(detail.name)
-            if known is None or self._is_retired(known, detail, at):
+            record = self._records.get(detail.name)
+            if record is None or self._is_retired(record, detail, at):
                 continue
-            merged = self._merge_detail(known, detail, at, own=False)
-            self._known[detail.name] = merged
+            merged = self._merge_detail(record, detail, at, from_endpoint=False)
+            self._records[detail.name] = merged
             self._apply_pending(detail.name)
-            news = news or merged.tag != known.tag
-            if merged.state.leaving and not known.state.leaving:
+            changed = changed or merged.tag != record.tag
+            if merged.state.leaving and not record.state.leaving:
                 # Told on with the next heartbeats: the one host that saw the sign may be dead, or
                 # its datagrams to some of the others lost.
-                self._news[detail.name] = at
-            if at - detail.started_age_s > merged.state.started_at + SAME_START_S:
+                self._changed_at[detail.name] = at
+            if at - detail.started_age_s > merged.state.started_at + START_TIME_TOLERANCE_S:
                 # The sender takes a warm endpoint for one that has just started.
-                self._news.setdefault(detail.name, at)
-        return news
+                self._changed_at.setdefault(detail.name, at)
+        return changed
 
-    def take_loads(self, rows: Iterable[LoadRow], at: float) -> None:
+    def apply_loads(self, rows: Iterable[LoadRow], at: float) -> None:
         """Take a sibling's readings; those of a state not known here wait for its detail."""
         for row in rows:
             name = self._names.get(row.endpoint)
@@ -155,11 +155,13 @@
                 if not self._apply(name, row, at):
                     self._pending[name] = (row, at)
 
-    def lacking(self, most: int) -> tuple[int, ...]:
+    def list_missing_details(self, max_count: int) -> tuple[int, ...]:
         """Give some of the endpoints whose detail is to be asked for, the latest first."""
-        return tuple(identify(name) for name in itertools.islice(reversed(self._pending), most))
+        return tuple(
+            hash_name(name) for name in itertools.islice(reversed(self._pending), max_count)
+        )
 
-    def take_list(self, leaving: Mapping[str, bool], now: float) -> bool:
+    def apply_member_list(self, leaving: Mapping[str, bool], now: float) -> bool:
         """Take the platform's list, which lags; tell whether there is a new sign of leaving.
 
         The list names no incarnation. When it turns to leaving, that binds for the rest of the
@@ -168,81 +170,86 @@
         first list that is read), the sign holds for as long as the list gives it: else a list
         that lags would shut out a restarted endpoint until its next restart.
         """
-        news = False
-        first = not self._list_said
-        for name, known in self._known.items():
-            says = leaving.get(name, False)
-            before = self._list_said.get(name, False)
-            self._list_said[name] = says
-            if says == before:
+        changed = False
+        first = not self._listed_leaving
+        for name, record in self._records.items():
+            listed = leaving.get(name, False)
+            previously_listed = self._listed_leaving.get(name, False)
+            self._listed_leaving[name] = listed
+            if listed == previously_listed:
                 continue
-            sure = not first and self._is_settled(known, now)
-            changed = known._replace(left=known.left or (says and sure), listed=says)
-            self._known[name] = _settle(changed)
-            if self._known[name].tag != known.tag:
-                self._news[name] = now
-                news = True
-        return news
+            certain = not first and self._is_incarnation_settled(record, now)
+            updated = record._replace(
+                leaving_confirmed=record.leaving_confirmed or (listed and certain),
+                listed_leaving=listed,
+            )
+            self._records[name] = _update_flags(updated)
+            if self._records[name].tag != record.tag:
+                self._changed_at[name] = now
+                changed = True
+        return changed
 
     def resume(self, now: float) -> None:
         """Note that this process did not run for a while: silence until now counts for nothing."""
         self._grace_until = now + self.silent_s
 
-    def rows(self, since: float, now: float) -> tuple[LoadRow, ...]:
+    def list_load_rows(self, since: float, now: float) -> tuple[LoadRow, ...]:
         """Give what this host itself has read since a time."""
         return tuple(
             LoadRow(
-                endpoint=identify(name),
-                tag=known.tag,
-                age_s=now - known.state.reported_at,
-                running=known.state.running,
-                waiting=known.state.waiting,
+                endpoint=hash_name(name),
+                tag=record.tag,
+                age_s=now - record.state.reported_at,
+                running=record.state.running,
+                waiting=record.state.waiting,
             )
-            for name, known in self._known.items()
-            if known.own_at > since and name not in self.alone
+            for name, record in self._records.items()
+            if record.read_at > since and name not in self.colliding
         )
 
-    def news(self, since: float) -> list[str]:
+    def list_changed(self, since: float) -> list[str]:
         """List the endpoints whose slowly changing part has changed since a time."""
-        self._news = {name: at for name, at in self._news.items() if at > since}
-        return list(self._news)
+        self._changed_at = {name: at for name, at in self._changed_at.items() if at > since}
+        return list(self._changed_at)
 
-    def details(self, names: Iterable[str], now: float) -> list[Detail]:
+    def list_details(self, names: Iterable[str], now: float) -> list[Detail]:
         """Give the slowly changing part of some endpoints."""
-        found = (self._known[name] for name in names if name in self._known)
+        found = (self._records[name] for name in names if name in self._records)
         return [
             Detail(
-                name=known.state.name,
-                incarnation=known.state.incarnation,
-                ready=known.ready,
-                leaving=known.state.leaving,
-                slots=known.state.slots,
-                models=known.state.models,
-                started_age_s=now - known.state.started_at,
-                age_s=now - known.detail_at,
+                name=record.state.name,
+                incarnation=record.state.incarnation,
+                ready=record.ready,
+                leaving=record.state.leaving,
+                slots=record.state.slots,
+                models=record.state.models,
+                started_age_s=now - record.state.started_at,
+                age_s=now - record.detail_at,
             )
-            for known in found
-            if known.state.incarnation
+            for record in found
+            if record.state.incarnation
         ]
 
-    def name_of(self, identifier: int) -> str | None:
+    def get_name(self, identifier: int) -> str | None:
         """Give the name behind a short identifier."""
         return self._names.get(identifier)
 
-    def states(self, now: float) -> dict[str, EndpointState]:
+    def get_states(self, now: float) -> dict[str, EndpointState]:
         """Give all endpoints for the view."""
-        return {name: self._judge(known, now) for name, known in self._known.items()}
+        return {name: self._make_state(record, now) for name, record in self._records.items()}
 
-    def _is_settled(self, known: Known, now: float) -> bool:
-        replaced_at = self._replaced_at.get(known.state.name, NEVER)
-        return bool(known.state.incarnation) and now - replaced_at >= LIST_LAG_S
+    def _is_incarnation_settled(self, record: EndpointRecord, now: float) -> bool:
+        replaced_at = self._replaced_at.get(record.state.name, NEVER)
+        return bool(record.state.incarnation) and now - replaced_at >= MAX_LIST_LAG_S
 
-    def _judge(self, known: Known, now: float) -> EndpointState:
-        heard = now - known.observed_at < self.silent_s or now < self._grace_until
-        return known.state._replace(ready=known.ready and heard)
+    def _make_state(self, record: EndpointRecord, now: float) -> EndpointState:
+        heard = now - record.observed_at < self.silent_s or now < self._grace_until
+        return record.state._replace(ready=record.ready and heard)
 
-    def _merge_detail(self, known: Known, detail: Detail, at: float, own: bool) -> Known:
-        state = known.state
+    def _merge_detail(
+        self, record: EndpointRecord, detail: Detail, at: float, from_endpoint: bool
+    ) -> EndpointRecord:
+        state = record.state
         started_at = at - detail.started_age_s
         reported_at = at - detail.age_s
         same = state.incarnation == detail.incarnation
@@ -250,17 +257,19 @@
             self._retire(detail.name, state.incarnation, at)
         if same:
             started_at = min(started_at, state.started_at)
-        left = detail.leaving or (same and known.left)
-        assert not (same and known.left and not left), "leaving was taken back"
-        if same and not own and reported_at < known.detail_at:
+        leaving_confirmed = detail.leaving or (same and record.leaving_confirmed)
+        assert not (
+            same and record.leaving_confirmed and not leaving_confirmed
+        ), "leaving was taken back"
+        if same and not from_endpoint and reported_at < record.detail_at:
             kept = state._replace(started_at=started_at)
-            return _settle(known._replace(state=kept, left=left))
-        return _settle(
-            known._replace(
+            return _update_flags(record._replace(state=kept, leaving_confirmed=leaving_confirmed))
+        return _update_flags(
+            record._replace(
                 ready=detail.ready,
-                left=left,
-                listed=known.listed and (same or not state.incarnation),
-                detail_at=max(reported_at, known.detail_at) if same else reported_at,
+                leaving_confirmed=leaving_confirmed,
+                listed_leaving=record.listed_leaving and (same or not state.incarnation),
+                detail_at=max(reported_at, record.detail_at) if same else reported_at,
                 state=state._replace(
                     incarnation=detail.incarnation,
                     slots=max(1, detail.slots),
@@ -273,20 +282,20 @@
             )
         )
 
-    def _is_retired(self, known: Known, detail: Detail, at: float) -> bool:
-        if detail.incarnation == known.state.incarnation:
+    def _is_retired(self, record: EndpointRecord, detail: Detail, at: float) -> bool:
+        if detail.incarnation == record.state.incarnation:
             return False
-        retired_at = self._retired[known.state.name].get(detail.incarnation)
-        if retired_at is not None and at - retired_at < RETIRED_S:
+        retired_at = self._retired[record.state.name].get(detail.incarnation)
+        if retired_at is not None and at - retired_at < RETIREMENT_S:
             return True
-        return at - detail.age_s < known.detail_at
+        return at - detail.age_s < record.detail_at
 
     def _retire(self, name: str, incarnation: str, at: float) -> None:
         self._replaced_at[name] = at
         retired = self._retired[name]
         retired.pop(incarnation, None)
         retired[incarnation] = at
-        while len(retired) > RETIRED_INCARNATIONS:
+        while len(retired) > MAX_RETIRED_INCARNATIONS:
             del retired[next(iter(retired))]
 
     def _apply_pending(self, name: str) -> None:
@@ -294,21 +303,23 @@
             del self._pending[name]
 
     def _apply(self, name: str, row: LoadRow, at: float) -> bool:
-        known = self._known[name]
-        if known.tag != row.tag or not known.state.incarnation:
+        record = self._records[name]
+        if record.tag != row.tag or not record.state.incarnation:
             return False
         reported_at = at - row.age_s
-        state = known.state
+        state = record.state
         if reported_at > state.reported_at:
             state = state._replace(
                 running=row.running, waiting=row.waiting, reported_at=reported_at
             )
-        self._known[name] = known._replace(observed_at=max(known.observed_at, at), state=state)
+        self._records[name] = record._replace(observed_at=max(record.observed_at, at), state=state)
         return True
 
 
-def _settle(known: Known) -> Known:
+def _update_flags(record: EndpointRecord) -> EndpointRecord:
     """Bring the flag of leaving and the tag in line with the rest."""
-    state = known.state._replace(leaving=known.left or known.listed)
-    tag = tag_detail(state.incarnation, known.ready, state.leaving, state.slots, state.models)
-    return known._replace(state=state, tag=tag)
+    state = record.state._replace(leaving=record.leaving_confirmed or record.listed_leaving)
+    tag = compute_detail_tag(
+        state.incarnation, record.ready, state.leaving, state.slots, state.models
+    )
+    return record._replace(state=state, tag=tag)
--- a/cloverway/membership/heartbeats.py
+++ b/cloverway/membership/heartbeats.py
@@ -34,7 +34,7 @@
 MAX_I16 = 2**15 - 1
 MAX_I32 = 2**31 - 1
 TAG_MASK = 2**32 - 1
-STEPS = (*range(32), *(round(32 * 2 ** (step / 8)) for step in range(96)))
+COUNT_STEPS = (*range(32), *(round(32 * 2 ** (step / 8)) for step in range(96)))
 """The counts that a summary can tell; others are rounded down to the next one."""
 LEAVING_LEVEL = -1
 """Level of a host that is leaving or overloaded, in a summary."""
@@ -92,7 +92,7 @@
     targets: tuple[TargetLevel, ...] = ()
 
 
-class EndRow(NamedTuple):
+class CrashRow(NamedTuple):
     """An endpoint that ended."""
 
     life: str
@@ -122,17 +122,17 @@
     summaries: tuple[DomainSummary, ...] = ()
     retired: int = 0
     """An incarnation of the receiver's name that the sender knows to be replaced, or 0."""
-    ends: tuple[EndRow, ...] = ()
+    ends: tuple[CrashRow, ...] = ()
     served: tuple[int, ...] = ()
     """Requests that ran at endpoints that ended, and were served since."""
 
 
-def identify(name: str) -> int:
+def hash_name(name: str) -> int:
     """Give the 32-bit identifier of a name."""
-    return _sign(zlib.crc32(name.encode()))
+    return _to_signed(zlib.crc32(name.encode()))
 
 
-def tag_of(incarnation: int) -> int:
+def get_incarnation_tag(incarnation: int) -> int:
     """Give the unsigned 32-bit tag of a host's incarnation; it is never 0."""
     return incarnation & TAG_MASK or 1
 
@@ -148,33 +148,33 @@
     return f"{number & (2**64 - 1):016x}"
 
 
-def tag_detail(
+def compute_detail_tag(
     incarnation: str, ready: bool, leaving: bool, slots: int, models: Iterable[str]
 ) -> int:
     """Give the tag of an endpoint's slowly changing state; a load row names it."""
     text = "\n".join((incarnation, str(ready), str(leaving), str(slots), *models))
-    return identify(text)
+    return hash_name(text)
 
 
-def encode(beat: Heartbeat) -> bytes:
+def encode(heartbeat: Heartbeat) -> bytes:
     """Give the bytes of a heartbeat. Empty lists are left out."""
     message = wire.Heartbeat(
-        host=beat.host,
-        incarnation=beat.incarnation,
-        sequence=beat.sequence,
-        flags=LEAVING * beat.leaving | OVERLOADED * beat.overloaded,
-        load=_cut(beat.load * 100, MAX_I8),
-        revision=beat.revision,
-        heard=[_sign(tag) for tag, _ in beat.heard] or None,
-        heard_sequences=[sequence for _, sequence in beat.heard] or None,
-        doubted=[_sign(tag) for tag in beat.doubted] or None,
-        loads=_encode_loads(beat.loads) if beat.loads else None,
-        details=[_encode_detail(detail) for detail in beat.details] or None,
-        wanted=list(beat.wanted) or None,
-        summaries=[_encode_summary(summary) for summary in beat.summaries] or None,
-        retired=beat.retired or None,
-        ends=[_encode_end(row) for row in beat.ends] or None,
-        served=list(beat.served) or None,
+        host=heartbeat.host,
+        incarnation=heartbeat.incarnation,
+        sequence=heartbeat.sequence,
+        flags=LEAVING * heartbeat.leaving | OVERLOADED * heartbeat.overloaded,
+        load=_clamp(heartbeat.load * 100, MAX_I8),
+        revision=heartbeat.revision,
+        heard=[_to_signed(tag) for tag, _ in heartbeat.heard] or None,
+        heard_sequences=[sequence for _, sequence in heartbeat.heard] or None,
+        doubted=[_to_signed(tag) for tag in heartbeat.doubted] or None,
+        loads=_encode_loads(heartbeat.loads) if heartbeat.loads else None,
+        details=[_encode_detail(detail) for detail in heartbeat.details] or None,
+        wanted=list(heartbeat.wanted) or None,
+        summaries=[_encode_summary(summary) for summary in heartbeat.summaries] or None,
+        retired=heartbeat.retired or None,
+        ends=[_encode_crash(row) for row in heartbeat.ends] or None,
+        served=list(heartbeat.served) or None,
     )
     return serialize(message, _PROTOCOL)
 
@@ -203,14 +203,14 @@
         overloaded=bool(flags & OVERLOADED),
         load=max(0, message.load or 0) / 100,
         revision=max(0, message.revision or 0),
-        heard=tuple(zip(_unsign(message.heard), message.heard_sequences or (), strict=True)),
-        doubted=tuple(_unsign(message.doubted)),
+        heard=tuple(zip(_to_unsigned(message.heard), message.heard_sequences or (), strict=True)),
+        doubted=tuple(_to_unsigned(message.doubted)),
         loads=tuple(_decode_loads(message.loads)),
         details=tuple(_decode_detail(detail) for detail in message.details or ()),
         wanted=tuple(message.wanted or ()),
         summaries=tuple(_decode_summary(summary) for summary in message.summaries or ()),
         retired=message.retired or 0,
-        ends=tuple(_decode_end(row) for row in message.ends or ()),
+        ends=tuple(_decode_crash(row) for row in message.ends or ()),
         served=tuple(message.served or ()),
     )
 
@@ -219,9 +219,9 @@
     return wire.Loads(
         endpoints=[row.endpoint for row in rows],
         tags=[row.tag for row in rows],
-        ages=[_cut(row.age_s / AGE_STEP_S, MAX_I16) for row in rows],
-        running=[_cut(row.running, MAX_I16) for row in rows],
-        waiting=[_cut(row.waiting, MAX_I16) for row in rows],
+        ages=[_clamp(row.age_s / AGE_STEP_S, MAX_I16) for row in rows],
+        running=[_clamp(row.running, MAX_I16) for row in rows],
+        waiting=[_clamp(row.waiting, MAX_I16) for row in rows],
     )
 
 
@@ -242,10 +242,10 @@
         name=detail.name,
         incarnation=detail.incarnation,
         flags=READY * detail.ready | LEAVING * detail.leaving,
-        slots=_cut(detail.slots, MAX_I16),
+        slots=_clamp(detail.slots, MAX_I16),
         models=list(detail.models),
-        started=_cut(detail.started_age_s / STARTED_STEP_S, MAX_I32),
-        age=_cut(detail.age_s / AGE_STEP_S, MAX_I16),
+        started=_clamp(detail.started_age_s / STARTED_STEP_S, MAX_I32),
+        age=_clamp(detail.age_s / AGE_STEP_S, MAX_I16),
     )
 
 
@@ -267,15 +267,15 @@
 def _encode_summary(summary: DomainSummary) -> Any:
     return wire.Summary(
         domain=summary.domain,
-        age=_cut(summary.age_s / AGE_STEP_S, MAX_I16),
+        age=_clamp(summary.age_s / AGE_STEP_S, MAX_I16),
         revision=summary.revision,
         hosts=[row.host for row in summary.hosts],
         incarnations=[row.incarnation for row in summary.hosts],
         levels=[max(LEAVING_LEVEL, min(row.level, MAX_I8)) for row in summary.hosts],
         targets=[row.target for row in summary.targets],
-        ready=[_step(row.ready) for row in summary.targets],
-        free=[_step(row.free) for row in summary.targets],
-        waiting=[_step(row.waiting) for row in summary.targets],
+        ready=[_encode_count(row.ready) for row in summary.targets],
+        free=[_encode_count(row.free) for row in summary.targets],
+        waiting=[_encode_count(row.waiting) for row in summary.targets],
     )
 
 
@@ -290,34 +290,39 @@
         revision=max(0, summary.revision),
         hosts=tuple(HostLevel(*row) for row in hosts),
         targets=tuple(
-            TargetLevel(target, STEPS[max(0, ready)], STEPS[max(0, free)], STEPS[max(0, waiting)])
+            TargetLevel(
+                target,
+                COUNT_STEPS[max(0, ready)],
+                COUNT_STEPS[max(0, free)],
+                COUNT_STEPS[max(0, waiting)],
+            )
             for target, ready, free, waiting in targets
         ),
     )
 
 
-def _encode_end(row: EndRow) -> Any:
-    age = _cut(row.age_s / AGE_STEP_S, MAX_I32)
+def _encode_crash(row: CrashRow) -> Any:
+    age = _clamp(row.age_s / AGE_STEP_S, MAX_I32)
     return wire.End(life=row.life, digests=list(row.digests), age=age)
 
 
-def _decode_end(row: Any) -> EndRow:
+def _decode_crash(row: Any) -> CrashRow:
     if not row.life:
         raise PeerError("an end lacks the endpoint")
-    return EndRow(row.life, tuple(row.digests or ()), max(0, row.age or 0) * AGE_STEP_S)
+    return CrashRow(row.life, tuple(row.digests or ()), max(0, row.age or 0) * AGE_STEP_S)
 
 
-def _cut(value: float, maximum: int) -> int:
+def _clamp(value: float, maximum: int) -> int:
     return round(max(0, min(value, maximum)))
 
 
-def _step(count: int) -> int:
-    return bisect.bisect_right(STEPS, max(0, count)) - 1
+def _encode_count(count: int) -> int:
+    return bisect.bisect_right(COUNT_STEPS, max(0, count)) - 1
 
 
-def _sign(number: int) -> int:
+def _to_signed(number: int) -> int:
     return number - 2**32 if number >= 2**31 else number
 
 
-def _unsign(numbers: Iterable[int] | None) -> list[int]:
+def _to_unsigned(numbers: Iterable[int] | None) -> list[int]:
     return [number & TAG_MASK for number in numbers or ()]
--- a/cloverway/membership/membership.py
+++ b/cloverway/membership/membership.py
@@ -10,14 +10,14 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from cloverway.membership.heartbeats import Heartbeat, format_incarnation, tag_of
+from cloverway.membership.heartbeats import Heartbeat, format_incarnation, get_incarnation_tag
 from cloverway.membership.view import HostState
 
-RETIRED_INCARNATIONS = 16
+MAX_RETIRED_INCARNATIONS = 16
 """Replaced incarnations that are remembered for one name."""
-DOUBT_PART = 0.55
+INDIRECT_PROBE_FRACTION = 0.55
 """Part of the time that counts as dead after which others are asked about a host."""
-RETIRED_S = 30.0
+RETIREMENT_S = 30.0
 """How long a replaced incarnation stays refused when the one after it has fallen silent."""
 NEVER = float("-inf")
 
@@ -50,9 +50,9 @@
     revision: int
     heard_at: float
     """When it was last heard, by this host or by one that told so."""
-    direct_at: float
+    direct_heard_at: float
     """When it was last heard by this host itself."""
-    relayed: int = 0
+    relayed_sequence: int = 0
     """The highest sequence that another host told of."""
     grace_until: float = NEVER
     """Until when its silence is not held against it."""
@@ -71,7 +71,7 @@
     def __init__(self, host: str, incarnation: int, suspect_s: float) -> None:
         self.host = host
         self.incarnation = incarnation
-        self.tag = tag_of(incarnation)
+        self.tag = get_incarnation_tag(incarnation)
         self.suspect_s = suspect_s
         self._members: dict[str, Member | None] = {}
         self._tags: dict[int, str] = {}
@@ -82,50 +82,54 @@
         known = self._members
         self._members = {name: known.get(name) for name in names if name != self.host}
         self._retired = {name: self._retired.get(name, {}) for name in self._members}
-        self._index()
+        self._rebuild_tags()
 
-    def merge(self, beat: Heartbeat, to: int, at: float) -> Merged:
+    def merge(self, heartbeat: Heartbeat, recipient_tag: int, at: float) -> Merged:
         """Take in a heartbeat that was sent at or after a time, for the incarnation tagged `to`."""
-        if beat.host == self.host:
-            return Merged.KNOWN if beat.incarnation == self.incarnation else Merged.OWN_NAME
-        if beat.host not in self._members:
+        if heartbeat.host == self.host:
+            return Merged.KNOWN if heartbeat.incarnation == self.incarnation else Merged.OWN_NAME
+        if heartbeat.host not in self._members:
             return Merged.STRANGER
-        if to != self.tag:
+        if recipient_tag != self.tag:
             # A recorded datagram is as well sealed as a new one. Only a host that has heard this
             # incarnation can name it, so nothing from before this process started is believed.
             return Merged.UNPROVEN
-        known = self._members[beat.host]
-        if known and known.incarnation == beat.incarnation and beat.sequence <= known.sequence:
+        known = self._members[heartbeat.host]
+        if (
+            known
+            and known.incarnation == heartbeat.incarnation
+            and heartbeat.sequence <= known.sequence
+        ):
             return Merged.REPLAYED
-        if self._is_retired(beat, known, at):
+        if self._is_retired(heartbeat, known, at):
             return Merged.RETIRED
-        return self._take(beat, known, at)
+        return self._store(heartbeat, known, at)
 
     def is_live(self, name: str, now: float) -> bool:
         """Tell whether a host was heard lately enough to be used."""
         member = self._members.get(name)
         return member is not None and _is_live(member, now, self.suspect_s)
 
-    def live(self, now: float) -> list[str]:
+    def list_live(self, now: float) -> list[str]:
         """List the hosts that are alive, with those that are leaving, but for this one."""
         return [name for name in self._members if self.is_live(name, now)]
 
-    def staying(self, now: float) -> list[str]:
+    def list_staying(self, now: float) -> list[str]:
         """List the hosts that are alive and not leaving, with this one; its caller knows of it."""
         members = self._members
-        stay = [name for name in self.live(now) if not (m := members[name]) or not m.leaving]
+        stay = [name for name in self.list_live(now) if not (m := members[name]) or not m.leaving]
         return [*stay, self.host]
 
-    def silent(self, now: float) -> list[str]:
+    def list_silent(self, now: float) -> list[str]:
         """List the published hosts that are not heard."""
         return [name for name in self._members if not self.is_live(name, now)]
 
-    def tag_for(self, name: str) -> int:
+    def get_tag(self, name: str) -> int:
         """Give the tag of a host's present incarnation, or 0."""
         member = self._members.get(name)
-        return tag_of(member.incarnation) if member else 0
+        return get_incarnation_tag(member.incarnation) if member else 0
 
-    def states(self, domain: str, now: float) -> dict[str, HostState]:
+    def get_states(self, domain: str, now: float) -> dict[str, HostState]:
         """Give the live hosts for the view."""
         return {
             name: HostState(
@@ -146,25 +150,25 @@
         """Give the configuration revision of each host that was heard."""
         return {name: member.revision for name, member in self._members.items() if member}
 
-    def doubts(self, now: float) -> tuple[int, ...]:
+    def list_doubted(self, now: float) -> tuple[int, ...]:
         """Give the tags of hosts that have been silent for most of the time that counts as dead."""
         return tuple(
-            tag_of(member.incarnation)
+            get_incarnation_tag(member.incarnation)
             for member in self._members.values()
-            if member and DOUBT_PART < (now - member.heard_at) / self.suspect_s < 2
+            if member and INDIRECT_PROBE_FRACTION < (now - member.heard_at) / self.suspect_s < 2
         )
 
-    def vouch(self, doubted: tuple[int, ...], now: float) -> tuple[tuple[int, int], ...]:
+    def confirm_alive(self, doubted: tuple[int, ...], now: float) -> tuple[tuple[int, int], ...]:
         """Give the sequences of those incarnations that this host itself heard lately."""
         names = (self._tags[tag] for tag in doubted if tag in self._tags)
         members = (self._members[name] for name in names)
         return tuple(
-            (tag_of(member.incarnation), member.sequence)
+            (get_incarnation_tag(member.incarnation), member.sequence)
             for member in members
-            if member and now - member.direct_at < self.suspect_s * DOUBT_PART
+            if member and now - member.direct_heard_at < self.suspect_s * INDIRECT_PROBE_FRACTION
         )
 
-    def hear_relayed(self, heard: tuple[tuple[int, int], ...], at: float) -> None:
+    def apply_relayed(self, heard: tuple[tuple[int, int], ...], at: float) -> None:
         """Take another host's word for it that some hosts are alive.
 
         Without it, a link that loses datagrams between two hosts makes each of them call the
@@ -173,9 +177,9 @@
         for tag, sequence in heard:
             name = self._tags.get(tag)
             member = self._members.get(name) if name else None
-            if name and member and sequence > max(member.sequence, member.relayed):
+            if name and member and sequence > max(member.sequence, member.relayed_sequence):
                 self._members[name] = member._replace(
-                    heard_at=max(member.heard_at, at), relayed=sequence
+                    heard_at=max(member.heard_at, at), relayed_sequence=sequence
                 )
 
     def resume(self, paused_at: float, now: float) -> None:
@@ -188,49 +192,53 @@
             if member and _is_live(member, paused_at, self.suspect_s):
                 self._members[name] = member._replace(grace_until=now + self.suspect_s)
 
-    def _is_retired(self, beat: Heartbeat, known: Member | None, at: float) -> bool:
-        retired = self._retired[beat.host].get(beat.incarnation)
+    def _is_retired(self, heartbeat: Heartbeat, known: Member | None, at: float) -> bool:
+        retired = self._retired[heartbeat.host].get(heartbeat.incarnation)
         if retired is None:
             return False
         if known and _is_live(known, at, self.suspect_s):
             return True
         # A host that started between two incarnations can take them in the wrong order, and
         # would refuse the true one for ever. Datagrams are not late by as much as RETIRED_S.
-        return at - retired.at < RETIRED_S or beat.sequence <= retired.sequence
+        return at - retired.at < RETIREMENT_S or heartbeat.sequence <= retired.sequence
 
-    def _take(self, beat: Heartbeat, known: Member | None, at: float) -> Merged:
-        same = known if known and known.incarnation == beat.incarnation else None
-        if known and not same:
-            self._retire(beat.host, known, at)
+    def _store(self, heartbeat: Heartbeat, known: Member | None, at: float) -> Merged:
+        current = known if known and known.incarnation == heartbeat.incarnation else None
+        if known and not current:
+            self._retire(heartbeat.host, known, at)
         member = Member(
-            incarnation=beat.incarnation,
-            sequence=beat.sequence,
-            leaving=beat.leaving or bool(same and same.leaving),
-            overloaded=beat.overloaded,
-            load=beat.load,
-            revision=beat.revision,
-            heard_at=max(at, same.heard_at) if same else at,
-            direct_at=max(at, same.direct_at) if same else at,
-            relayed=same.relayed if same else 0,
-            grace_until=same.grace_until if same else NEVER,
+            incarnation=heartbeat.incarnation,
+            sequence=heartbeat.sequence,
+            leaving=heartbeat.leaving or bool(current and current.leaving),
+            overloaded=heartbeat.overloaded,
+            load=heartbeat.load,
+            revision=heartbeat.revision,
+            heard_at=max(at, current.heard_at) if current else at,
+            direct_heard_at=max(at, current.direct_heard_at) if current else at,
+            relayed_sequence=current.relayed_sequence if current else 0,
+            grace_until=current.grace_until if current else NEVER,
         )
-        assert not same or (member.sequence > same.sequence and member.leaving >= same.leaving)
-        self._members[beat.host] = member
-        if same is None:
-            self._retired[beat.host].pop(beat.incarnation, None)
-            self._index()
+        assert not current or (
+            member.sequence > current.sequence and member.leaving >= current.leaving
+        )
+        self._members[heartbeat.host] = member
+        if current is None:
+            self._retired[heartbeat.host].pop(heartbeat.incarnation, None)
+            self._rebuild_tags()
             return Merged.NEWS
-        return Merged.NEWS if member.leaving > same.leaving else Merged.KNOWN
+        return Merged.NEWS if member.leaving > current.leaving else Merged.KNOWN
 
     def _retire(self, name: str, member: Member, at: float) -> None:
         retired = self._retired[name]
         retired[member.incarnation] = Retired(member.sequence, at)
-        while len(retired) > RETIRED_INCARNATIONS:
+        while len(retired) > MAX_RETIRED_INCARNATIONS:
             del retired[next(iter(retired))]
 
-    def _index(self) -> None:
+    def _rebuild_tags(self) -> None:
         self._tags = {
-            tag_of(member.incarnation): name for name, member in self._members.items() if member
+            get_incarnation_tag(member.incarnation): name
+            for name, member in self._members.items()
+            if member
         }
 
 
--- a/cloverway/membership/reports.py
+++ b/cloverway/membership/reports.py
@@ -20,22 +20,22 @@
 from cloverway.addresses import split_url
 from cloverway.config.schema import Endpoint, EndpointKind
 from cloverway.errors import PeerError
-from cloverway.membership.endpoint_table import Report
+from cloverway.membership.endpoint_table import LoadReport
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 1.0
+SOCKET_TIMEOUT_S = 1.0
 """Wait for a connection, and for each piece of an answer."""
-FIRST_S = 1.0
+MAX_FIRST_READ_DELAY_S = 1.0
 """An endpoint that this host has not read yet is read within this time."""
-REPORT_BYTES = 64 * 1024
-TEXT_LENGTH = 128
+MAX_REPORT_BYTES = 64 * 1024
+MAX_TEXT_LENGTH = 128
 """The longest incarnation or name that is taken from a report."""
-MODELS = 64
-COUNT = 2**15 - 1
-LEAN = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
+MAX_MODELS = 64
+MAX_COUNT = 2**15 - 1
+MINIMAL_HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
 """Headers that say nothing to an endpoint would be a third of the bytes of a read."""
-PATHS = {EndpointKind.ENGINE: "/v1/load", EndpointKind.SERVICE: "/load"}
+LOAD_PATHS = {EndpointKind.ENGINE: "/v1/load", EndpointKind.SERVICE: "/load"}
 
 
 class ReportBody(TypedDict):
@@ -53,7 +53,7 @@
     report_age_ms: NotRequired[float]
 
 
-def parse_report(data: bytes, endpoint: Endpoint) -> Report:
+def parse_report(data: bytes, endpoint: Endpoint) -> LoadReport:
     """Read a report; raise PeerError for anything that is none."""
     try:
         body = json.loads(data)
@@ -67,16 +67,16 @@
     offered = body.get("models" if endpoint.kind is EndpointKind.ENGINE else "services", [])
     if not isinstance(offered, list):
         raise PeerError("a load report has no list of what is offered")
-    return Report(
+    return LoadReport(
         incarnation=incarnation,
         ready=body["ready"],
         # Anything but a plain "no" stops new work: that costs little, the other error a request.
         leaving=body.get("leaving", False) is not False,
-        running=_take_count(body.get("running", 0), "running"),
-        waiting=_take_count(body.get("waiting", 0), "waiting"),
-        slots=max(1, _take_count(body.get("slots", endpoint.slots), "slots")),
-        models=tuple(name for name in offered[:MODELS] if _is_text(name)),
-        age_s=_take_count(body.get("report_age_ms", 0), "report_age_ms", 2**31) / 1000,
+        running=_parse_count(body.get("running", 0), "running"),
+        waiting=_parse_count(body.get("waiting", 0), "waiting"),
+        slots=max(1, _parse_count(body.get("slots", endpoint.slots), "slots")),
+        models=tuple(name for name in offered[:MAX_MODELS] if _is_text(name)),
+        age_s=_parse_count(body.get("report_age_ms", 0), "report_age_ms", 2**31) / 1000,
     )
 
 
@@ -86,11 +86,11 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
         self._host, self._port = split_url(endpoint.url)
-        self._path = PATHS[endpoint.kind]
+        self._path = LOAD_PATHS[endpoint.kind]
         self._connection: HTTPConnection | None = None
-        self._guard = threading.Lock()
+        self._connection_lock = threading.Lock()
 
-    def read(self) -> Report:
+    def read(self) -> LoadReport:
         """Read a report; raise PeerError when it can't be had on a new connection either.
 
         A kept connection can go silent for good while new ones work, so its failure says nothing
@@ -103,7 +103,7 @@
 
     def abort(self) -> None:
         """End a read in another thread: an endpoint that sends byte by byte meets no timeout."""
-        with self._guard:
+        with self._connection_lock:
             raw = getattr(self._connection, "sock", None)
         if raw is not None:
             with contextlib.suppress(OSError):
@@ -111,12 +111,12 @@
 
     def close(self) -> None:
         """Drop the connection."""
-        with self._guard:
+        with self._connection_lock:
             connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
 
-    def _read(self) -> Report:
+    def _read(self) -> LoadReport:
         try:
             report = parse_report(self._get(), self.endpoint)
         except (HTTPException, urllib3.exceptions.HTTPError, OSError, ValueError) as error:
@@ -130,13 +130,13 @@
     def _get(self) -> bytes:
         connection = self._connect()
         connection.request(
-            "GET", self._path, headers=LEAN, preload_content=False, decode_content=False
+            "GET", self._path, headers=MINIMAL_HEADERS, preload_content=False, decode_content=False
         )
         response = connection.getresponse()
-        data = response.read(REPORT_BYTES + 1)
+        data = response.read(MAX_REPORT_BYTES + 1)
         if response.status != 200:
             raise PeerError(f"the endpoint answered {response.status}")
-        if len(data) > REPORT_BYTES:
+        if len(data) > MAX_REPORT_BYTES:
             raise PeerError("a load report is too long")
         if response.headers.get("Connection", "").lower() == "close":
             self.close()
@@ -144,14 +144,14 @@
 
     def _connect(self) -> HTTPConnection:
         if self._connection is None:
-            connection = HTTPConnection(self._host, self._port, timeout=SILENCE_S)
-            with self._guard:
+            connection = HTTPConnection(self._host, self._port, timeout=SOCKET_TIMEOUT_S)
+            with self._connection_lock:
                 self._connection = connection
             connection.connect()
         return self._connection
 
 
-class Workers:
+class WorkerThreads:
     """A few threads that make blocking calls; they end with the process."""
 
     def __init__(self, name: str, count: int) -> None:
@@ -191,40 +191,44 @@
             call()
 
 
-class Rounds:
+class ReadSchedule:
     """Which endpoints are due to be read. Pure."""
 
     def __init__(self, offset: Callable[[], float]) -> None:
         self._offset = offset
         self._due: dict[str, float] = {}
-        self._busy: dict[str, float] = {}
+        self._in_progress: dict[str, float] = {}
 
     def take_due(self, names: list[str], interval_s: float, now: float) -> list[str]:
         """Give the endpoints to read now, and plan the next time of each."""
         self._due = {
-            name: self._due.get(name, now + self._offset() * min(interval_s, FIRST_S))
+            name: self._due.get(
+                name, now + self._offset() * min(interval_s, MAX_FIRST_READ_DELAY_S)
+            )
             for name in names
         }
-        due = [name for name, at in self._due.items() if at <= now and name not in self._busy]
+        due = [
+            name for name, at in self._due.items() if at <= now and name not in self._in_progress
+        ]
         for name in due:
             self._due[name] = max(self._due[name] + interval_s, now)
-            self._busy[name] = now
+            self._in_progress[name] = now
         return due
 
     def finish(self, name: str) -> None:
         """Note that a read has ended."""
-        self._busy.pop(name, None)
+        self._in_progress.pop(name, None)
 
-    def overdue(self, limit_s: float, now: float) -> list[str]:
+    def list_overdue(self, limit_s: float, now: float) -> list[str]:
         """List the reads that have taken too long."""
-        return [name for name, since in self._busy.items() if now - since > limit_s]
+        return [name for name, since in self._in_progress.items() if now - since > limit_s]
 
 
 def _is_text(value: object) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= TEXT_LENGTH
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH
 
 
-def _take_count(value: object, name: str, most: int = COUNT) -> int:
+def _parse_count(value: object, name: str, maximum: int = MAX_COUNT) -> int:
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
         raise PeerError(f"{name} of a load report is not a count")
-    return int(min(value, most))
+    return int(min(value, maximum))
--- a/cloverway/peers/channel.py
+++ b/cloverway/peers/channel.py
@@ -24,14 +24,14 @@
 from cloverway.peers import wire
 
 HEADER = struct.Struct(">IB")
-COUNTER = struct.Struct(">QB")
+MAC_PREFIX = struct.Struct(">QB")
 MAC_BYTES = 16
 NONCE_BYTES = 16
-HANDSHAKE_BYTES = 1024
+MAX_HANDSHAKE_BYTES = 1024
 """Longest frame before the other end has proved who it is."""
-FRAME_BYTES = 17 * 1024 * 1024
+MAX_FRAME_BYTES = 17 * 1024 * 1024
 """Longest frame after that: the largest recorded answer and what goes with it."""
-READ_BYTES = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 
 M = TypeVar("M", wire.Hello, wire.Challenge, wire.Proof)
@@ -73,19 +73,19 @@
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.socket = connection
         self.peer = Identity("", "")
-        self.challenged_at = float("-inf")
+        self.challenge_sent_at = float("-inf")
         """When this end sent its nonce; what the peer sends later was made later."""
-        self.sent_at = time.monotonic()
-        self._lock = threading.Lock()
+        self.last_sent_at = time.monotonic()
+        self._send_lock = threading.Lock()
         self._buffer = bytearray()
         self._send_key = b""
         self._receive_key = b""
-        self._sent = 0
-        self._received = 0
+        self._sent_frames = 0
+        self._received_frames = 0
 
     @classmethod
     def connect(
-        cls, address: str, me: Identity, wanted: str, secret: bytes, timeout_s: float
+        cls, address: str, local: Identity, wanted: str, secret: bytes, timeout_s: float
     ) -> Channel:
         """Open a connection to a host and authenticate it; raise PeerError within the time."""
         deadline = time.monotonic() + timeout_s
@@ -95,7 +95,7 @@
             raise PeerError(f"{wanted} can't be reached") from error
         channel = cls(connection)
         try:
-            channel._greet(me, wanted, secret, deadline)
+            channel._start_handshake(local, wanted, secret, deadline)
         except BaseException:
             channel.close()
             raise
@@ -103,12 +103,12 @@
 
     @classmethod
     def accept(
-        cls, connection: socket.socket, me: Identity, secret: bytes, timeout_s: float
+        cls, connection: socket.socket, local: Identity, secret: bytes, timeout_s: float
     ) -> Channel:
         """Authenticate a host that connected; raise PeerError within the time."""
         channel = cls(connection)
         try:
-            channel._answer(me, secret, time.monotonic() + timeout_s)
+            channel._accept_handshake(local, secret, time.monotonic() + timeout_s)
         except BaseException:
             channel.close()
             raise
@@ -120,33 +120,33 @@
 
     def send(self, kind: FrameKind, payload: bytes, deadline: float) -> None:
         """Send a frame; raise PeerError when it can't be sent by the deadline."""
-        if len(payload) > FRAME_BYTES:
+        if len(payload) > MAX_FRAME_BYTES:
             raise PeerError("the frame is too large")
-        with self._lock:
-            frame = self._seal(kind, payload)
+        with self._send_lock:
+            frame = self._make_frame(kind, payload)
             self._write(frame, deadline)
 
     def ping(self) -> None:
         """Show that this end is alive, unless a frame is being sent or the socket is full."""
-        if not self._lock.acquire(blocking=False):
+        if not self._send_lock.acquire(blocking=False):
             return
         try:
             if self._can_write():
-                self._write(self._seal(FrameKind.PING, b""), time.monotonic())
+                self._write(self._make_frame(FrameKind.PING, b""), time.monotonic())
         finally:
-            self._lock.release()
+            self._send_lock.release()
 
     def receive(self, deadline: float) -> Frame:
         """Give the next frame; raise PeerError when it is not whole and true by the deadline."""
         length, kind = HEADER.unpack(self._read(HEADER.size, deadline))
-        if length > FRAME_BYTES:
+        if length > MAX_FRAME_BYTES:
             raise PeerError("a frame is too large")
         payload = self._read(length, deadline)
         mac = self._read(MAC_BYTES, deadline)
-        expected = _compute_mac(self._receive_key, self._received, kind, payload)
+        expected = _compute_mac(self._receive_key, self._received_frames, kind, payload)
         if not hmac.compare_digest(mac, expected):
             raise PeerError("a frame is not from the peer")
-        self._received += 1
+        self._received_frames += 1
         try:
             return Frame(FrameKind(kind), payload)
         except ValueError as error:
@@ -176,7 +176,7 @@
         except (OSError, ValueError):
             return True
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """End the connection from another thread: the owner's calls fail."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
@@ -185,54 +185,56 @@
         """Close the socket."""
         self.socket.close()
 
-    def _greet(self, me: Identity, wanted: str, secret: bytes, deadline: float) -> None:
+    def _start_handshake(
+        self, local: Identity, wanted: str, secret: bytes, deadline: float
+    ) -> None:
         hello = wire.Hello(
-            wire.VERSION, me.host, me.incarnation, wanted, secrets.token_bytes(NONCE_BYTES)
+            wire.VERSION, local.host, local.incarnation, wanted, secrets.token_bytes(NONCE_BYTES)
         )
-        self._write_open(hello, deadline)
-        challenge = self._read_open(wire.Challenge, deadline)
+        self._send_handshake(hello, deadline)
+        challenge = self._receive_handshake(wire.Challenge, deadline)
         session = _derive_session(secret, hello, challenge)
-        if not hmac.compare_digest(challenge.mac, _derive(session, "accepting")):
+        if not hmac.compare_digest(challenge.mac, _derive_key(session, "accepting")):
             raise PeerError(f"{wanted} does not know the secret")
         if challenge.host != wanted:
             raise PeerError(f"{wanted} is not at this address")
-        self._write_open(wire.Proof(_derive(session, "connecting")), deadline)
+        self._send_handshake(wire.Proof(_derive_key(session, "connecting")), deadline)
         self.peer = Identity(challenge.host, challenge.incarnation)
-        self._send_key = _derive(session, "to accepting")
-        self._receive_key = _derive(session, "to connecting")
+        self._send_key = _derive_key(session, "to accepting")
+        self._receive_key = _derive_key(session, "to connecting")
 
-    def _answer(self, me: Identity, secret: bytes, deadline: float) -> None:
-        hello = self._read_open(wire.Hello, deadline)
+    def _accept_handshake(self, local: Identity, secret: bytes, deadline: float) -> None:
+        hello = self._receive_handshake(wire.Hello, deadline)
         if hello.version != wire.VERSION or len(hello.nonce) != NONCE_BYTES:
             raise PeerError("the greeting is of another version")
-        challenge = wire.Challenge(*me, secrets.token_bytes(NONCE_BYTES), b"")
+        challenge = wire.Challenge(*local, secrets.token_bytes(NONCE_BYTES), b"")
         session = _derive_session(secret, hello, challenge)
-        self.challenged_at = time.monotonic()
-        self._write_open(challenge._replace(mac=_derive(session, "accepting")), deadline)
-        proof = self._read_open(wire.Proof, deadline)
-        if not hmac.compare_digest(proof.mac, _derive(session, "connecting")):
+        self.challenge_sent_at = time.monotonic()
+        self._send_handshake(challenge._replace(mac=_derive_key(session, "accepting")), deadline)
+        proof = self._receive_handshake(wire.Proof, deadline)
+        if not hmac.compare_digest(proof.mac, _derive_key(session, "connecting")):
             raise PeerError("the connecting host does not know the secret")
         self.peer = Identity(hello.host, hello.incarnation)
-        self._send_key = _derive(session, "to connecting")
-        self._receive_key = _derive(session, "to accepting")
+        self._send_key = _derive_key(session, "to connecting")
+        self._receive_key = _derive_key(session, "to accepting")
 
-    def _write_open(self, message: wire.Message, deadline: float) -> None:
+    def _send_handshake(self, message: wire.Message, deadline: float) -> None:
         """Send a message of the handshake; its MAC, if it needs one, is a field of its own."""
         payload = wire.encode(message)
         self._write(HEADER.pack(len(payload), FrameKind.MESSAGE) + payload, deadline)
 
-    def _read_open(self, kind: type[M], deadline: float) -> M:
+    def _receive_handshake(self, kind: type[M], deadline: float) -> M:
         length, _ = HEADER.unpack(self._read(HEADER.size, deadline))
-        if length > HANDSHAKE_BYTES:
+        if length > MAX_HANDSHAKE_BYTES:
             raise PeerError("a greeting is too large")
         message = wire.decode(self._read(length, deadline))
         if not isinstance(message, kind):
             raise PeerError("the peer does not keep to the handshake")
         return message
 
-    def _seal(self, kind: FrameKind, payload: bytes) -> bytes:
-        mac = _compute_mac(self._send_key, self._sent, kind, payload)
-        self._sent += 1
+    def _make_frame(self, kind: FrameKind, payload: bytes) -> bytes:
+        mac = _compute_mac(self._send_key, self._sent_frames, kind, payload)
+        self._sent_frames += 1
         return b"".join((HEADER.pack(len(payload), kind), payload, mac))
 
     def _can_write(self) -> bool:
@@ -251,13 +253,13 @@
         finally:
             if view:
                 # The rest of a frame can't follow later: the other end would misread it.
-                self.shut()
-        self.sent_at = time.monotonic()
+                self.shut_down()
+        self.last_sent_at = time.monotonic()
 
     def _read(self, size: int, deadline: float) -> bytes:
         while len(self._buffer) < size:
             try:
-                data = self.socket.recv(READ_BYTES)
+                data = self.socket.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 self._wait(select.POLLIN, deadline)
                 continue
@@ -271,8 +273,8 @@
         return taken
 
     def _wait(self, event: int, deadline: float) -> None:
-        left_s = deadline - time.monotonic()
-        if left_s <= 0 or not self._poll(event, left_s):
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0 or not self._poll(event, remaining_s):
             raise PeerError("the peer is silent")
 
     def _poll(self, event: int, timeout_s: float) -> bool:
@@ -288,14 +290,14 @@
     """Derive the secret of one connection from all that both ends have said."""
     digest = hashlib.sha256()
     for part in (wire.encode(hello), wire.encode(challenge._replace(mac=b""))):
-        digest.update(COUNTER.pack(len(part), 0))
+        digest.update(MAC_PREFIX.pack(len(part), 0))
         digest.update(part)
     return hmac.digest(secret, digest.digest(), "sha256")
 
 
-def _derive(session: bytes, purpose: str) -> bytes:
+def _derive_key(session: bytes, purpose: str) -> bytes:
     return hmac.digest(session, purpose.encode(), "sha256")
 
 
 def _compute_mac(key: bytes, count: int, kind: int, payload: bytes) -> bytes:
-    return hmac.digest(key, COUNTER.pack(count, kind) + payload, "sha256")[:MAC_BYTES]
+    return hmac.digest(key, MAC_PREFIX.pack(count, kind) + payload, "sha256")[:MAC_BYTES]
--- a/cloverway/peers/handlers.py
+++ b/cloverway/peers/handlers.py
@@ -13,14 +13,14 @@
 from cloverway.peers import peering, wire
 from cloverway.sources.port import Changes, Document
 
-ChangesAfter = Callable[[int], Changes]
-Fetch = Callable[[str, str, int], peering.Changes]
+GetChangesAfter = Callable[[int], Changes]
+FetchEncodedChanges = Callable[[str, str, int], peering.EncodedChanges]
 
 
-class PeerRequests:
+class PeerRequestHandler:
     """Hands each call of a peer to the part of the daemon that answers it."""
 
-    def __init__(self, keys: LedgerTask, gateway: Gateway, changes_after: ChangesAfter) -> None:
+    def __init__(self, keys: LedgerTask, gateway: Gateway, changes_after: GetChangesAfter) -> None:
         self._keys = keys
         self._gateway = gateway
         self._changes_after = changes_after
@@ -37,33 +37,33 @@
         """Run a passed-on request here, or refuse it."""
         return self._gateway.run(request)
 
-    def changes(self, after: int) -> peering.Changes:
+    def get_changes(self, after: int) -> peering.EncodedChanges:
         """Give the documents that changed after a revision."""
         return encode_changes(self._changes_after(after))
 
 
-def encode_changes(changes: Changes) -> peering.Changes:
+def encode_changes(changes: Changes) -> peering.EncodedChanges:
     """Give changes in the form that travels between hosts."""
     documents = tuple(
         wire.Change(document.key, document.revision, _encode_value(document))
         for document in changes.documents
     )
-    return peering.Changes(changes.revision, documents, changes.after, changes.digest)
+    return peering.EncodedChanges(changes.revision, documents, changes.after, changes.digest)
 
 
-def decode_changes(changes: peering.Changes) -> Changes:
+def decode_changes(changes: peering.EncodedChanges) -> Changes:
     """Read changes that came from a peer; raise PeerError for any other form."""
     documents = tuple(_decode_change(change) for change in changes.changes)
     return Changes(changes.top, changes.after, documents, changes.digest)
 
 
-def make_fetch(fetch: Fetch) -> Callable[[str, str, int], Changes]:
+def make_fetch_changes(fetch: FetchEncodedChanges) -> Callable[[str, str, int], Changes]:
     """Make a call that asks a host at an address for the changes after a revision."""
 
-    def fetch_changes(host: str, address: str, after: int) -> Changes:
+    def fetch_decoded_changes(host: str, address: str, after: int) -> Changes:
         return decode_changes(fetch(host, address, after))
 
-    return fetch_changes
+    return fetch_decoded_changes
 
 
 def _encode_value(document: Document) -> str | None:
--- a/cloverway/peers/peer_server.py
+++ b/cloverway/peers/peer_server.py
@@ -14,14 +14,14 @@
 from cloverway.once.keys import ClaimCall, SettleCall
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, Identity
-from cloverway.peers.passed_on import PassedOnRun, as_refused
-from cloverway.peers.peering import PeerBounds, PeerHandler
+from cloverway.peers.passed_on import ForwardedRun, make_refusal
+from cloverway.peers.peering import PeerHandler, PeerLimits
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 128
-PAGE_BYTES = 512 * 1024
-PAUSE_S = 0.2
+MAX_PAGE_BYTES = 512 * 1024
+ACCEPT_RETRY_DELAY_S = 0.2
 IDLE_MARGIN_S = 5.0
 """The accepting end keeps an idle connection longer, so that it is the opening end that drops it
 and no call meets a connection that is about to close."""
@@ -38,9 +38,9 @@
         self.calls = 0
         self.running = False
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """End the connection from another thread."""
-        shut(self.raw)
+        shut_down(self.raw)
 
 
 class PeerServer:
@@ -49,15 +49,15 @@
     def __init__(
         self,
         address: str,
-        me: Identity,
+        local: Identity,
         secret: bytes,
         handler: PeerHandler,
-        bounds: PeerBounds,
+        limits: PeerLimits,
     ) -> None:
-        self._me = me
+        self._local = local
         self._secret = secret
         self._handler = handler
-        self._bounds = bounds
+        self._limits = limits
         self._lock = threading.Lock()
         self._connections: set[_Connection] = set()
         self._stopping = threading.Event()
@@ -70,8 +70,8 @@
         self.address = format_address(self._listener.getsockname())
         """Where it listens, by IP number and port."""
         self._threads = [
-            threading.Thread(target=self._accept_all, name="peers", daemon=True),
-            threading.Thread(target=self._ping_all, name="peer-pings", daemon=True),
+            threading.Thread(target=self._accept_connections, name="peers", daemon=True),
+            threading.Thread(target=self._ping_running, name="peer-pings", daemon=True),
         ]
 
     @property
@@ -88,23 +88,23 @@
         """Accept no more, drop idle connections, and give busy ones some time to end."""
         deadline = time.monotonic() + timeout_s
         self._stopping.set()
-        shut(self._listener)
+        shut_down(self._listener)
         with self._lock:
             idle = [each for each in self._connections if each.idle_since is not None]
         for connection in idle:
-            connection.shut()
+            connection.shut_down()
         while self._connections and time.monotonic() < deadline:
             time.sleep(0.01)
         with self._lock:
             rest = list(self._connections)
         for connection in rest:
-            connection.shut()
+            connection.shut_down()
         for thread in self._threads:
             if thread.is_alive():
                 thread.join(1.0)
         self._listener.close()
 
-    def _accept_all(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._stopping.is_set():
             try:
                 raw, _ = self._listener.accept()
@@ -112,41 +112,41 @@
                 if self._stopping.is_set():
                     return
                 log.exception("a connection could not be accepted")
-                self._stopping.wait(PAUSE_S)
+                self._stopping.wait(ACCEPT_RETRY_DELAY_S)
                 continue
             self._admit(raw)
 
     def _admit(self, raw: socket.socket) -> None:
         connection = _Connection(raw)
         with self._lock:
-            dropped = self._choose_dropped()
-            if dropped is not None:
-                self._connections.discard(dropped)
-            full = len(self._connections) >= self._bounds.connections
+            evicted = self._choose_evicted()
+            if evicted is not None:
+                self._connections.discard(evicted)
+            full = len(self._connections) >= self._limits.max_connections
             if not full:
                 self._connections.add(connection)
-        if dropped is not None:
-            dropped.shut()
+        if evicted is not None:
+            evicted.shut_down()
         if full:
             log.warning("too many peers are served at one time")
             raw.close()
             return
         threading.Thread(target=self._serve, args=(connection,), name="peer", daemon=True).start()
 
-    def _choose_dropped(self) -> _Connection | None:
+    def _choose_evicted(self) -> _Connection | None:
         """Choose the connection that makes room for a new one: the one idle for longest.
 
         Were the new one refused instead, its host would take this one for dead for a while, and
         tell its caller that the outcome is unknown.
         """
-        if len(self._connections) < self._bounds.connections:
+        if len(self._connections) < self._limits.max_connections:
             return None
         idle = {each: each.idle_since for each in self._connections}
         since = {each: at for each, at in idle.items() if at is not None}
         return min(since, key=since.__getitem__, default=None)
 
-    def _ping_all(self) -> None:
-        while not self._stopping.wait(self._bounds.ping_s):
+    def _ping_running(self) -> None:
+        while not self._stopping.wait(self._limits.ping_interval_s):
             with self._lock:
                 running = [each.channel for each in self._connections if each.running]
             for channel in running:
@@ -154,16 +154,18 @@
                     self._ping(channel)
 
     def _ping(self, channel: Channel) -> None:
-        if time.monotonic() - channel.sent_at < self._bounds.ping_s / 2:
+        if time.monotonic() - channel.last_sent_at < self._limits.ping_interval_s / 2:
             return
         try:
             channel.ping()
         except PeerError:
-            channel.shut()
+            channel.shut_down()
 
     def _serve(self, connection: _Connection) -> None:
         try:
-            channel = Channel.accept(connection.raw, self._me, self._secret, self._bounds.connect_s)
+            channel = Channel.accept(
+                connection.raw, self._local, self._secret, self._limits.connect_timeout_s
+            )
             connection.channel = channel
             while not self._stopping.is_set():
                 self._serve_call(connection, channel)
@@ -178,25 +180,27 @@
 
     def _serve_call(self, connection: _Connection, channel: Channel) -> None:
         connection.idle_since = time.monotonic()
-        first = channel.receive_message(connection.idle_since + self._bounds.idle_s + IDLE_MARGIN_S)
+        first = channel.receive_message(
+            connection.idle_since + self._limits.idle_timeout_s + IDLE_MARGIN_S
+        )
         connection.idle_since = None
         connection.calls += 1
         if isinstance(first, wire.RunCall):
             self._run(connection, channel, first)
         elif isinstance(first, wire.ChangesCall):
-            self._give_changes(channel, first)
+            self._send_changes(channel, first)
         else:
             if isinstance(first, ClaimCall) and channel.broken:
                 # This process slept, and the claimant has given up: a grant would go to nobody,
                 # and the caller's repeat would find the key taken.
                 raise PeerError("the claimant has given the claim up")
-            channel.send_message(self._answer(first), self._send_by())
+            channel.send_message(self._answer(first), self._get_send_deadline())
 
     def _run(self, connection: _Connection, channel: Channel, call: wire.RunCall) -> None:
         connection.running = True
         try:
             reused = connection.calls > 1
-            PassedOnRun(self._handler, self._bounds, channel, reused).serve(call)
+            ForwardedRun(self._handler, self._limits, channel, reused).serve(call)
         finally:
             connection.running = False
 
@@ -208,22 +212,22 @@
                 self._handler.settle(message)
                 return wire.Settled()
         except RequestError as error:
-            return as_refused(error)
+            return make_refusal(error)
         raise PeerError("the peer does not keep to the protocol")
 
-    def _give_changes(self, channel: Channel, call: wire.ChangesCall) -> None:
-        changes = self._handler.changes(call.after)
+    def _send_changes(self, channel: Channel, call: wire.ChangesCall) -> None:
+        changes = self._handler.get_changes(call.after)
         pages = list(split_pages(changes.changes))
         for number, page in enumerate(pages, start=1):
             more = number < len(pages)
             message = wire.ChangesPage(changes.top, page, more, changes.after, changes.digest)
-            channel.send_message(message, self._send_by())
+            channel.send_message(message, self._get_send_deadline())
 
-    def _send_by(self) -> float:
-        return time.monotonic() + self._bounds.send_s
+    def _get_send_deadline(self) -> float:
+        return time.monotonic() + self._limits.send_timeout_s
 
 
-def shut(raw: socket.socket) -> None:
+def shut_down(raw: socket.socket) -> None:
     """End a socket's use by another thread; harmless when it has ended."""
     with contextlib.suppress(OSError):
         raw.shutdown(socket.SHUT_RDWR)
@@ -235,7 +239,7 @@
     size = 0
     for change in changes:
         length = len(change.key) + len(change.value or "")
-        if page and size + length > PAGE_BYTES:
+        if page and size + length > MAX_PAGE_BYTES:
             yield tuple(page)
             page, size = [], 0
         page.append(change)
--- a/cloverway/peers/peer_stream.py
+++ b/cloverway/peers/peer_stream.py
@@ -12,19 +12,19 @@
 from cloverway.messages import Refused
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, Frame, FrameKind
-from cloverway.peers.peering import PeerBounds
+from cloverway.peers.peering import PeerLimits
 
-LEFT_EVENTS = select.POLLIN | select.POLLHUP | select.POLLERR
+DISCONNECT_EVENTS = select.POLLIN | select.POLLHUP | select.POLLERR
 
 
 class PeerStream:
     """Reads data frames up to the one that says that the answer is whole."""
 
     def __init__(
-        self, channel: Channel, bounds: PeerBounds, release: Callable[[Channel], None]
+        self, channel: Channel, limits: PeerLimits, release: Callable[[Channel], None]
     ) -> None:
         self._channel = channel
-        self._bounds = bounds
+        self._limits = limits
         self._release = release
         self._received = 0
         self._ended = False
@@ -41,7 +41,7 @@
         pieces = []
         while not self._ended:
             pieces.append(self._receive_piece(deadline))
-            if self._received > self._bounds.answer_bytes:
+            if self._received > self._limits.max_response_bytes:
                 self.close()
                 raise RequestError(Kind.TRUNCATED, "the answer is too large", ran=Ran.UNKNOWN)
         return b"".join(pieces)
@@ -51,7 +51,7 @@
         watched = not isinstance(caller, ssl.SSLSocket)
         while not self._ended:
             if watched and not self._channel.has_input:
-                watched = self._watch(caller)
+                watched = self._wait_for_input(caller)
             piece = self._receive_piece()
             if piece:
                 self._send_chunk(caller, piece)
@@ -65,16 +65,16 @@
     def _receive_piece(self, deadline: float | None = None) -> bytes:
         """Give the next piece, which is empty at the end and when the host only lives."""
         try:
-            limit = time.monotonic() + self._bounds.silence_s
+            limit = time.monotonic() + self._limits.silence_timeout_s
             frame = self._channel.receive(limit if deadline is None else min(limit, deadline))
-            return self._take(frame)
+            return self._process_frame(frame)
         except PeerError as error:
             self.close()
             late = deadline is not None and time.monotonic() >= deadline
             kind = Kind.TIMED_OUT if late else Kind.TRUNCATED
             raise RequestError(kind, str(error), ran=Ran.UNKNOWN) from error
 
-    def _take(self, frame: Frame) -> bytes:
+    def _process_frame(self, frame: Frame) -> bytes:
         if frame.kind is FrameKind.PING:
             return b""
         if frame.kind is FrameKind.DATA:
@@ -92,12 +92,12 @@
             raise RequestError(message.kind, message.detail, ran=ran)
         raise PeerError("the peer does not keep to the protocol")
 
-    def _watch(self, caller: socket.socket) -> bool:
+    def _wait_for_input(self, caller: socket.socket) -> bool:
         """Wait for the host or the caller; give whether the caller need be watched further."""
         poll = select.poll()
         poll.register(self._channel.socket, select.POLLIN)
-        poll.register(caller, LEFT_EVENTS)
-        ready = {number for number, _ in poll.poll(self._bounds.silence_s * 1000)}
+        poll.register(caller, DISCONNECT_EVENTS)
+        ready = {number for number, _ in poll.poll(self._limits.silence_timeout_s * 1000)}
         if caller.fileno() not in ready:
             return True
         try:
--- a/cloverway/peers/peering.py
+++ b/cloverway/peers/peering.py
@@ -11,7 +11,7 @@
 from cloverway.peers.wire import Change
 
 
-class Changes(NamedTuple):
+class EncodedChanges(NamedTuple):
     """Published documents that a host knows."""
 
     top: int
@@ -38,42 +38,42 @@
         """Run a passed-on request here, or refuse it; never pass it on."""
         ...
 
-    def changes(self, after: int) -> Changes:
+    def get_changes(self, after: int) -> EncodedChanges:
         """Give the documents that changed after a revision."""
         ...
 
 
-class PeerBounds(NamedTuple):
+class PeerLimits(NamedTuple):
     """Bounds on connections between hosts. Times are in seconds."""
 
-    connect_s: float = 1.0
+    connect_timeout_s: float = 1.0
     """Connecting and authenticating, at either end."""
-    answer_s: float = 1.5
+    response_timeout_s: float = 1.5
     """Waiting for a small call's answer on a new connection."""
-    reused_answer_s: float = 0.8
+    reused_response_timeout_s: float = 0.8
     """The same on a re-used connection, which may be silent; a new one is tried after that."""
-    send_s: float = 10.0
+    send_timeout_s: float = 10.0
     """Until the other end has room for a frame."""
-    ping_s: float = 1.0
+    ping_interval_s: float = 1.0
     """How often a host that works on a request shows that it is alive."""
-    silence_s: float = 4.0
+    silence_timeout_s: float = 4.0
     """Without any frame from a host that works on a request, until it is given up."""
-    dead_s: float = 1.0
+    backoff_s: float = 1.0
     """After a host could not be reached, until it is tried again."""
-    idle_s: float = 5.0
+    idle_timeout_s: float = 5.0
     """Until a connection that is not used is dropped by the end that opened it."""
-    connections: int = 256
+    max_connections: int = 256
     """Accepted at one time."""
-    pooled: int = 64
+    max_pooled: int = 64
     """Open and not used, to all hosts together."""
-    body_bytes: int = 4 * 1024 * 1024
-    answer_bytes: int = 64 * 1024 * 1024
+    max_body_bytes: int = 4 * 1024 * 1024
+    max_response_bytes: int = 64 * 1024 * 1024
 
     @classmethod
-    def from_limits(cls, limits: Limits) -> PeerBounds:
+    def from_limits(cls, limits: Limits) -> PeerLimits:
         """Take what the settings of a daemon bound."""
         return cls(
-            connect_s=limits.connect_timeout_s,
-            body_bytes=limits.body_bytes,
-            answer_bytes=limits.answer_bytes,
+            connect_timeout_s=limits.connect_timeout_s,
+            max_body_bytes=limits.body_bytes,
+            max_response_bytes=limits.answer_bytes,
         )
--- a/cloverway/peers/wire.py
+++ b/cloverway/peers/wire.py
@@ -118,14 +118,14 @@
     | ChangesPage
 )
 
-MESSAGES = StructCodec("peer.thrift", get_args(Message))
+MESSAGE_CODEC = StructCodec("peer.thrift", get_args(Message))
 
 
 def encode(message: Message) -> bytes:
     """Give the bytes of a message; raise PeerError for text that UTF-8 can't hold."""
-    return MESSAGES.encode(message)
+    return MESSAGE_CODEC.encode(message)
 
 
 def decode(data: bytes) -> Message:
     """Read a message; raise PeerError for bytes that are not one whole message."""
-    return cast(Message, MESSAGES.decode(data))
+    return cast(Message, MESSAGE_CODEC.decode(data))
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -34,13 +34,13 @@
 )
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
-from cloverway.peers.peering import PeerBounds
-from cloverway.tests.peer_fakes import SECRET, Handler, make_request, start_server
+from cloverway.peers.peering import PeerLimits
+from cloverway.tests.peer_fakes import SECRET, FakeHandler, make_request, start_server
 
 CLAIMS = 2_000
 WARM_UP = 200
 KEYS = 100_000
-BOUNDS = Bounds(1_000_000, 3_600.0, 64 * 1024 * 1024, 256 * 1024)
+LIMITS = Bounds(1_000_000, 3_600.0, 64 * 1024 * 1024, 256 * 1024)
 
 
 def hold_anywhere(*_: str) -> bool:
@@ -48,7 +48,7 @@
 
 
 def make_keys(host: str) -> LedgerTask:
-    ledger = Ledger(host, "i1", secrets.token_bytes(32), BOUNDS, time.monotonic())
+    ledger = Ledger(host, "i1", secrets.token_bytes(32), LIMITS, time.monotonic())
     return LedgerTask(ledger, hold_anywhere)
 
 
@@ -56,9 +56,9 @@
     """Be the issuing host, in a process of its own, until told to stop."""
     keys = make_keys("h1")
     keys.start()
-    handler = Handler()
+    handler = FakeHandler()
     handler.claim, handler.settle = keys.claim, keys.settle
-    server = start_server(handler, Identity("h1", "i1"), PeerBounds())
+    server = start_server(handler, Identity("h1", "i1"), PeerLimits())
     pipe.send((server.address, [keys.issue(1)[0] for _ in range(2 * CLAIMS + 2 * WARM_UP)]))
     for _ in iter(pipe.recv, "stop"):
         pipe.send(time.process_time())
@@ -74,7 +74,7 @@
     address, keys = ours.recv()
     local = make_keys("h2")
     local.start()
-    client = PeerClient(Identity("h2", "i1"), SECRET, PeerBounds())
+    client = PeerClient(Identity("h2", "i1"), SECRET, PeerLimits())
     claims = Claims(local, client, {"h1": address}.get, hold_anywhere)
     near_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
     far_keys = iter(keys)
@@ -118,7 +118,7 @@
 
 def measure_memory() -> None:
     """Count the bytes of a ledger for each used key, and time its calls."""
-    ledger = Ledger("h1", "i1", SECRET, BOUNDS, 0.0)
+    ledger = Ledger("h1", "i1", SECRET, LIMITS, 0.0)
     keys = ledger.issue((secrets.token_bytes(NONCE_BYTES) for _ in range(KEYS)), 0.0)
     began = time.process_time()
     names = [ParsedKey.parse(key) for key in keys]
@@ -129,7 +129,7 @@
     use_keys(ledger, keys)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    ledger = Ledger("h1", "i1", SECRET, BOUNDS, 0.0)
+    ledger = Ledger("h1", "i1", SECRET, LIMITS, 0.0)
     began = time.process_time()
     use_keys(ledger, keys)
     spent_s = time.process_time() - began
@@ -173,7 +173,7 @@
         self.results: Counter[str] = Counter()
 
     def make_ledger(self, host: int, incarnation: str) -> Ledger:
-        return Ledger(f"h{host}", incarnation, SECRET, BOUNDS, self.start)
+        return Ledger(f"h{host}", incarnation, SECRET, LIMITS, self.start)
 
     def at(self, time_s: float, step: Callable[[float], None]) -> None:
         heapq.heappush(self.events, (time_s, next(self.numbers), step))
@@ -198,7 +198,7 @@
         leaving = -(self.case.drain_s or 0) <= now < 0
         issuer = self.random.randrange(1 if leaving else 0, self.case.hosts)
         (key,) = self.ledgers[issuer].issue([next(self.numbers).to_bytes(NONCE_BYTES, "big")], now)
-        hold_s = min(self.random.expovariate(1 / self.case.hold_s), BOUNDS.lifetime_s)
+        hold_s = min(self.random.expovariate(1 / self.case.hold_s), LIMITS.lifetime_s)
         self.at(now + hold_s, lambda then: self.send(then, issuer, key, first=True))
 
     def send(self, now: float, issuer: int, key: str, first: bool) -> None:
--- a/cloverway/tests/bench_membership.py
+++ b/cloverway/tests/bench_membership.py
@@ -14,9 +14,9 @@
 from typing import NamedTuple
 
 from cloverway.config.settings import Timing
-from cloverway.membership.heartbeats import Heartbeat, LoadRow, decode, encode, identify
+from cloverway.membership.heartbeats import Heartbeat, LoadRow, decode, encode, hash_name
 from cloverway.membership.membership import Membership
-from cloverway.tests.gossip_simulation import SEAL, GossipSimulation, Shape
+from cloverway.tests.gossip_simulation import AUTHENTICATOR, GossipSimulation, Shape
 from cloverway.tests.test_control import Cluster
 
 OWN_THREADS = ("control", "reports", "platform", "list", "fetch")
@@ -43,16 +43,16 @@
 
 
 def measure(shape: Shape, warm_s=WARM_S, measured_s=MEASURED_S, loss=0.0) -> Cost:
-    world = GossipSimulation(shape, seed=7, loss=loss)
-    world.churn = True
-    world.run(warm_s)
-    hosts = world.hosts.values()
+    simulation = GossipSimulation(shape, seed=7, loss=loss)
+    simulation.churn = True
+    simulation.run(warm_s)
+    hosts = simulation.hosts.values()
     for host in hosts:
         host.sent = host.sent_bytes = host.received_bytes = host.reads = 0
     begun = time.process_time()
-    world.run(measured_s)
+    simulation.run(measured_s)
     spent = time.process_time() - begun
-    each = len(world.hosts) * measured_s
+    each = len(simulation.hosts) * measured_s
     return Cost(
         sum(host.sent for host in hosts) / each,
         sum(host.sent_bytes for host in hosts) / each,
@@ -109,17 +109,17 @@
 
 
 def print_codec() -> None:
-    rows = tuple(LoadRow(identify(f"e{n}"), identify(f"t{n}"), 0.3, 5, 7) for n in range(10))
+    rows = tuple(LoadRow(hash_name(f"e{n}"), hash_name(f"t{n}"), 0.3, 5, 7) for n in range(10))
     beat = Heartbeat("region-00-domain-000-host-00", 12345678901, 77, load=0.5, loads=rows)
     body = encode(beat)
-    datagram = SEAL.close(body, 1)
+    datagram = AUTHENTICATOR.sign(body, 1)
     core = Membership("me", 1, 2.0)
     core.adopt(["me", beat.host])
     beats = iter([beat._replace(sequence=n) for n in range(1, 20_001)])
     steps = {
         "encode": lambda: encode(beat),
-        "seal": lambda: SEAL.close(body, 1),
-        "open": lambda: SEAL.open(datagram),
+        "seal": lambda: AUTHENTICATOR.sign(body, 1),
+        "open": lambda: AUTHENTICATOR.verify(datagram),
         "decode": lambda: decode(body),
         "merge": lambda: core.merge(next(beats), 1, 1.0),
     }
@@ -146,15 +146,15 @@
         for loss in (0.0, 0.2):
             took, false, minutes = [], 0, 0.0
             for seed in range(20):
-                world = GossipSimulation(Shape(hosts=hosts, endpoints=4), seed=seed, loss=loss)
-                world.run_until(world.sees_all)
+                simulation = GossipSimulation(Shape(hosts=hosts, endpoints=4), seed=seed, loss=loss)
+                simulation.run_until(simulation.sees_all)
                 for _ in range(300):
-                    world.run(0.1)
-                    false += not world.sees_all()
+                    simulation.run(0.1)
+                    false += not simulation.sees_all()
                 minutes += hosts * 0.5
-                dead, *rest = world.hosts
-                world.kill(dead)
-                took.append(_time_detection(world, dead, rest))
+                dead, *rest = simulation.hosts
+                simulation.kill(dead)
+                took.append(_time_detection(simulation, dead, rest))
             took.sort()
             print(
                 f"| {hosts} | {loss:.0%} | {took[10]:.2f} | {took[-1]:.2f}"
@@ -164,26 +164,26 @@
     print(f"\nafter pauses of 1 to 60 s: {_count_after_pauses()} false positives in 60 wake-ups")
 
 
-def _time_detection(world: GossipSimulation, dead: str, rest: list[str]) -> float:
-    return world.run_until(
-        lambda: all(dead not in world.hosts[name].view(world.now) for name in rest)
+def _time_detection(simulation: GossipSimulation, dead: str, rest: list[str]) -> float:
+    return simulation.run_until(
+        lambda: all(dead not in simulation.hosts[name].view(simulation.now) for name in rest)
     )
 
 
 def _count_after_pauses() -> int:
     false = 0
     for seed in range(20):
-        world = GossipSimulation(Shape(hosts=6, endpoints=4), seed=seed, loss=0.05)
-        world.run(5.0)
+        simulation = GossipSimulation(Shape(hosts=6, endpoints=4), seed=seed, loss=0.05)
+        simulation.run(5.0)
         for seconds in (1.0, 5.0, 60.0):
-            name = world.random.choice(list(world.hosts))
-            world.pause(name)
-            world.run(seconds)
-            world.wake(name)
-            false += len(world.hosts[name].view(world.now)) < 5
+            name = simulation.random.choice(list(simulation.hosts))
+            simulation.pause(name)
+            simulation.run(seconds)
+            simulation.wake(name)
+            false += len(simulation.hosts[name].view(simulation.now)) < 5
             for _ in range(50):
-                world.run(0.1)
-                false += len(world.hosts[name].view(world.now)) < 5
+                simulation.run(0.1)
+                false += len(simulation.hosts[name].view(simulation.now)) < 5
     return false
 
 
--- a/cloverway/tests/fake_host.py
+++ b/cloverway/tests/fake_host.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 
-class Seen(NamedTuple):
+class SeenRequest(NamedTuple):
     method: str
     path: str
     headers: dict[str, str]
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._socket.getsockname()[1]}"
-        self.seen: list[Seen] = []
+        self.seen: list[SeenRequest] = []
         self._answers: dict[str, list[bytes]] = {}
         self._thread = threading.Thread(target=self._serve, daemon=True)
 
@@ -67,14 +67,14 @@
                 name.lower(): value for name, value in (line.split(": ", 1) for line in lines)
             }
             body = reader.read(int(headers.get("content-length", 0)))
-        self.seen.append(Seen(method, path, headers, body))
+        self.seen.append(SeenRequest(method, path, headers, body))
         prepared = self._answers.get(path, [])
         if not prepared:
             return
         connection.sendall(prepared.pop(0) if len(prepared) > 1 else prepared[0])
 
 
-def stream_of(*texts: str, done: bool = True, last_chunk: bool = True) -> bytes:
+def make_stream(*texts: str, done: bool = True, last_chunk: bool = True) -> bytes:
     """Give a chunked stream of completion events."""
     events = [json.dumps({"choices": [{"delta": {"content": text}}]}) for text in texts]
     events += ["[DONE]"] if done else []
--- a/cloverway/tests/gossip_simulation.py
+++ b/cloverway/tests/gossip_simulation.py
@@ -11,13 +11,13 @@
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import QuarantineTerms
 from cloverway.dispatch.ends import CrashTracker
-from cloverway.membership.datagram_auth import Seal
-from cloverway.membership.endpoint_table import Report
-from cloverway.membership.gossip import Gossip, Own
+from cloverway.membership.datagram_auth import DatagramAuthenticator
+from cloverway.membership.endpoint_table import LoadReport
+from cloverway.membership.gossip import Gossip, LocalState
 from cloverway.membership.heartbeats import parse_incarnation
-from cloverway.membership.reports import Rounds
+from cloverway.membership.reports import ReadSchedule
 
-SEAL = Seal.from_secret(b"a secret of the tests that all hosts share")
+AUTHENTICATOR = DatagramAuthenticator.from_secret(b"a secret of the tests that all hosts share")
 LATENCY_S = 0.001
 FRAME_BYTES = 28
 """Headers of IP and UDP."""
@@ -70,7 +70,7 @@
 
     def __init__(self, gossip: Gossip, random: Random) -> None:
         self.gossip = gossip
-        self.rounds = Rounds(random.random)
+        self.rounds = ReadSchedule(random.random)
         self.alive = True
         self.paused_at: float | None = None
         self.buffer: list[bytes] = []
@@ -78,7 +78,7 @@
         self.sent = self.received = self.sent_bytes = self.received_bytes = self.reads = 0
 
     def view(self, now):
-        return set(self.gossip.near_hosts(now))
+        return set(self.gossip.get_domain_hosts(now))
 
 
 class GossipSimulation:
@@ -95,7 +95,7 @@
         self.number = itertools.count()
         self.names = {host.peers: name for name, host in self.published.hosts.items()}
         self.reports = {
-            name: Report(f"start-{name}", True, False, 0, 0, 8, endpoint.models)
+            name: LoadReport(f"start-{name}", True, False, 0, 0, 8, endpoint.models)
             for name, endpoint in self.published.endpoints.items()
         }
         self.unreadable: set[str] = set()
@@ -112,11 +112,11 @@
             self.published.hosts[name].domain,
             incarnation=parse_incarnation(incarnation or f"{self.random.getrandbits(64):016x}"),
             timing=self.timing,
-            seal=SEAL,
+            authenticator=AUTHENTICATOR,
             random=self.random,
-            ends=CrashTracker(QuarantineTerms()),
+            crash_tracker=CrashTracker(QuarantineTerms()),
         )
-        gossip.own = Own(revision=1)
+        gossip.local_state = LocalState(revision=1)
         gossip.adopt(self.published)
         host = self.hosts[name] = Host(gossip, self.random)
         for step, period in (
@@ -166,7 +166,7 @@
         )
 
     def endpoint(self, host, name):
-        return self.hosts[host].gossip.endpoints(self.now)[name]
+        return self.hosts[host].gossip.get_endpoints(self.now)[name]
 
     def _at(self, when, step, *arguments):
         heapq.heappush(self.queue, (when, next(self.number), step, arguments))
@@ -178,13 +178,13 @@
         if self._is_running(name, host):
             self._at(self.now + period, self._beat, name, host, period)
             if host.paused_at is None:
-                self._send(name, host, host.gossip.beat(self.now))
+                self._send(name, host, host.gossip.make_heartbeats(self.now))
 
     def _speak(self, name, host, period):
         if self._is_running(name, host):
             self._at(self.now + period, self._speak, name, host, period)
             if host.paused_at is None:
-                self._send(name, host, host.gossip.speak(self.now))
+                self._send(name, host, host.gossip.make_summaries(self.now))
 
     def _tick(self, name, host, period):
         if not self._is_running(name, host):
@@ -193,13 +193,13 @@
         if host.paused_at is not None:
             return
         self._read(host)
-        if host.gossip.ends.take_urgent() or host.urgent:
+        if host.gossip.crash_tracker.take_urgent() or host.urgent:
             host.urgent = False
-            self._send(name, host, host.gossip.spread(self.now))
+            self._send(name, host, host.gossip.make_broadcast(self.now))
 
     def _read(self, host):
-        names = host.gossip.endpoints_to_read(self.now)
-        interval = host.gossip.read_interval(self.now)
+        names = host.gossip.list_endpoints_to_read(self.now)
+        interval = host.gossip.update_read_interval(self.now)
         for endpoint in host.rounds.take_due(names, interval, self.now):
             host.rounds.finish(endpoint)
             host.reads += 1
@@ -212,7 +212,7 @@
                     waiting=_random_step(report.waiting, 4, self.random),
                 )
                 self.reports[endpoint] = report
-            if host.gossip.readings.take_report(endpoint, report, self.now):
+            if host.gossip.endpoint_table.apply_report(endpoint, report, self.now):
                 host.urgent = True
 
     def _send(self, name, host, outgoing):
--- a/cloverway/tests/peer_fakes.py
+++ b/cloverway/tests/peer_fakes.py
@@ -13,12 +13,17 @@
 from cloverway.peers import wire
 from cloverway.peers.channel import HEADER, Channel, Identity
 from cloverway.peers.peer_server import PeerServer
-from cloverway.peers.peering import Changes, PeerBounds
+from cloverway.peers.peering import EncodedChanges, PeerLimits
 
 SECRET = b"s" * 32
-PATIENCE_S = 10.0
-BOUNDS = PeerBounds(
-    connect_s=5.0, answer_s=5.0, reused_answer_s=5.0, silence_s=5.0, ping_s=0.05, dead_s=0.01
+TIMEOUT_S = 10.0
+LIMITS = PeerLimits(
+    connect_timeout_s=5.0,
+    response_timeout_s=5.0,
+    reused_response_timeout_s=5.0,
+    silence_timeout_s=5.0,
+    ping_interval_s=0.05,
+    backoff_s=0.01,
 )
 ME = Identity("h1", "i1")
 PEER = Identity("h2", "i2")
@@ -26,14 +31,14 @@
 
 
 def wait_until(condition):
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     step = threading.Event()
     while not condition():
         assert time.monotonic() < deadline, "it did not come"
         step.wait(0.005)
 
 
-class Stream:
+class FakeStream:
     """Pieces of an answer; an item that is an error is raised, an event is waited for."""
 
     def __init__(self, *items):
@@ -45,7 +50,7 @@
             if isinstance(item, Exception):
                 raise item
             if isinstance(item, threading.Event):
-                item.wait(PATIENCE_S)
+                item.wait(TIMEOUT_S)
             else:
                 yield item
 
@@ -53,7 +58,7 @@
         self.closed.set()
 
 
-class Handler:
+class FakeHandler:
     def __init__(self):
         self.claims = []
         self.settled = []
@@ -61,7 +66,7 @@
         self.reply = Reply(200, "application/json", b"{}", headers=(("Ran-At", "h2"),))
         self.error = None
         self.gate = None
-        self.all_changes = Changes(0)
+        self.all_changes = EncodedChanges(0)
 
     def claim(self, call):
         self.claims.append(call)
@@ -75,16 +80,16 @@
     def run(self, request):
         self.requests.append(request)
         if self.gate:
-            self.gate.wait(PATIENCE_S)
+            self.gate.wait(TIMEOUT_S)
         if self.error:
             raise self.error
         return self.reply
 
-    def changes(self, after):
+    def get_changes(self, after):
         return self.all_changes
 
 
-class Link:
+class TcpProxy:
     """A link whose connections a test can make silent: what is read is kept back."""
 
     def __init__(self, target):
@@ -144,12 +149,12 @@
     return Request("r1", "t", "p", "/x?y=1", "POST", body, "text/x", now, now + left_s, **more)
 
 
-class Dialer:
+class RawConnection:
     """A raw connection that keeps to no protocol but the test's."""
 
     def __init__(self, address):
         number, port = address.split(":")
-        self.raw = socket.create_connection((number, int(port)), PATIENCE_S)
+        self.raw = socket.create_connection((number, int(port)), TIMEOUT_S)
 
     def __enter__(self):
         return self
@@ -157,11 +162,11 @@
     def __exit__(self, *_):
         self.raw.close()
 
-    def send_open(self, message):
+    def send_handshake(self, message):
         payload = wire.encode(message)
         self.raw.sendall(HEADER.pack(len(payload), 0) + payload)
 
-    def read_open(self):
+    def read_handshake(self):
         length, _ = HEADER.unpack(self.raw.recv(HEADER.size, socket.MSG_WAITALL))
         return wire.decode(self.raw.recv(length, socket.MSG_WAITALL))
 
@@ -174,18 +179,18 @@
         return True
 
 
-def start_server(handler, me=PEER, bounds=BOUNDS):
+def start_server(handler, me=PEER, bounds=LIMITS):
     server = PeerServer("127.0.0.1:0", me, SECRET, handler, bounds)
     server.start()
     return server
 
 
 def connect(server):
-    return Channel.connect(server.address, ME, "h2", SECRET, PATIENCE_S)
+    return Channel.connect(server.address, ME, "h2", SECRET, TIMEOUT_S)
 
 
-def soon():
-    return time.monotonic() + PATIENCE_S
+def make_deadline():
+    return time.monotonic() + TIMEOUT_S
 
 
 def make_channels():
--- a/cloverway/tests/test_client.py
+++ b/cloverway/tests/test_client.py
@@ -10,7 +10,7 @@
 from cloverway.answers import parse_events
 from cloverway.client import Call, Client, decide_wait
 from cloverway.errors import CallError, Kind, Ran
-from cloverway.tests.fake_host import FakeHost, stream_of
+from cloverway.tests.fake_host import FakeHost, make_stream
 
 CHAT = "/v1/chat/completions"
 KEYS = "/v1/idempotency-keys"
@@ -44,7 +44,7 @@
 
 
 def test_call_asks_for_hosts_and_sends_headers(host: FakeHost) -> None:
-    host.answer(CHAT, stream_of("Yes, ", "10 boxes."))
+    host.answer(CHAT, make_stream("Yes, ", "10 boxes."))
     answer = make_client(host).call(chat()._replace(deadline_ms=900))
     assert "".join(answer.read_text()) == "Yes, 10 boxes."
     assert host.paths() == ["/v1/hosts", CHAT]
@@ -63,10 +63,10 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        stream_of("one", "two", done=False),
-        stream_of("one", "two", done=False, last_chunk=False),
-        stream_of("one", "two", last_chunk=False)[:-10],
-        stream_of("one", "two", last_chunk=False),
+        make_stream("one", "two", done=False),
+        make_stream("one", "two", done=False, last_chunk=False),
+        make_stream("one", "two", last_chunk=False)[:-10],
+        make_stream("one", "two", last_chunk=False),
     ],
     ids=["no closing event", "connection closed", "within an event", "no last chunk"],
 )
@@ -115,7 +115,7 @@
 def test_leaving_host_is_left_for_the_next(host: FakeHost, other: FakeHost) -> None:
     name_hosts(host, other)
     host.refuse(CHAT, "leaving", "no")
-    other.answer(CHAT, stream_of("here"))
+    other.answer(CHAT, make_stream("here"))
     waits: list[float] = []
     answer = make_client(host, waits=waits).call(chat())
     assert list(answer.read_text()) == ["here"]
@@ -125,7 +125,7 @@
 
 def test_retry_after_is_honoured(host: FakeHost) -> None:
     host.refuse(CHAT, "overloaded", "no", 429, "Retry-After: 7\r\n")
-    host.answer(CHAT, stream_of("later"))
+    host.answer(CHAT, make_stream("later"))
     waits: list[float] = []
     assert list(make_client(host, waits=waits).call(chat()).read_text()) == ["later"]
     assert waits == [7.0]
@@ -135,7 +135,7 @@
     """Every answer says to come back in 0 s: the attempts are spaced all the same."""
     host.refuse(CHAT, "overloaded", "no", 429, "Retry-After: 0\r\n")
     host.refuse(CHAT, "overloaded", "no", 429, "Retry-After: 0\r\n")
-    host.answer(CHAT, stream_of("later"))
+    host.answer(CHAT, make_stream("later"))
     waits: list[float] = []
     make_client(host, waits=waits).call(chat()).close()
     assert len(waits) == 2 and min(waits) >= 0.1
@@ -178,7 +178,7 @@
 def test_required_key_is_fetched(host: FakeHost) -> None:
     host.answer_json(KEYS, {"keys": ["K1"], "lifetime_s": 60})
     host.refuse(CHAT, "key_required", "no", 428)
-    host.answer(CHAT, stream_of("once"))
+    host.answer(CHAT, make_stream("once"))
     assert list(make_client(host).call(chat()).read_text()) == ["once"]
     assert host.paths()[1:] == [CHAT, KEYS, CHAT]
     assert host.seen[-1].headers["idempotency-key"] == "K1"
@@ -197,7 +197,7 @@
     """The host dies while it is asked for a key: the call itself was never sent."""
     name_hosts(host, other)
     other.answer_json(KEYS, {"keys": ["K2"], "lifetime_s": 60})
-    other.answer(CHAT, stream_of("there"))
+    other.answer(CHAT, make_stream("there"))
     waits: list[float] = []
     answer = make_client(host, waits=waits).call(chat(), once=True)
     assert answer.key == "K2"
@@ -212,7 +212,7 @@
     host._answers["/v1/hosts"] = []
     addresses = [{"address": gone.address}, {"address": host.address}]
     host.answer_json("/v1/hosts", {"hosts": addresses, "lifetime_s": 5})
-    host.answer(CHAT, stream_of("here"))
+    host.answer(CHAT, make_stream("here"))
     waits: list[float] = []
     assert list(make_client(host, waits=waits).call(chat()).read_text()) == ["here"]
     assert waits == []
@@ -221,7 +221,7 @@
 def test_host_list_is_asked_of_the_next_address(other: FakeHost) -> None:
     with FakeHost() as gone:
         pass
-    other.answer(CHAT, stream_of("x"))
+    other.answer(CHAT, make_stream("x"))
     client = Client([gone.address, other.address], "cw_test", sleep=lambda _: None)
     assert list(client.call(chat()).read_text()) == ["x"]
 
@@ -235,7 +235,7 @@
 
 
 def test_repeat_keeps_its_own_key(host: FakeHost) -> None:
-    host.answer(CHAT, stream_of("same"))
+    host.answer(CHAT, make_stream("same"))
     make_client(host).call(chat()._replace(key="K0"), once=True)
     assert KEYS not in host.paths()
     assert host.seen[-1].headers["idempotency-key"] == "K0"
--- a/cloverway/tests/test_control.py
+++ b/cloverway/tests/test_control.py
@@ -271,7 +271,9 @@
     cluster.serve("a-s1", "a-1")
     start_three(cluster)
     wait_until(lambda: all(cluster.view(name).endpoints["a-s1"].ready for name in cluster.loops))
-    wait_until(lambda: any(loop.gossip.readings._list_said for loop in cluster.loops.values()))
+    wait_until(
+        lambda: any(loop.gossip.endpoint_table._listed_leaving for loop in cluster.loops.values())
+    )
     cluster.platform.states = HostList(endpoints={"a-s1": Listed.LEAVING})
     wait_until(lambda: all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops))
     cluster.platform.states = HostList(endpoints={"a-s1": Listed.LIVE})
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -10,7 +10,7 @@
 from cloverway.dispatch.ends import REBROADCAST_S, CrashTracker
 from cloverway.errors import Kind
 from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES
-from cloverway.membership.gossip import FULL_EVERY
+from cloverway.membership.gossip import FULL_STATE_EVERY
 from cloverway.tests.builders import make_request, make_settings
 from cloverway.tests.gossip_simulation import GossipSimulation, Shape
 
@@ -28,7 +28,7 @@
 
     def ask(self, name: str, digest: int = CRASHING) -> bool:
         """Send the request to a host and return whether an endpoint ran it."""
-        ends = self.world.hosts[name].gossip.ends
+        ends = self.world.hosts[name].gossip.crash_tracker
         if ends.find_hold(digest, self.world.now) is not None:
             return False
         ends.record_crash(Crash(f"life-{next(self.incarnations)}", (digest,), self.world.now))
@@ -104,7 +104,7 @@
     world.cuts -= links
     world.kill(restarts)
     world.start(restarts)
-    world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
+    world.run(FULL_STATE_EVERY * world.timing.heartbeat_s + 5.0)
     caller.ask_all([restarts, cut], pause_s=0.0)
     assert caller.crashed == MAX_CRASHES
 
@@ -118,17 +118,20 @@
     caller = Caller(world)
     first, second, third = world.hosts
     caller.ask_all([first, second], pause_s=1.0)
-    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
+    world.hosts[first].gossip.crash_tracker.record_served(CRASHING, world.now)
     world.run(2.0)
     caller.ask(second)
     world.run(2.0)
-    assert world.hosts[third].gossip.ends.find_hold(CRASHING, world.now) is None
+    assert world.hosts[third].gossip.crash_tracker.find_hold(CRASHING, world.now) is None
 
 
 def test_heartbeats_stay_the_same_without_crashes():
     """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
     world = make_world(hosts=4)
-    quiet = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
+    quiet = [
+        host.gossip.crash_tracker.list_updates(world.now, full=True)
+        for host in world.hosts.values()
+    ]
     assert quiet == [CrashUpdate((), ())] * 4
 
 
@@ -137,12 +140,20 @@
     world = make_world(hosts=3)
     first, *_ = world.hosts
     for number in range(20):
-        world.hosts[first].gossip.ends.record_crash(Crash(f"e{number}", (number,), world.now))
+        world.hosts[first].gossip.crash_tracker.record_crash(
+            Crash(f"e{number}", (number,), world.now)
+        )
     world.run(1.0)
-    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
+    news = [
+        host.gossip.crash_tracker.list_updates(world.now, full=True)
+        for host in world.hosts.values()
+    ]
     assert all(len(each.crashes) >= 20 for each in news)
     world.run(REBROADCAST_S + 1.0)
-    news = [host.gossip.ends.list_updates(world.now, full=True) for host in world.hosts.values()]
+    news = [
+        host.gossip.crash_tracker.list_updates(world.now, full=True)
+        for host in world.hosts.values()
+    ]
     assert news == [CrashUpdate((), ())] * 3
 
 
@@ -152,14 +163,14 @@
     longest = []
     world.tap = lambda name, to, datagram: longest.append(len(datagram))
     first, *others = world.hosts
-    ends = world.hosts[first].gossip.ends
+    ends = world.hosts[first].gossip.crash_tracker
     for engine in range(64):
         incarnation = f"region-00-domain-000-engine-{engine:03}@start-{engine}"
         ends.record_crash(Crash(incarnation, (engine, CRASHING * 100), world.now))
     world.run(3.0)
     assert max(longest) <= MAX_DATAGRAM_BYTES
     for name in others:
-        news = world.hosts[name].gossip.ends.list_updates(world.now, full=True)
+        news = world.hosts[name].gossip.crash_tracker.list_updates(world.now, full=True)
         assert sum(len(crash.digests) for crash in news.crashes) > 32
 
 
@@ -201,10 +212,10 @@
     restarts = [*world.hosts][1]
     world.kill(restarts)
     world.start(restarts)
-    world.run(FULL_EVERY * world.timing.heartbeat_s + 5.0)
+    world.run(FULL_STATE_EVERY * world.timing.heartbeat_s + 5.0)
     hold_s = make_settings().quarantine.hold_s
     for host in world.hosts.values():
-        hold = host.gossip.ends.find_hold(CRASHING, world.now)
+        hold = host.gossip.crash_tracker.find_hold(CRASHING, world.now)
         assert hold is not None
         assert (
             world.now + hold.remaining_s
@@ -222,7 +233,7 @@
     first, *_ = world.hosts
     caller.ask(first)
     world.run(1.0)
-    world.hosts[first].gossip.ends.record_served(CRASHING, world.now)
+    world.hosts[first].gossip.crash_tracker.record_served(CRASHING, world.now)
     world.run(SERVED_IMMUNITY_S + 10.0)
     caller.ask_all([*world.hosts] * 3, pause_s=0.5)
     assert caller.crashed == 1 + MAX_CRASHES
--- a/cloverway/tests/test_handlers.py
+++ b/cloverway/tests/test_handlers.py
@@ -22,6 +22,6 @@
 
 @pytest.mark.parametrize("value", ["", "{", "[]", "1", "[" * 100_000])
 def test_a_peer_s_malformed_document_is_refused(value: str) -> None:
-    changes = peering.Changes(5, (wire.Change("teams/t", 4, value),))
+    changes = peering.EncodedChanges(5, (wire.Change("teams/t", 4, value),))
     with pytest.raises(PeerError):
         decode_changes(changes)
--- a/cloverway/tests/test_heartbeats.py
+++ b/cloverway/tests/test_heartbeats.py
@@ -8,11 +8,15 @@
 
 from cloverway.errors import PeerError
 from cloverway.membership import heartbeats
-from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, Seal
+from cloverway.membership.datagram_auth import (
+    MAX_DATAGRAM_BYTES,
+    OVERHEAD_BYTES,
+    DatagramAuthenticator,
+)
 from cloverway.membership.heartbeats import (
+    CrashRow,
     Detail,
     DomainSummary,
-    EndRow,
     Heartbeat,
     HostLevel,
     LoadRow,
@@ -26,7 +30,7 @@
 I64 = st.integers(-(2**63), 2**63 - 1)
 TAGS = st.integers(1, 2**32 - 1)
 COUNTS = st.integers(0, 2**15 - 1)
-STEPS = st.sampled_from(heartbeats.STEPS)
+COUNT_STEPS = st.sampled_from(heartbeats.COUNT_STEPS)
 AGES = st.integers(0, 2**15 - 1).map(lambda steps: steps * heartbeats.AGE_STEP_S)
 ROWS = st.builds(LoadRow, I32, I32, AGES, COUNTS, COUNTS)
 DETAILS = st.builds(
@@ -46,11 +50,13 @@
     AGES,
     st.integers(0, 2**62),
     st.lists(st.builds(HostLevel, I32, I64, st.integers(-1, 127)), max_size=3).map(tuple),
-    st.lists(st.builds(TargetLevel, I32, STEPS, STEPS, STEPS), max_size=3).map(tuple),
+    st.lists(st.builds(TargetLevel, I32, COUNT_STEPS, COUNT_STEPS, COUNT_STEPS), max_size=3).map(
+        tuple
+    ),
 )
 END_AGES = st.integers(0, 2**31 - 1).map(lambda steps: steps * heartbeats.AGE_STEP_S)
 DIGESTS = st.lists(st.integers(0, 2**63 - 1), max_size=3).map(tuple)
-ENDS = st.builds(EndRow, NAMES, DIGESTS, END_AGES)
+ENDS = st.builds(CrashRow, NAMES, DIGESTS, END_AGES)
 BEATS = st.builds(
     Heartbeat,
     host=NAMES,
@@ -70,7 +76,7 @@
     ends=st.lists(ENDS, max_size=2).map(tuple),
     served=DIGESTS,
 )
-SEAL = Seal.from_secret(b"k" * 32)
+AUTHENTICATOR = DatagramAuthenticator.from_secret(b"k" * 32)
 
 
 @given(BEATS)
@@ -83,7 +89,7 @@
 @settings(max_examples=200)
 def test_any_bytes_are_read_or_refused(body):
     with pytest.raises(PeerError):
-        SEAL.open(body)
+        AUTHENTICATOR.verify(body)
     with contextlib.suppress(PeerError):
         decode(body)
 
@@ -134,15 +140,15 @@
     It changes a byte of a true datagram: of the version, of whom it is meant for, of the seal or
     of the body. The seal covers them all.
     """
-    datagram = bytearray(SEAL.close(b"body", 7))
-    assert SEAL.open(bytes(datagram)) == (7, b"body")
+    datagram = bytearray(AUTHENTICATOR.sign(b"body", 7))
+    assert AUTHENTICATOR.verify(bytes(datagram)) == (7, b"body")
     datagram[at] ^= 1
     with pytest.raises(PeerError):
-        SEAL.open(bytes(datagram))
+        AUTHENTICATOR.verify(bytes(datagram))
 
 
 def test_another_secret_makes_another_seal():
     with pytest.raises(PeerError):
-        SEAL.open(Seal.from_secret(b"z" * 32).close(b"body", 7))
+        AUTHENTICATOR.verify(DatagramAuthenticator.from_secret(b"z" * 32).sign(b"body", 7))
     with pytest.raises(ValueError, match="32 bytes"):
-        Seal.from_secret(b"short")
+        DatagramAuthenticator.from_secret(b"short")
--- a/cloverway/tests/test_main.py
+++ b/cloverway/tests/test_main.py
@@ -10,7 +10,7 @@
 from cloverway import __version__
 from cloverway.__main__ import app
 from cloverway.commands.key import hash_key
-from cloverway.tests.fake_host import FakeHost, stream_of
+from cloverway.tests.fake_host import FakeHost, make_stream
 
 CHAT = "/v1/chat/completions"
 DEPLOYMENT = """
@@ -245,7 +245,7 @@
 
 
 def test_call_prints_text_and_place(host: FakeHost) -> None:
-    host.answer(CHAT, stream_of("Yes, ", "in stock."))
+    host.answer(CHAT, make_stream("Yes, ", "in stock."))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
     assert result.exit_code == 0
@@ -255,7 +255,7 @@
 
 def test_call_reports_a_cut_answer_by_its_exit_code(host: FakeHost) -> None:
     """The text ends midway: the part is printed, then an error, and a script sees exit code 3."""
-    host.answer(CHAT, stream_of("Yes, ", done=False))
+    host.answer(CHAT, make_stream("Yes, ", done=False))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
     assert result.exit_code == 3
--- a/cloverway/tests/test_membership_stateful.py
+++ b/cloverway/tests/test_membership_stateful.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cloverway.membership.endpoint_table import LIST_LAG_S, Readings, Report
+from cloverway.membership.endpoint_table import MAX_LIST_LAG_S, EndpointTable, LoadReport
 from cloverway.membership.heartbeats import Heartbeat
-from cloverway.membership.membership import RETIRED_S, Membership, Merged
+from cloverway.membership.membership import RETIREMENT_S, Membership, Merged
 
 NAMES = ("h1", "h2", "h3")
 
@@ -61,26 +61,26 @@
         if beat.leaving:
             self.seen_left.add(key)
 
-    @rule(seconds=st.sampled_from([0.1, 1.0, 3.0, RETIRED_S + 1]))
+    @rule(seconds=st.sampled_from([0.1, 1.0, 3.0, RETIREMENT_S + 1]))
     def pass_time(self, seconds):
         self.now += seconds
 
     @rule(seconds=st.sampled_from([1.0, 10.0]))
     def pause(self, seconds):
-        live = set(self.core.live(self.now))
+        live = set(self.core.list_live(self.now))
         self.core.resume(self.now, self.now + seconds)
         self.now += seconds
-        assert set(self.core.live(self.now)) == live
+        assert set(self.core.list_live(self.now)) == live
 
     @invariant()
     def leaving_is_never_taken_back(self):
-        for name, state in self.core.states("d", self.now).items():
+        for name, state in self.core.get_states("d", self.now).items():
             key = (name, int(state.incarnation, 16))
             assert state.leaving or key not in self.seen_left
 
     @invariant()
     def nothing_is_live_that_was_never_heard(self):
-        assert set(self.core.live(self.now)) <= set(self.taken_at)
+        assert set(self.core.list_live(self.now)) <= set(self.taken_at)
 
     @invariant()
     def memory_is_bounded(self):
@@ -99,11 +99,11 @@
     def __init__(self):
         super().__init__()
         self.now = 100.0
-        self.tables = [Readings(4.0), Readings(4.0)]
+        self.tables = [EndpointTable(4.0), EndpointTable(4.0)]
         for table in self.tables:
             table.adopt(["e"])
         self.number = 1
-        self.truth = Report("i1", True, False, 0, 0, 8, ("m",))
+        self.truth = LoadReport("i1", True, False, 0, 0, 8, ("m",))
         self.details: list = []
         self.known_left: list[set[str]] = [set(), set()]
 
@@ -114,38 +114,38 @@
     @rule()
     def restart(self):
         self.number += 1
-        self.truth = Report(f"i{self.number}", True, False, 0, 0, 8, ("m",))
+        self.truth = LoadReport(f"i{self.number}", True, False, 0, 0, 8, ("m",))
 
     @rule(reader=st.integers(0, 1))
     def read(self, reader):
-        self.tables[reader].take_report("e", self.truth, self.now)
-        state = self.tables[reader].states(self.now)["e"]
+        self.tables[reader].apply_report("e", self.truth, self.now)
+        state = self.tables[reader].get_states(self.now)["e"]
         assert state.incarnation == self.truth.incarnation
         assert state.leaving >= self.truth.leaving
 
     @rule(reader=st.integers(0, 1))
     def send(self, reader):
-        self.details.append((reader, self.tables[reader].details(["e"], self.now)))
+        self.details.append((reader, self.tables[reader].list_details(["e"], self.now)))
 
     @rule(pick=st.integers(0, 50))
     def deliver(self, pick):
         if self.details:
             sender, details = self.details[pick % len(self.details)]
-            self.tables[1 - sender].take_details(details, self.now)
+            self.tables[1 - sender].apply_details(details, self.now)
 
     @rule(reader=st.integers(0, 1), leaving=st.booleans())
     def list_says(self, reader, leaving):
-        self.tables[reader].take_list({"e": leaving}, self.now)
+        self.tables[reader].apply_member_list({"e": leaving}, self.now)
 
-    @rule(seconds=st.sampled_from([0.5, 3.0, LIST_LAG_S]))
+    @rule(seconds=st.sampled_from([0.5, 3.0, MAX_LIST_LAG_S]))
     def pass_time(self, seconds):
         self.now += seconds
 
     @invariant()
     def leaving_is_never_taken_back(self):
         for table, left in zip(self.tables, self.known_left, strict=True):
-            known = table._known["e"]
-            if known.left:
+            known = table._records["e"]
+            if known.leaving_confirmed:
                 left.add(known.state.incarnation)
             else:
                 assert known.state.incarnation not in left
--- a/cloverway/tests/test_passed_on.py
+++ b/cloverway/tests/test_passed_on.py
@@ -6,23 +6,23 @@
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.messages import Refused
-from cloverway.peers.passed_on import PassedOnRun, as_cut
+from cloverway.peers.passed_on import ForwardedRun, make_truncation
 from cloverway.peers.peer_server import PeerServer, _Connection
 from cloverway.tests.peer_fakes import (
-    BOUNDS,
     CLAIM,
+    LIMITS,
     PEER,
     SECRET,
-    Handler,
+    FakeHandler,
     make_call,
     make_channels,
-    soon,
+    make_deadline,
 )
 
 
 @pytest.fixture
 def handler():
-    return Handler()
+    return FakeHandler()
 
 
 def test_host_that_slept_with_the_request_in_its_socket(handler):
@@ -32,21 +32,21 @@
     from when this host sent its nonce, by its own clock, so the request is not run late.
     """
     near, far = make_channels()
-    far.challenged_at = time.monotonic() - 60.0
-    near.send_message(make_call(left_s=30.0), soon())
-    PassedOnRun(handler, BOUNDS, far, reused=False).serve(far.receive_message(soon()))
-    assert near.receive_message(soon()) == Refused(Kind.DEADLINE)
+    far.challenge_sent_at = time.monotonic() - 60.0
+    near.send_message(make_call(left_s=30.0), make_deadline())
+    ForwardedRun(handler, LIMITS, far, reused=False).serve(far.receive_message(make_deadline()))
+    assert near.receive_message(make_deadline()) == Refused(Kind.DEADLINE)
     assert not handler.requests
 
 
 def test_origin_that_gave_up_before_the_run(handler):
     """The origin closed its connection while the request waited in the host's socket."""
     near, far = make_channels()
-    far.challenged_at = time.monotonic()
-    near.send_message(make_call(), soon())
+    far.challenge_sent_at = time.monotonic()
+    near.send_message(make_call(), make_deadline())
     near.close()
     with pytest.raises(PeerError):
-        PassedOnRun(handler, BOUNDS, far, reused=False).serve(far.receive_message(soon()))
+        ForwardedRun(handler, LIMITS, far, reused=False).serve(far.receive_message(make_deadline()))
     assert not handler.requests
 
 
@@ -57,9 +57,9 @@
     repeat would be told "unknown" about a request that nobody ever ran.
     """
     near, far = make_channels()
-    near.send_message(CLAIM, soon())
+    near.send_message(CLAIM, make_deadline())
     near.close()
-    server = PeerServer("127.0.0.1:0", PEER, SECRET, handler, BOUNDS)
+    server = PeerServer("127.0.0.1:0", PEER, SECRET, handler, LIMITS)
     with pytest.raises(PeerError):
         server._serve_call(_Connection(far.socket), far)
     assert not handler.claims
@@ -67,5 +67,5 @@
 
 
 def test_refusal_of_the_host_itself_after_the_head():
-    assert as_cut(RequestError(Kind.NO_CAPACITY)).ran is Ran.UNKNOWN
-    assert as_cut(RequestError(Kind.ANSWER_GONE)).ran is Ran.YES
+    assert make_truncation(RequestError(Kind.NO_CAPACITY)).ran is Ran.UNKNOWN
+    assert make_truncation(RequestError(Kind.ANSWER_GONE)).ran is Ran.YES
--- a/cloverway/tests/test_peer_answers.py
+++ b/cloverway/tests/test_peer_answers.py
@@ -13,20 +13,20 @@
 from cloverway.peers.channel import Channel, FrameKind
 from cloverway.peers.peer_client import PeerClient
 from cloverway.tests.peer_fakes import (
-    BOUNDS,
+    LIMITS,
     ME,
-    PATIENCE_S,
     PEER,
     SECRET,
+    TIMEOUT_S,
+    make_deadline,
     make_request,
-    soon,
 )
 from cloverway.tests.test_peer_failures import run_refused
 
 
 @pytest.fixture
 def client():
-    client = PeerClient(ME, SECRET, BOUNDS)
+    client = PeerClient(ME, SECRET, LIMITS)
     yield client
     client.close()
 
@@ -43,13 +43,13 @@
 
     def _serve(self):
         raw, _ = self.listener.accept()
-        channel = Channel.accept(raw, PEER, SECRET, PATIENCE_S)
-        channel.receive_message(soon())
+        channel = Channel.accept(raw, PEER, SECRET, TIMEOUT_S)
+        channel.receive_message(make_deadline())
         for frame in self.frames:
             if isinstance(frame, bytes):
-                channel.send(FrameKind.DATA, frame, soon())
+                channel.send(FrameKind.DATA, frame, make_deadline())
             else:
-                channel.send_message(frame, soon())
+                channel.send_message(frame, make_deadline())
         self.listener.close()
         channel.close()
 
@@ -90,7 +90,7 @@
 
 
 def test_answer_that_is_too_large():
-    client = PeerClient(ME, SECRET, BOUNDS._replace(answer_bytes=10))
+    client = PeerClient(ME, SECRET, LIMITS._replace(max_response_bytes=10))
     host = ScriptedHost(HEAD, b"x" * 11, wire.End(11))
     request = make_request(body=b"")
     assert run_refused(client, host.address, request) == (Kind.TRUNCATED, Ran.UNKNOWN)
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -14,18 +14,18 @@
 from cloverway.peers.channel import Channel, FrameKind, Identity
 from cloverway.peers.peer_client import PeerClient
 from cloverway.tests.peer_fakes import (
-    BOUNDS,
     CLAIM,
+    LIMITS,
     ME,
-    PATIENCE_S,
     SECRET,
-    Handler,
-    Link,
-    Stream,
+    TIMEOUT_S,
+    FakeHandler,
+    FakeStream,
+    TcpProxy,
     connect,
     make_call,
+    make_deadline,
     make_request,
-    soon,
     start_server,
     wait_until,
 )
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def handler():
-    return Handler()
+    return FakeHandler()
 
 
 @pytest.fixture
@@ -48,14 +48,14 @@
 
 @pytest.fixture
 def client():
-    client = PeerClient(ME, SECRET, BOUNDS)
+    client = PeerClient(ME, SECRET, LIMITS)
     yield client
     client.close()
 
 
 @pytest.fixture
 def link(server):
-    link = Link(server.address)
+    link = TcpProxy(server.address)
     yield link
     link.close()
 
@@ -71,7 +71,7 @@
 
     The claim is asked again on a new connection, before the issuer is called dead.
     """
-    client = PeerClient(ME, SECRET, BOUNDS._replace(reused_answer_s=SHORT_S))
+    client = PeerClient(ME, SECRET, LIMITS._replace(reused_response_timeout_s=SHORT_S))
     client.claim("h2", link.address, CLAIM)
     link.silence()
     assert client.claim("h2", link.address, CLAIM) == Grant(10.0)
@@ -84,8 +84,11 @@
     The claim on the pooled connection and the one on a new connection each took their own timeout,
     whatever the request had left: the caller got its answer after its deadline.
     """
-    slow = BOUNDS._replace(
-        connect_s=PATIENCE_S, answer_s=PATIENCE_S, reused_answer_s=PATIENCE_S, dead_s=PATIENCE_S
+    slow = LIMITS._replace(
+        connect_timeout_s=TIMEOUT_S,
+        response_timeout_s=TIMEOUT_S,
+        reused_response_timeout_s=TIMEOUT_S,
+        backoff_s=TIMEOUT_S,
     )
     client = PeerClient(ME, SECRET, slow)
     client.claim("h2", link.address, CLAIM)
@@ -94,13 +97,13 @@
     began = time.monotonic()
     with pytest.raises(PeerError):
         client.claim("h2", link.address, CLAIM._replace(left_s=SHORT_S))
-    assert time.monotonic() - began < PATIENCE_S
+    assert time.monotonic() - began < TIMEOUT_S
     client.close()
 
 
 def test_dead_host_is_not_waited_for_by_every_caller(server, handler, link):
     """The link is cut; one caller waits out the timeout, those right behind it do not."""
-    client = PeerClient(ME, SECRET, BOUNDS._replace(connect_s=SHORT_S, dead_s=PATIENCE_S))
+    client = PeerClient(ME, SECRET, LIMITS._replace(connect_timeout_s=SHORT_S, backoff_s=TIMEOUT_S))
     link.silent = True
     for _ in range(3):
         with pytest.raises(PeerError):
@@ -116,7 +119,7 @@
 
     The origin gives up within the silence limit, not at the deadline, and says "unknown".
     """
-    client = PeerClient(ME, SECRET, BOUNDS._replace(silence_s=SHORT_S))
+    client = PeerClient(ME, SECRET, LIMITS._replace(silence_timeout_s=SHORT_S))
     handler.gate = threading.Event()
     threading.Thread(target=lambda: (wait_until(lambda: handler.requests), link.silence())).start()
     request = make_request(left_s=1_000.0)
@@ -128,10 +131,10 @@
     """A long prompt is silent for longer than the limit; pings keep the connection alive."""
     handler.gate = threading.Event()
     channel = connect(server)
-    channel.send_message(make_call(), soon())
-    assert [channel.receive(soon()).kind for _ in range(3)] == [FrameKind.PING] * 3
+    channel.send_message(make_call(), make_deadline())
+    assert [channel.receive(make_deadline()).kind for _ in range(3)] == [FrameKind.PING] * 3
     handler.gate.set()
-    assert isinstance(channel.receive_message(soon()), wire.ReplyHead)
+    assert isinstance(channel.receive_message(make_deadline()), wire.ReplyHead)
     channel.close()
 
 
@@ -142,7 +145,7 @@
     The head has come, so "no" can't be true any more, whatever the other host says.
     """
     error = RequestError(Kind.TRUNCATED, "cut", ran=ran)
-    handler.reply = Reply(200, "text/event-stream", stream=Stream(b"one", error))
+    handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", error))
     reply = client.run("h2", server.address, make_request())
     pieces = []
     with pytest.raises(RequestError) as caught:
@@ -154,7 +157,7 @@
 def test_whole_body_cut_between_hosts(server, handler, client, link):
     """The host dies after the head of a JSON answer; the part that came is not given out."""
     gate = threading.Event()
-    handler.reply = Reply(200, "text/event-stream", stream=Stream(b"one", gate, b"two"))
+    handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", gate, b"two"))
     reply = client.run("h2", link.address, make_request())
     pieces = iter(reply.stream)
     assert next(pieces) == b"one"
@@ -194,7 +197,7 @@
 
     The second attempt is refused. "No" is true for it, and false for the request.
     """
-    client = PeerClient(ME, SECRET, BOUNDS._replace(reused_answer_s=SHORT_S))
+    client = PeerClient(ME, SECRET, LIMITS._replace(reused_response_timeout_s=SHORT_S))
     client.claim("h2", link.address, CLAIM)
     link.silence()
     handler.error = RequestError(Kind.NO_CAPACITY)
@@ -241,7 +244,7 @@
 
 
 def test_body_that_is_too_large(server, handler, client):
-    body = b"x" * (BOUNDS.body_bytes + 1)
+    body = b"x" * (LIMITS.max_body_bytes + 1)
     assert run_refused(client, server.address, make_request(body)) == (Kind.TOO_LARGE, Ran.NO)
     assert not handler.requests
 
@@ -249,7 +252,7 @@
 def test_caller_that_leaves(server, handler, client):
     """The caller closes its connection mid-stream; the endpoint's work is given up."""
     gate = threading.Event()
-    stream = Stream(b"one", gate, *[b"more"] * 1_000)
+    stream = FakeStream(b"one", gate, *[b"more"] * 1_000)
     handler.reply = Reply(200, "text/event-stream", stream=stream)
     reply = client.run("h2", server.address, make_request())
     caller, ours = socket.socketpair()
@@ -265,16 +268,16 @@
     thread.start()
     assert caller.recv(100) == b"3\r\none\r\n"
     caller.close()
-    thread.join(PATIENCE_S)
+    thread.join(TIMEOUT_S)
     assert results == [Kind.CALLER_LEFT]
     gate.set()
-    assert stream.closed.wait(PATIENCE_S)
+    assert stream.closed.wait(TIMEOUT_S)
     ours.close()
 
 
 def test_whole_stream_is_handed_over(server, handler, client):
     """Chunks reach the caller without the last one, which its own server writes."""
-    handler.reply = Reply(200, "text/event-stream", stream=Stream(b"one", b"two"))
+    handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", b"two"))
     reply = client.run("h2", server.address, make_request())
     caller, ours = socket.socketpair()
     caller.send(b"GET /next")
@@ -289,14 +292,14 @@
 
     A host that is refused would take this one for dead and tell its caller "unknown".
     """
-    server = start_server(handler, bounds=BOUNDS._replace(connections=2))
+    server = start_server(handler, bounds=LIMITS._replace(max_connections=2))
     first, second = connect(server), connect(server)
     for each in (first, second):
-        each.send_message(CLAIM, soon())
-        assert each.receive_message(soon()) == Grant(10.0)
+        each.send_message(CLAIM, make_deadline())
+        assert each.receive_message(make_deadline()) == Grant(10.0)
     third = connect(server)
-    third.send_message(CLAIM, soon())
-    assert third.receive_message(soon()) == Grant(10.0)
+    third.send_message(CLAIM, make_deadline())
+    assert third.receive_message(make_deadline()) == Grant(10.0)
     wait_until(lambda: first.broken or second.broken)
     assert not (first.broken and second.broken)
     assert server.connections == 2
@@ -307,7 +310,7 @@
 
 def test_busy_connections_are_not_dropped(handler, client):
     """All threads run passed-on requests when one more host connects; none of them is cut."""
-    server = start_server(handler, bounds=BOUNDS._replace(connections=1))
+    server = start_server(handler, bounds=LIMITS._replace(max_connections=1))
     handler.gate = threading.Event()
     replies = []
     thread = threading.Thread(
@@ -318,7 +321,7 @@
     with pytest.raises(PeerError):
         connect(server)
     handler.gate.set()
-    thread.join(PATIENCE_S)
+    thread.join(TIMEOUT_S)
     assert replies == [handler.reply]
     server.stop()
 
@@ -332,10 +335,10 @@
     run = threading.Thread(target=lambda: replies.append(client.run("h2", server.address, request)))
     run.start()
     wait_until(lambda: handler.requests)
-    stop = threading.Thread(target=server.stop, args=(PATIENCE_S,))
+    stop = threading.Thread(target=server.stop, args=(TIMEOUT_S,))
     stop.start()
     wait_until(server._stopping.is_set)
     handler.gate.set()
-    run.join(PATIENCE_S)
-    stop.join(PATIENCE_S)
+    run.join(TIMEOUT_S)
+    stop.join(TIMEOUT_S)
     assert replies == [handler.reply]
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -16,11 +16,11 @@
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
 from cloverway.tests.peer_fakes import (
-    BOUNDS,
-    PATIENCE_S,
+    LIMITS,
     SECRET,
-    Handler,
-    Link,
+    TIMEOUT_S,
+    FakeHandler,
+    TcpProxy,
     make_request,
     start_server,
     wait_until,
@@ -30,14 +30,14 @@
 class KeyHost:
     """A host whose ledger peers can reach over TCP."""
 
-    def __init__(self, name, incarnation, addresses, peer_bounds=BOUNDS):
+    def __init__(self, name, incarnation, addresses, peer_bounds=LIMITS):
         bounds = Bounds(100, 100.0, 10_000, 1_000)
         ledger = Ledger(name, incarnation, name.encode() * 8, bounds, time.monotonic())
         me = Identity(name, incarnation)
         self.keys = LedgerTask(ledger, lambda *_: True)
         self.client = PeerClient(me, SECRET, peer_bounds)
         self.claims = Claims(self.keys, self.client, addresses.get, lambda *_: True)
-        handler = Handler()
+        handler = FakeHandler()
         handler.claim = self.keys.claim
         handler.settle = self.keys.settle
         self.server = start_server(handler, me)
@@ -60,7 +60,7 @@
     """
     addresses = {}
     first, second = KeyHost("h1", "i1", addresses), KeyHost("h2", "i1", addresses)
-    link = Link(first.server.address)
+    link = TcpProxy(first.server.address)
     addresses["h1"] = link.address
     (key,) = first.keys.issue(1)
     request = make_request(key=key)
@@ -93,7 +93,7 @@
     results = []
 
     def send(claims):
-        barrier.wait(PATIENCE_S)
+        barrier.wait(TIMEOUT_S)
         try:
             results.append(claims.claim(make_request(key=key)))
         except RequestError as error:
@@ -105,7 +105,7 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE_S)
+        thread.join(TIMEOUT_S)
     assert sum(isinstance(result, Granted) for result in results) == 1
     assert results.count((Kind.KEY_IN_USE, Ran.UNKNOWN)) == 11
     for host in hosts:
@@ -130,7 +130,7 @@
     theirs.close()
     yield process, *ours.recv()
     ours.close()
-    process.join(PATIENCE_S)
+    process.join(TIMEOUT_S)
 
 
 def test_issuer_paused_during_a_claim(issuer):
@@ -140,9 +140,9 @@
     that a repeat at h3 finds the key free and runs, for the first and only time.
     """
     process, address, (warm_up, key) = issuer
-    short_bounds = BOUNDS._replace(reused_answer_s=0.1, connect_s=0.3)
+    short_bounds = LIMITS._replace(reused_response_timeout_s=0.1, connect_timeout_s=0.3)
     addresses = {"h1": address}
-    second = KeyHost("h2", "i1", addresses, short_bounds._replace(connect_s=PATIENCE_S))
+    second = KeyHost("h2", "i1", addresses, short_bounds._replace(connect_timeout_s=TIMEOUT_S))
     third = KeyHost("h3", "i1", addresses)
     second.claims.claim(make_request(key=warm_up))
     second.client._bounds = short_bounds
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -9,20 +9,20 @@
 from cloverway.peers.channel import HEADER, FrameKind
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import split_pages
-from cloverway.peers.peering import Changes
+from cloverway.peers.peering import EncodedChanges
 from cloverway.tests.peer_fakes import (
-    BOUNDS,
     CLAIM,
+    LIMITS,
     ME,
-    PATIENCE_S,
     SECRET,
-    Dialer,
-    Handler,
-    Link,
-    Stream,
+    TIMEOUT_S,
+    FakeHandler,
+    FakeStream,
+    RawConnection,
+    TcpProxy,
     connect,
+    make_deadline,
     make_request,
-    soon,
     start_server,
     wait_until,
 )
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def handler():
-    return Handler()
+    return FakeHandler()
 
 
 @pytest.fixture
@@ -42,14 +42,14 @@
 
 @pytest.fixture
 def client():
-    client = PeerClient(ME, SECRET, BOUNDS)
+    client = PeerClient(ME, SECRET, LIMITS)
     yield client
     client.close()
 
 
 @pytest.fixture
 def link(server):
-    link = Link(server.address)
+    link = TcpProxy(server.address)
     yield link
     link.close()
 
@@ -81,11 +81,11 @@
 
 
 def test_streamed_answer(server, handler, client):
-    stream = Stream(b"one", b"", b"two" * 50_000)
+    stream = FakeStream(b"one", b"", b"two" * 50_000)
     handler.reply = Reply(200, "text/event-stream", stream=stream)
     reply = client.run("h2", server.address, make_request())
     assert b"".join(reply.stream) == b"one" + b"two" * 50_000
-    assert stream.closed.wait(PATIENCE_S)
+    assert stream.closed.wait(TIMEOUT_S)
 
 
 def test_refusal_by_the_other_host(server, handler, client):
@@ -106,7 +106,7 @@
 
 def test_wrong_secret(server, handler):
     """A process without the secret connects; neither end takes the other for a host."""
-    stranger = PeerClient(ME, b"x" * 32, BOUNDS)
+    stranger = PeerClient(ME, b"x" * 32, LIMITS)
     with pytest.raises(PeerError):
         stranger.claim("h2", server.address, CLAIM)
     with pytest.raises(RequestError) as error:
@@ -119,11 +119,11 @@
 
 def test_stranger_that_skips_the_proof(server, handler):
     """A stranger answers the challenge with a made-up proof and sends a call at once."""
-    with Dialer(server.address) as dialer:
-        dialer.send_open(wire.Hello(wire.VERSION, "h1", "i1", "h2", b"n" * 16))
-        dialer.read_open()
-        dialer.send_open(wire.Proof(b"m" * 32))
-        dialer.send_open(wire.Settled())
+    with RawConnection(server.address) as dialer:
+        dialer.send_handshake(wire.Hello(wire.VERSION, "h1", "i1", "h2", b"n" * 16))
+        dialer.read_handshake()
+        dialer.send_handshake(wire.Proof(b"m" * 32))
+        dialer.send_handshake(wire.Settled())
         assert dialer.wait_for_close()
     assert not handler.claims
 
@@ -136,7 +136,7 @@
     settle = SettleCall("k", "t", "p", "c", Settlement.NOT_RUN)
     client.settle("h2", link.address, settle)
     recorded = bytes(link.recorded)
-    with Dialer(server.address) as dialer:
+    with RawConnection(server.address) as dialer:
         dialer.raw.sendall(recorded)
         assert dialer.wait_for_close()
     assert handler.settled == [settle]
@@ -146,41 +146,41 @@
     """A frame is sent twice within its own connection: the counter in its MAC tells."""
     channel = connect(server)
     settle = SettleCall("k", "t", "p", "c", Settlement.NOT_RUN)
-    frame = channel._seal(FrameKind.MESSAGE, wire.encode(settle))
+    frame = channel._make_frame(FrameKind.MESSAGE, wire.encode(settle))
     channel.socket.send(frame + frame)
-    channel.receive_message(soon())
+    channel.receive_message(make_deadline())
     with pytest.raises(PeerError):
-        channel.receive_message(soon())
+        channel.receive_message(make_deadline())
     assert handler.settled == [settle]
 
 
 def test_changed_frame(server, handler):
     channel = connect(server)
-    frame = bytearray(channel._seal(FrameKind.MESSAGE, wire.encode(CLAIM)))
+    frame = bytearray(channel._make_frame(FrameKind.MESSAGE, wire.encode(CLAIM)))
     frame[-20] ^= 1
     channel.socket.send(frame)
     with pytest.raises(PeerError):
-        channel.receive_message(soon())
+        channel.receive_message(make_deadline())
     assert not handler.claims
 
 
 def test_frame_sent_back(server, handler):
     """A frame of the server's own is returned to it: each direction has its own key."""
     channel = connect(server)
-    channel.send_message(CLAIM, soon())
+    channel.send_message(CLAIM, make_deadline())
     length = HEADER.size + len(wire.encode(Grant(10.0))) + 16
-    channel._wait(1, soon())
+    channel._wait(1, make_deadline())
     answer = channel.socket.recv(length)
     channel.socket.send(answer)
     with pytest.raises(PeerError):
-        channel.receive_message(soon())
+        channel.receive_message(make_deadline())
     assert len(handler.claims) == 1
 
 
 def test_greeting_that_is_too_large(handler):
     """A stranger announces a greeting of two gigabytes; it is not even waited for."""
-    server = start_server(handler, bounds=BOUNDS._replace(connect_s=10 * PATIENCE_S))
-    with Dialer(server.address) as dialer:
+    server = start_server(handler, bounds=LIMITS._replace(connect_timeout_s=10 * TIMEOUT_S))
+    with RawConnection(server.address) as dialer:
         dialer.raw.sendall(HEADER.pack(2**31, 0))
         assert dialer.wait_for_close()
     server.stop()
@@ -194,8 +194,8 @@
 
 def test_stranger_that_says_nothing(handler):
     """A connection that never greets is dropped in bounded time and frees its thread."""
-    server = start_server(handler, bounds=BOUNDS._replace(connect_s=0.1))
-    with Dialer(server.address) as dialer:
+    server = start_server(handler, bounds=LIMITS._replace(connect_timeout_s=0.1))
+    with RawConnection(server.address) as dialer:
         assert dialer.wait_for_close()
     wait_until(lambda: server.connections == 0)
     server.stop()
@@ -203,8 +203,8 @@
 
 def test_pages_of_changes(server, handler, client):
     changes = tuple(wire.Change(f"k{n}", n, "x" * 200_000) for n in range(10))
-    handler.all_changes = Changes(99, changes)
-    assert client.changes("h2", server.address, 0) == Changes(99, changes)
+    handler.all_changes = EncodedChanges(99, changes)
+    assert client.fetch_changes("h2", server.address, 0) == EncodedChanges(99, changes)
     assert len(list(split_pages(changes))) == 5
-    handler.all_changes = Changes(99, after=99)
-    assert client.changes("h2", server.address, 99) == Changes(99, after=99)
+    handler.all_changes = EncodedChanges(99, after=99)
+    assert client.fetch_changes("h2", server.address, 99) == EncodedChanges(99, after=99)
--- a/cloverway/tests/test_reports.py
+++ b/cloverway/tests/test_reports.py
@@ -10,7 +10,13 @@
 
 from cloverway.config.schema import Endpoint, EndpointKind
 from cloverway.errors import PeerError
-from cloverway.membership.reports import FIRST_S, REPORT_BYTES, EndpointReader, Rounds, parse_report
+from cloverway.membership.reports import (
+    MAX_FIRST_READ_DELAY_S,
+    MAX_REPORT_BYTES,
+    EndpointReader,
+    ReadSchedule,
+    parse_report,
+)
 from cloverway.tests.standins.engine import Engine
 
 ENGINE = Endpoint("d", "http://127.0.0.1:1", models=("m",))
@@ -86,7 +92,7 @@
     The kept connection went silent for good, since something between the two ends lost track of
     it; a new connection works at once.
     """
-    monkeypatch.setattr("cloverway.membership.reports.SILENCE_S", 0.1)
+    monkeypatch.setattr("cloverway.membership.reports.SOCKET_TIMEOUT_S", 0.1)
     good = answer(json.dumps(BODY).encode())
     with Listener(good, good) as listener:
         reader = EndpointReader(ENGINE._replace(url=listener.url))
@@ -106,11 +112,11 @@
         answer(b"not json"),
         answer(json.dumps(BODY).encode(), status="500 Failed"),
         answer(json.dumps(BODY).encode(), status="302 Found", headers="Location: http://x/\r\n"),
-        answer(b" " * (REPORT_BYTES + 1)),
+        answer(b" " * (MAX_REPORT_BYTES + 1)),
     ],
 )
 def test_what_is_no_report_is_an_error_within_its_time(script, monkeypatch):
-    monkeypatch.setattr("cloverway.membership.reports.SILENCE_S", 0.1)
+    monkeypatch.setattr("cloverway.membership.reports.SOCKET_TIMEOUT_S", 0.1)
     with Listener(script) as listener, pytest.raises(PeerError):
         read(listener.url)
 
@@ -162,11 +168,11 @@
 
 
 def test_rounds_read_soon_at_first_and_then_once_in_an_interval():
-    rounds = Rounds(lambda: 0.5)
+    rounds = ReadSchedule(lambda: 0.5)
     assert rounds.take_due(["a"], 10.0, 0.0) == []
-    assert rounds.take_due(["a"], 10.0, FIRST_S) == ["a"]
+    assert rounds.take_due(["a"], 10.0, MAX_FIRST_READ_DELAY_S) == ["a"]
     assert rounds.take_due(["a"], 10.0, 30.0) == []
-    assert rounds.overdue(5.0, 30.0) == ["a"]
+    assert rounds.list_overdue(5.0, 30.0) == ["a"]
     rounds.finish("a")
     assert rounds.take_due(["a"], 10.0, 31.0) == ["a"]
     assert rounds.take_due([], 10.0, 90.0) == []
--- a/cloverway/tests/test_wire.py
+++ b/cloverway/tests/test_wire.py
@@ -40,7 +40,7 @@
 
 
 def test_each_message_has_an_example():
-    assert {type(example) for example in EXAMPLES} == set(wire.MESSAGES.kinds.values())
+    assert {type(example) for example in EXAMPLES} == set(wire.MESSAGE_CODEC.kinds.values())
 
 
 @settings(max_examples=INPUTS, deadline=None)
@@ -66,7 +66,7 @@
         message = wire.decode(data)
     except PeerError:
         return
-    assert type(message) in wire.MESSAGES.kinds.values()
+    assert type(message) in wire.MESSAGE_CODEC.kinds.values()
 
 
 @pytest.mark.parametrize(
