--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -174,7 +174,9 @@
     simulation.run(3.0)
     assert max(longest) <= MAX_DATAGRAM_BYTES
     for name in others:
-        updates = simulation.hosts[name].gossip.crash_tracker.list_updates(simulation.now, full=True)
+        updates = simulation.hosts[name].gossip.crash_tracker.list_updates(
+            simulation.now, full=True
+        )
         assert sum(len(crash.digests) for crash in updates.crashes) > 32
 
 
