--- a/cloverway/membership/__init__.py
+++ b/cloverway/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What a host knows of other hosts and of endpoints, and how it learns that."""
+"""Membership, endpoint states and gossip: what a host knows of the other hosts and endpoints."""
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -1,7 +1,8 @@
-"""The control loop: one thread that reads platform, endpoints and other hosts, and keeps the view.
+"""The control loop: one thread that gathers the state of the system and publishes the view.
 
-Everything it decides is in `gossip`, `membership`, `readings` and `summaries`. Here are the
-socket, the timers and the blocking calls, each on a thread of its own so that none holds the loop.
+It receives datagrams from other hosts, reads the load reports of endpoints and polls the platform.
+The decisions are in `gossip`, `membership`, `endpoint_table` and `summaries`. This module owns the
+socket and the timers, and makes blocking calls on separate threads so that none blocks the loop.
 """
 
 from __future__ import annotations
@@ -37,21 +38,22 @@
 
 TICK_INTERVAL_S = 0.05
 PAUSE_THRESHOLD_S = 0.75
-"""A loop that did not run for so long was paused, or held by the machine: it treats both alike."""
+"""The process counts as paused when the loop has not run for this long, whether it was stopped or
+got no processor time."""
 VIEW_INTERVAL_S = 0.25
-"""How often the view is made anew when nothing urgent has happened."""
+"""Interval between two views when there is no urgent change."""
 MIN_BROADCAST_INTERVAL_S = 0.05
-"""Least time between two rounds that tell all siblings at once."""
+"""Minimum time between two broadcasts to all siblings."""
 REPORT_TIMEOUT_S = 5.0
-"""A report that has not come whole by then is given up."""
+"""A read of a load report that takes longer is aborted."""
 READER_THREADS = 8
 STARTUP_REPORTS_TIMEOUT_S = 1.5
-"""How long a starting host waits for a first word of each of its endpoints."""
+"""How long a starting host waits for the first load report of each of its endpoints."""
 NEVER = float("-inf")
 
 
 class ControlLoop:
-    """Owns the UDP socket, the store of configuration and all knowledge of hosts and endpoints."""
+    """Owns the UDP socket, the configuration updates and the state of hosts and endpoints."""
 
     def __init__(
         self,
@@ -114,7 +116,10 @@
         platform: Platform | None = None,
         crash_tracker: CrashTracker | None = None,
     ) -> ControlLoop:
-        """Make a loop with the platform that the settings name; raise OSError without a secret."""
+        """Create a loop for the platform in the settings.
+
+        Raise OSError when the file of the shared secret can't be read.
+        """
         adapter = FilePlatform if settings.platform.kind == "file" else HttpPlatform
         if secret is None:
             secret = Path(settings.security.peer_secret_file).read_bytes().strip()
@@ -130,7 +135,7 @@
         )
 
     def start(self) -> None:
-        """Bind the socket and start the thread; raise OSError when it can't be bound."""
+        """Bind the socket and start the threads; raise OSError when it can't be bound."""
         self._datagram_socket.bind()
         self._report_workers.start()
         self._list_workers.start()
@@ -138,29 +143,29 @@
         self._thread.start()
 
     def stop(self, timeout_s: float = 5.0) -> None:
-        """End the thread; tells siblings first, when this host has begun to leave."""
+        """Stop the loop; broadcast once more before that when this host is leaving."""
         if self._thread.is_alive():
             self._loop.call_soon_threadsafe(self._stopping.set)
             self._thread.join(timeout_s)
 
     def begin_leaving(self) -> None:
-        """Show in the view that this host leaves, and tell its siblings at once."""
+        """Mark this host as leaving in the view, and broadcast it to the siblings at once."""
         self._leaving = True
         self._holder.current = self._holder.current._replace(leaving=True)
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(self._schedule_broadcast)
 
     def changes_after(self, revision: int) -> Changes:
-        """Give a peer the documents after a revision; any thread may call it."""
+        """Return the documents that changed after a revision; safe to call from any thread."""
         return self._updates.changes_after(revision)
 
     @property
     def address(self) -> str:
-        """The address that the UDP socket is bound to."""
+        """Address that the UDP socket is bound to."""
         return self._datagram_socket.address
 
     def status(self) -> dict[str, Any]:
-        """Give counts and states for operators; any thread may call it."""
+        """Return counters and states for operators; safe to call from any thread."""
         view = self._holder.current
         return {
             "incarnation": view.incarnation,
@@ -178,7 +183,7 @@
         try:
             self._loop.run_until_complete(self._serve())
         except Exception:
-            log.exception("the control loop has failed")
+            log.exception("the control loop failed")
         finally:
             self._release_resources()
 
@@ -214,7 +219,7 @@
         self._loop.close()
 
     async def _run_periodically(self, step: Callable[[float], None], period_s: float) -> None:
-        """Do a step in each period; a step that fails is logged and done again later."""
+        """Call a step once per period; a failure is logged, and the step runs again later."""
         while True:
             try:
                 step(self._clock())
@@ -255,10 +260,10 @@
         self._view_due_at = 0.0
 
     def _detect_pause(self, now: float) -> None:
-        """Notice that this process did not run, before anything is concluded from silence.
+        """Detect that this process did not run, before hosts are judged by their silence.
 
-        A process that was stopped and woken finds every other host silent for as long. Without
-        this it would call all of them dead, and read all endpoints itself.
+        After a pause no heartbeat has been processed for the length of the pause. Without this
+        check the process would declare all other hosts dead and read all endpoints itself.
         """
         paused_at, self._last_run_at = self._last_run_at, now
         if now - paused_at < PAUSE_THRESHOLD_S:
@@ -266,7 +271,8 @@
         self._counts["pauses"] += 1
         log.warning("the control loop did not run", extra={"seconds": round(now - paused_at, 3)})
         self.gossip.resume(paused_at, now)
-        # What waits in the socket came at an unknown time since; it is no sign of life now.
+        # Datagrams in the socket buffer arrived at an unknown time during the pause. They don't
+        # prove that their senders are alive now, so they count as sent when the pause began.
         self._receive_pending(paused_at, now)
 
     def _receive(self) -> None:
@@ -280,7 +286,7 @@
                 received = self.gossip.receive(datagram, at, now)
             except PeerError as error:
                 self._counts["refused"] += 1
-                log.debug("a datagram was refused", extra={"why": str(error)})
+                log.debug("rejected a datagram", extra={"why": str(error)})
                 continue
             self._handle_received(received, source, now)
 
@@ -289,7 +295,7 @@
         if received.state_changed:
             self._view_due_at = now
         if received.replaced and not self._leaving:
-            log.error("another process has taken this host's name; this one leaves")
+            log.error("another process has taken this host's name; this host is leaving")
             self.begin_leaving()
         if received.is_fresh:
             self._updates.hear_peer(received.host, received.revision)
@@ -304,11 +310,12 @@
         own = published.endpoints_of(self._settings.domain)
         for name in [name for name in self._readers if name not in own]:
             self._readers.pop(name).abort()
-        # Told at once, the revision is at all hosts of the domain one trip later.
+        # An immediate broadcast brings the revision to all hosts of the domain one network
+        # latency later.
         self._schedule_broadcast()
 
     async def _poll_member_list(self) -> None:
-        """Read the platform's list of live and leaving members."""
+        """Poll the platform's list of live and leaving members."""
         while True:
             await asyncio.sleep(self._settings.timing.list_s)
             if not self._is_reader(self._clock()):
@@ -317,16 +324,16 @@
                 call = self._list_workers.submit(self._platform.list_states)
                 self._apply_member_list(await asyncio.wrap_future(call))
             except CloverwayError as error:
-                log.debug("the platform's list can't be read", extra={"why": str(error)})
+                log.debug("can't read the platform's member list", extra={"why": str(error)})
             except Exception:
-                log.exception("the platform's list can't be read")
+                log.exception("can't read the platform's member list")
 
     def _apply_member_list(self, states: HostList) -> None:
         leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
         if self.gossip.endpoint_table.apply_member_list(leaving, self._clock()):
             self._broadcast_due = True
         if states.hosts.get(self._settings.host) is Listed.LEAVING and not self._leaving:
-            log.debug("the platform's list says that this host is leaving")
+            log.debug("the platform lists this host as leaving")
 
     def _is_reader(self, now: float) -> bool:
         staying = self.gossip.members.list_staying(now)
@@ -355,17 +362,17 @@
                 self._broadcast_due = True
         except PeerError as error:
             self._counts["report_failures"] += 1
-            log.debug("no load report", extra={"endpoint": name, "why": str(error)})
+            log.debug("can't read a load report", extra={"endpoint": name, "why": str(error)})
         except Exception:
-            log.exception("a load report can't be read")
+            log.exception("reading a load report failed")
         finally:
             self._read_schedule.finish(name)
 
     def _update_serving(self, endpoints: Iterable[EndpointState], now: float) -> None:
-        """Begin to serve when the configuration is settled and the endpoints were heard of.
+        """Start serving when the configuration is settled and each endpoint has reported.
 
-        A host that served sooner would refuse its first callers for lack of an endpoint. One that
-        hears nothing of an endpoint, which may be dead, serves without it after a while.
+        A host that started earlier would refuse its first callers for lack of a ready endpoint.
+        An endpoint that may be dead does not hold it up: after a timeout it serves without it.
         """
         if self._serving or not self._updates.settled:
             return
@@ -375,7 +382,7 @@
         self._serving = heard or now >= self._serve_deadline
 
     def _publish(self, now: float) -> None:
-        """Give all other tasks a new picture, by one assignment."""
+        """Publish a new view to all other tasks, by a single assignment."""
         self._view_due_at = now + VIEW_INTERVAL_S
         if now >= self._remote_due_at:
             self._remote_due_at = now + self._settings.timing.summary_s
--- a/cloverway/membership/datagram_auth.py
+++ b/cloverway/membership/datagram_auth.py
@@ -1,4 +1,8 @@
-"""Seals for datagrams: who does not hold the shared secret can neither make nor change one."""
+"""Authentication of datagrams by a MAC under the secret that all hosts share.
+
+A sender without the secret can neither forge nor change a datagram. A replay passes this check;
+it is detected by the tag of the recipient's incarnation and the sequence number.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +15,10 @@
 
 VERSION = 1
 MAC_BYTES = 16
-"""HMAC-SHA256 cut to its first 128 bits."""
+"""HMAC-SHA256, truncated to its first 128 bits."""
 MIN_SECRET_BYTES = 32
 MAX_DATAGRAM_BYTES = 1400
-"""Fits one Ethernet frame: a datagram is not lost for the loss of one of its fragments."""
+"""Fits one Ethernet frame: a fragmented datagram would be lost with any of its fragments."""
 PURPOSE = b"cloverway heartbeat 1"
 
 HEADER = struct.Struct("!BI")
@@ -22,43 +26,43 @@
 
 
 class VerifiedDatagram(NamedTuple):
-    """A datagram whose seal is good."""
+    """A datagram whose MAC is valid."""
 
     recipient_tag: int
-    """Tag of the incarnation it was meant for; 0 when the sender did not know it."""
+    """Tag of the incarnation that it is addressed to; 0 when the sender did not know it."""
     body: bytes
 
 
 class DatagramAuthenticator:
-    """Makes and checks the seal of datagrams."""
+    """Signs and verifies datagrams."""
 
     def __init__(self, key: bytes) -> None:
         self._state = hmac.new(key, digestmod=hashlib.sha256)
 
     @classmethod
     def from_secret(cls, secret: bytes) -> DatagramAuthenticator:
-        """Derive the key from the hosts' shared secret; raise ValueError when it is short."""
+        """Derive the key from the shared secret; raise ValueError when the secret is too short."""
         if len(secret) < MIN_SECRET_BYTES:
-            raise ValueError(f"the shared secret has less than {MIN_SECRET_BYTES} bytes")
+            raise ValueError(f"the shared secret is shorter than {MIN_SECRET_BYTES} bytes")
         return cls(hmac.digest(secret, PURPOSE, "sha256"))
 
     def sign(self, body: bytes, recipient_tag: int) -> bytes:
-        """Give the datagram for a body that is meant for one incarnation."""
+        """Return the datagram for a body that is addressed to one incarnation."""
         header = HEADER.pack(VERSION, recipient_tag)
         return header + self._compute_mac(header, body) + body
 
     def verify(self, datagram: bytes) -> VerifiedDatagram:
-        """Check the seal; raise PeerError for every datagram that no host of ours made."""
+        """Check the MAC of a datagram; raise PeerError when it was not made with the secret."""
         if not OVERHEAD_BYTES <= len(datagram) <= MAX_DATAGRAM_BYTES:
-            raise PeerError("a datagram has an impossible length")
+            raise PeerError("a datagram is too short or too long")
         header = datagram[: HEADER.size]
         mac = datagram[HEADER.size : OVERHEAD_BYTES]
         body = datagram[OVERHEAD_BYTES:]
         if not hmac.compare_digest(mac, self._compute_mac(header, body)):
-            raise PeerError("a datagram has a wrong seal")
+            raise PeerError("a datagram has an invalid MAC")
         version, recipient_tag = HEADER.unpack(header)
         if version != VERSION:
-            raise PeerError(f"a datagram has the unknown version {version}")
+            raise PeerError(f"a datagram has the unsupported version {version}")
         return VerifiedDatagram(recipient_tag, body)
 
     def _compute_mac(self, header: bytes, body: bytes) -> bytes:
--- a/cloverway/membership/datagrams.py
+++ b/cloverway/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a host."""
+"""The UDP socket on which hosts exchange heartbeats."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 log = logging.getLogger(__name__)
 
 MAX_DATAGRAMS_PER_TURN = 256
-"""Datagrams that are read before timers get their turn."""
+"""Datagrams read in one call, so that a flood of them can't delay the timers of the loop."""
 RECEIVE_BUFFER_BYTES = 256 * 1024
 
 
 class DatagramSocket:
-    """Sends and receives without ever waiting; one task owns it."""
+    """A non-blocking UDP socket; it must be used from one thread only."""
 
     def __init__(self, address: str) -> None:
         self._listen_address = address
@@ -29,11 +29,11 @@
         self.counts = {"sent": 0, "sent_bytes": 0, "received": 0, "received_bytes": 0}
 
     def bind(self) -> None:
-        """Listen at the address; raise OSError when it can't be bound."""
+        """Bind the socket to its address; raise OSError when that fails."""
         self._socket.bind(split_address(self._listen_address))
 
     def fileno(self) -> int:
-        """Give the descriptor, to be watched by a loop."""
+        """Return the file descriptor, for an event loop to watch."""
         return self._socket.fileno()
 
     def close(self) -> None:
@@ -42,28 +42,28 @@
 
     @property
     def address(self) -> str:
-        """The address that the socket is bound to."""
+        """Address that the socket is bound to."""
         return format_address(self._socket.getsockname())
 
     def receive(self) -> Iterator[tuple[bytes, str]]:
-        """Give the datagrams that are there, each with the address it came from."""
+        """Yield the datagrams in the receive buffer, each with the address of its sender."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 datagram, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
-                # Empty, or an error that an earlier datagram met on its way: nothing to read.
+                # The buffer is empty, or the network reported an error for a datagram sent before.
                 return
             self.counts["received"] += 1
             self.counts["received_bytes"] += len(datagram)
             yield datagram, format_address(source)
 
     def send(self, outgoing: Iterable[Outgoing]) -> None:
-        """Send datagrams; one that can't be sent is the same as one that is lost on its way."""
+        """Send datagrams; one that can't be sent counts as lost by the network."""
         for address, datagram in outgoing:
             try:
                 self._socket.sendto(datagram, split_address(address))
             except OSError as error:
-                log.debug("a datagram was not sent", extra={"to": address, "why": str(error)})
+                log.debug("can't send a datagram", extra={"to": address, "why": str(error)})
                 continue
             self.counts["sent"] += 1
             self.counts["sent_bytes"] += len(datagram)
--- a/cloverway/membership/endpoint_table.py
+++ b/cloverway/membership/endpoint_table.py
@@ -1,8 +1,8 @@
-"""What one host knows of the endpoints of its failure domain. Pure, as `membership` is.
+"""The states of the endpoints of one failure domain, as one host knows them.
 
-Two hosts read each endpoint and tell the others. An endpoint of which nothing is heard is unknown:
-its state stays as it was last, with the time of its last report, but it is not ready. It is never
-taken for leaving, nor for idle.
+Like `membership`, the code is pure. Two hosts read the load reports of each endpoint and send them
+to the others. An endpoint without recent reports is unknown: it keeps its last state and the time
+of its last report, but is not ready. It never counts as leaving, nor as idle.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 MAX_RETIRED_INCARNATIONS = 8
 RETIREMENT_S = 30.0
-"""How long the word of a sibling can't bring a replaced incarnation back."""
+"""How long a sibling's detail can't restore an incarnation that was replaced."""
 MAX_LIST_LAG_S = 30.0
-"""For so long after a replacement the platform's list may still mean the incarnation before."""
+"""How long after a replacement the platform's list may still refer to the previous incarnation."""
 START_TIME_TOLERANCE_S = 1.0
-"""Two hosts' times of one start differ by less than this."""
+"""Two hosts' estimates of one start time differ by less than this."""
 NEVER = float("-inf")
 
 
 class LoadReport(NamedTuple):
-    """An endpoint's own word."""
+    """The load report of an endpoint."""
 
     incarnation: str
     ready: bool
@@ -39,30 +39,30 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One endpoint's state with what is needed to merge it."""
+    """The state of one endpoint, with what is needed to merge updates into it."""
 
     state: EndpointState
     ready: bool = False
-    """Its last word; the state's own flag falls also when nothing is heard."""
+    """Whether its last report said ready; `state.ready` is false also without recent reports."""
     tag: int = 0
     observed_at: float = NEVER
-    """When a report of it was last known to a host of the domain."""
+    """When a host of the domain last had a report from it."""
     detail_at: float = NEVER
-    """When the slowly changing part was reported."""
+    """When its current detail was reported."""
     read_at: float = NEVER
-    """When this host itself last read it."""
+    """When this host last read its load report."""
     leaving_confirmed: bool = False
-    """Leaving, for the rest of this incarnation."""
+    """It is leaving for the rest of this incarnation."""
     listed_leaving: bool = False
-    """The platform's list says leaving, and may mean the incarnation before."""
+    """The platform lists it as leaving, possibly because of the previous incarnation."""
 
 
 class EndpointTable:
-    """The endpoints of one failure domain."""
+    """The states of all endpoints of one failure domain."""
 
-    def __init__(self, silent_s: float) -> None:
-        self.silent_s = silent_s
-        """For so long an endpoint may go without a report before it is unknown."""
+    def __init__(self, silence_timeout_s: float) -> None:
+        self.silence_timeout_s = silence_timeout_s
+        """An endpoint without a report for this long is unknown."""
         self._records: dict[str, EndpointRecord] = {}
         self._names: dict[int, str] = {}
         self._retired: dict[str, dict[str, float]] = {}
@@ -72,10 +72,10 @@
         self._changed_at: dict[str, float] = {}
         self._grace_until = NEVER
         self.colliding: frozenset[str] = frozenset()
-        """Endpoints whose short identifiers clash: each host reads them itself."""
+        """Endpoints whose hashed names collide; each host reads them itself."""
 
     def adopt(self, names: Iterable[str]) -> None:
-        """Take the published endpoints of the failure domain; forget those that are gone."""
+        """Apply the published endpoints of the failure domain; drop those that were removed."""
         wanted = list(names)
         gone_names = set(self._records).difference(wanted)
         counts = Counter(hash_name(name) for name in wanted)
@@ -97,7 +97,7 @@
             table.pop(gone, None)
 
     def apply_report(self, name: str, report: LoadReport, now: float) -> bool:
-        """Take an endpoint's own word; tell whether siblings are to know of it at once."""
+        """Apply a report that this host read; return whether to broadcast its detail at once."""
         record = self._records.get(name)
         if record is None:
             return False
@@ -111,8 +111,8 @@
             started_age_s=0.0,
             age_s=report.age_s,
         )
-        # The endpoint itself answered, on a connection that this host opened: that is the only
-        # word that may bring an incarnation back.
+        # The endpoint itself answered, on a connection that this host opened. Only such a report
+        # may restore an incarnation that was replaced.
         merged = self._merge_detail(record, detail, now, from_endpoint=True)
         reported_at = max(merged.state.reported_at, now - report.age_s)
         self._records[name] = merged._replace(
@@ -127,7 +127,7 @@
         return merged.tag != record.tag
 
     def apply_details(self, details: Iterable[Detail], at: float) -> bool:
-        """Take what a sibling knows; tell whether anything of it was new."""
+        """Apply the details from a sibling; return whether any of them changed a state."""
         changed = False
         for detail in details:
             record = self._records.get(detail.name)
@@ -138,16 +138,17 @@
             self._apply_pending(detail.name)
             changed = changed or merged.tag != record.tag
             if merged.state.leaving and not record.state.leaving:
-                # Told on with the next heartbeats: the one host that saw the sign may be dead, or
-                # its datagrams to some of the others lost.
+                # Forwarded with the next heartbeats: the one host that saw the endpoint leave may
+                # be dead, or its datagrams to some siblings lost.
                 self._changed_at[detail.name] = at
             if at - detail.started_age_s > merged.state.started_at + START_TIME_TOLERANCE_S:
-                # The sender takes a warm endpoint for one that has just started.
+                # The sender believes that the endpoint started later than it did, and would treat
+                # a warm endpoint as one that has just started.
                 self._changed_at.setdefault(detail.name, at)
         return changed
 
     def apply_loads(self, rows: Iterable[LoadRow], at: float) -> None:
-        """Take a sibling's readings; those of a state not known here wait for its detail."""
+        """Apply the load rows from a sibling; a row with an unknown tag waits for its detail."""
         for row in rows:
             name = self._names.get(row.endpoint)
             if name is not None:
@@ -156,19 +157,19 @@
                     self._pending[name] = (row, at)
 
     def list_missing_details(self, max_count: int) -> tuple[int, ...]:
-        """Give some of the endpoints whose detail is to be asked for, the latest first."""
+        """Return hashed names of endpoints whose detail is missing, the latest first."""
         return tuple(
             hash_name(name) for name in itertools.islice(reversed(self._pending), max_count)
         )
 
     def apply_member_list(self, leaving: Mapping[str, bool], now: float) -> bool:
-        """Take the platform's list, which lags; tell whether there is a new sign of leaving.
+        """Apply the platform's list, which lags; return whether a state changed.
 
-        The list names no incarnation. When it turns to leaving, that binds for the rest of the
-        incarnation that is there, and that it says live later takes nothing back. Where it may
-        mean another incarnation (one that was replaced lately, or none is known, or this is the
-        first list that is read), the sign holds for as long as the list gives it: else a list
-        that lags would shut out a restarted endpoint until its next restart.
+        The list names no incarnation. When an entry changes to leaving, the endpoint is leaving for
+        the rest of its current incarnation, and a later change back to live is ignored. An entry
+        may refer to another incarnation when the endpoint was replaced recently, when none is known
+        yet, or in the first list that is read. Then the endpoint is leaving only while the list
+        says so: otherwise a lagging list would exclude a restarted endpoint until its next restart.
         """
         changed = False
         first = not self._listed_leaving
@@ -190,11 +191,11 @@
         return changed
 
     def resume(self, now: float) -> None:
-        """Note that this process did not run for a while: silence until now counts for nothing."""
-        self._grace_until = now + self.silent_s
+        """Record that this process was paused until now; silence during the pause is ignored."""
+        self._grace_until = now + self.silence_timeout_s
 
     def list_load_rows(self, since: float, now: float) -> tuple[LoadRow, ...]:
-        """Give what this host itself has read since a time."""
+        """Return a load row for each endpoint that this host has read since a time."""
         return tuple(
             LoadRow(
                 endpoint=hash_name(name),
@@ -208,12 +209,12 @@
         )
 
     def list_changed(self, since: float) -> list[str]:
-        """List the endpoints whose slowly changing part has changed since a time."""
+        """List the endpoints whose detail has changed since a time."""
         self._changed_at = {name: at for name, at in self._changed_at.items() if at > since}
         return list(self._changed_at)
 
     def list_details(self, names: Iterable[str], now: float) -> list[Detail]:
-        """Give the slowly changing part of some endpoints."""
+        """Return the details of some endpoints; those without a report are left out."""
         found = (self._records[name] for name in names if name in self._records)
         return [
             Detail(
@@ -231,11 +232,11 @@
         ]
 
     def get_name(self, identifier: int) -> str | None:
-        """Give the name behind a short identifier."""
+        """Return the name of an endpoint by its hash, or None when it is unknown."""
         return self._names.get(identifier)
 
     def get_states(self, now: float) -> dict[str, EndpointState]:
-        """Give all endpoints for the view."""
+        """Return the states of all endpoints for the view, by name."""
         return {name: self._make_state(record, now) for name, record in self._records.items()}
 
     def _is_incarnation_settled(self, record: EndpointRecord, now: float) -> bool:
@@ -243,7 +244,7 @@
         return bool(record.state.incarnation) and now - replaced_at >= MAX_LIST_LAG_S
 
     def _make_state(self, record: EndpointRecord, now: float) -> EndpointState:
-        heard = now - record.observed_at < self.silent_s or now < self._grace_until
+        heard = now - record.observed_at < self.silence_timeout_s or now < self._grace_until
         return record.state._replace(ready=record.ready and heard)
 
     def _merge_detail(
@@ -317,7 +318,7 @@
 
 
 def _update_flags(record: EndpointRecord) -> EndpointRecord:
-    """Bring the flag of leaving and the tag in line with the rest."""
+    """Recompute the leaving flag and the tag of a record."""
     state = record.state._replace(leaving=record.leaving_confirmed or record.listed_leaving)
     tag = compute_detail_tag(
         state.incarnation, record.ready, state.leaving, state.slots, state.models
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -1,6 +1,7 @@
-"""Which datagrams a host sends and what it makes of those it gets. Pure: it owns no socket.
+"""The gossip protocol of one host: which datagrams it sends and how it applies those received.
 
-Puts together membership, readings and summaries; the control loop carries the datagrams.
+Combines `membership`, `endpoint_table` and `summaries`. It has no socket and no clock; the control
+loop sends and receives the datagrams. Hosts of the same failure domain are called siblings.
 """
 
 from __future__ import annotations
@@ -38,25 +39,26 @@
 log = logging.getLogger(__name__)
 
 MAX_FULL_FANOUT = 3
-"""Up to so many siblings get every heartbeat; of more, each gets every second one."""
+"""Up to this many siblings, each gets every heartbeat; with more, each gets every second one."""
 MAX_READS_PER_S = 8.0
-"""Load reports that one host reads in a second, at most."""
+"""Maximum rate at which one host reads load reports."""
 MISSED_READ_INTERVALS = 1.5
+"""Read intervals that are added to `suspect_s` before an endpoint without a report is unknown."""
 REBROADCAST_S = 1.5
-"""How long a change is told again: each sibling gets it two or three times."""
+"""How long a change is sent again, so that each sibling gets it two or three times."""
 PROBE_INTERVAL_HEARTBEATS = 4
-"""A silent host is tried once in so many heartbeat periods."""
+"""A silent host is probed once in this number of heartbeat periods."""
 MIN_REPLY_INTERVAL_S = 0.25
-"""How soon one host is answered again."""
+"""Minimum time between two replies to one host."""
 MAX_DETAIL_REQUESTS = 64
-"""Details that are asked for at one time."""
+"""Endpoint details that one heartbeat requests."""
 FULL_STATE_EVERY = 7
-"""Rounds in which a host tells once of all ends that requests are refused for, and not only of the
-last ones. Hosts that start or were cut off learn of them then, without anybody keeping track of who
-knows what. An odd number: half of the siblings are told in each round, and always the same half
-would be told."""
+"""One in this number of rounds carries all crashes for which requests are refused, instead of the
+recent ones only. Hosts that started or were cut off learn of them without any record of who knows
+what. The number is odd because each round reaches half of the siblings: with an even one, the full
+state would always reach the same half."""
 MAX_REMOTE_SENDERS = 4096
-"""Incarnations of other failure domains' hosts whose sequence is remembered."""
+"""Host incarnations of other failure domains whose last sequence number is retained."""
 
 
 class Outgoing(NamedTuple):
@@ -67,23 +69,24 @@
 
 
 class Received(NamedTuple):
-    """What the control loop is to do about a datagram."""
+    """What the control loop has to do after a datagram."""
 
     replies: tuple[Outgoing, ...] = ()
     state_changed: bool = False
-    """Something that deciders are to know at once. Siblings are told by who saw it first, thrice,
-    and by the tags of the readers' load rows: to tell it on would cost the square of the hosts."""
+    """Something changed that decisions need at once, so a new view is due. The change is not
+    forwarded to siblings: the host that detected it sends it three times, and the tags in the load
+    rows of the readers reveal it. Forwarding would cost the square of the number of hosts."""
     host: str = ""
     revision: int = 0
-    """The configuration revision of the sender."""
+    """Configuration revision of the sender."""
     is_fresh: bool = False
-    """The sender knows this incarnation, so it was alive after this process started."""
+    """The datagram is addressed to this incarnation, so it was sent after this process started."""
     replaced: bool = False
-    """Another process has taken this host's name: this one is to leave."""
+    """Another process uses this host's name, so this one has to leave."""
 
 
 class LocalState(NamedTuple):
-    """What this host says of itself."""
+    """What this host announces about itself."""
 
     leaving: bool = False
     overloaded: bool = False
@@ -92,7 +95,7 @@
 
 
 class Gossip:
-    """One host's part of the exchange."""
+    """The gossip protocol state of one host."""
 
     def __init__(
         self,
@@ -134,7 +137,7 @@
         self.resumed_at = float("-inf")
 
     def adopt(self, published: Published) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         self._published = published
         self.members.adopt(published.hosts_of(self.domain))
         self._endpoints = tuple(published.endpoints_of(self.domain))
@@ -147,28 +150,29 @@
                 table.pop(name, None)  # type: ignore[attr-defined]
 
     def resume(self, paused_at: float, now: float) -> None:
-        """Note that this process did not run between two times."""
+        """Record that this process was paused between two times."""
         self.members.resume(paused_at, now)
         self.endpoint_table.resume(now)
         self.resumed_at = now
 
     def make_heartbeats(self, now: float) -> Iterator[Outgoing]:
-        """Give the datagrams of one regular round: half of the siblings, in turn."""
+        """Yield the datagrams of one regular round: to half of the siblings, alternately."""
         self._turn += 1
         live = sorted(self.members.list_live(now))
-        # A question goes to all: half of them might leave too little time for a second try.
+        # A question about a silent host goes to all siblings: with half of them per round there
+        # might be too little time left for a second attempt.
         step = 1 if len(live) <= MAX_FULL_FANOUT or self.members.list_doubted(now) else 2
         self._collect_relays(now)
         yield from self._make_sibling_heartbeats(live[self._turn % step :: step], now)
         yield from self._make_probes(now)
 
     def make_broadcast(self, now: float) -> Iterator[Outgoing]:
-        """Give the datagrams that tell all siblings at once."""
+        """Yield the datagrams of a broadcast to all siblings."""
         self._collect_relays(now)
         return self._make_sibling_heartbeats(sorted(self.members.list_live(now)), now)
 
     def make_summaries(self, now: float) -> Iterator[Outgoing]:
-        """Give the datagrams to other failure domains, if this host is one that speaks."""
+        """Yield the summaries for other failure domains, if this host is one of their senders."""
         if self._published is None or not self._is_summary_sender(now):
             return
         self._summary_turn += 1
@@ -176,7 +180,10 @@
             yield from self._make_domain_summary(domain, now)
 
     def receive(self, datagram: bytes, at: float, now: float) -> Received:
-        """Take a datagram that was sent at or after `at`; raise PeerError when it is not ours."""
+        """Apply a datagram that was sent at or after `at`.
+
+        Raise PeerError when the datagram is malformed or was not made with the shared secret.
+        """
         verified = self._authenticator.verify(datagram)
         heartbeat = decode(verified.body)
         if self._published is None:
@@ -188,26 +195,26 @@
         return self._receive_from_sibling(heartbeat, verified.recipient_tag, at, now)
 
     def get_domain_hosts(self, now: float) -> dict[str, HostState]:
-        """Give the live hosts of the own failure domain."""
+        """Return the live hosts of the own failure domain, by name."""
         return self.members.get_states(self.domain, now)
 
     def get_remote_hosts(self, now: float) -> dict[str, HostState]:
-        """Give the live hosts of other failure domains."""
+        """Return the live hosts of other failure domains, by name."""
         return {state.name: state for state in self.summaries.make_host_states(now)}
 
     def get_endpoints(self, now: float) -> dict[str, EndpointState]:
-        """Give the endpoints of the own failure domain."""
+        """Return the endpoints of the own failure domain, by name."""
         return self.endpoint_table.get_states(now)
 
     def get_remote_capacity(self, now: float) -> dict[tuple[str, str], Summary]:
-        """Give what other failure domains offer."""
+        """Return the capacity of other failure domains, by (failure domain, target)."""
         return self.summaries.get_states(now)
 
     def list_endpoints_to_read(self, now: float) -> list[str]:
-        """List the endpoints that this host is to read: two live hosts for each."""
+        """List the endpoints whose load this host reads; each is read by two live hosts."""
         staying = tuple(self.members.list_staying(now))
         if staying != self._assigned_among:
-            # Hashing every endpoint in each round took most of the time of the whole loop.
+            # Cached, since hashing every endpoint in each round took most of the loop's time.
             self._assigned_among = staying
             self._assigned_endpoints = [
                 name for name in self._endpoints if self._is_reader_of(name, staying)
@@ -219,10 +226,11 @@
         return colliding or self.host in choose_readers(staying, self.domain, f"endpoint {name}")
 
     def update_read_interval(self, now: float) -> float:
-        """Give how often each reader reads an endpoint, in seconds.
+        """Return the seconds between two reads of an endpoint by one host.
 
-        The two readers of an endpoint take turns; with many endpoints for each host the interval
-        grows, so that a host's work does not.
+        The two readers of an endpoint alternate. With many endpoints per host the interval grows,
+        so that the read rate of a host stays bounded. The time after which an endpoint without a
+        report is unknown is updated with it.
         """
         hosts = len(self.members.list_staying(now))
         endpoints = len(self._endpoints)
@@ -230,7 +238,7 @@
         interval = max(
             readers * self._timing.report_s, readers * endpoints / hosts / MAX_READS_PER_S
         )
-        self.endpoint_table.silent_s = self._timing.suspect_s + MISSED_READ_INTERVALS * interval
+        self.endpoint_table.silence_timeout_s = self._timing.suspect_s + MISSED_READ_INTERVALS * interval
         return interval
 
     def _receive_from_sibling(
@@ -292,7 +300,7 @@
             self._requested_details.setdefault(heartbeat.host, set()).update(requested)
 
     def _answer_doubts(self, heartbeat: Heartbeat, now: float) -> tuple[Outgoing, ...]:
-        """Answer at once what a sibling asks: is some host alive, or this one itself."""
+        """Answer at once when a sibling asks whether some hosts, or this one, are alive."""
         heard = self.members.confirm_alive(heartbeat.doubted, now)
         if not heard and self.members.tag not in heartbeat.doubted:
             return ()
@@ -304,9 +312,10 @@
         )
 
     def _reply(self, heartbeat: Heartbeat, now: float, retired: int = 0) -> tuple[Outgoing, ...]:
-        """Answer a host that does not know this incarnation, or that was replaced.
+        """Reply to a host that does not know this incarnation, or that was replaced.
 
-        It goes to the published address only, and seldom: a forged source draws no traffic.
+        The reply goes to the published address only, and at a limited rate, so a forged source
+        address can't cause traffic to a third party.
         """
         if now - self._replied_at.get(heartbeat.host, float("-inf")) < MIN_REPLY_INTERVAL_S:
             return ()
@@ -378,7 +387,7 @@
             yield from self._make_datagrams(name, message, tag)
 
     def _make_crash_message(self, turn: int, now: float) -> Heartbeat:
-        """Give a message with the endpoints that ended lately; by turns with more of them."""
+        """Return a heartbeat with the recent crashes, or in every nth turn with all of them."""
         update = self.crash_tracker.list_updates(now, full=turn % FULL_STATE_EVERY == 0)
         rows = tuple(
             CrashRow(crash.incarnation, crash.digests, now - crash.at) for crash in update.crashes
@@ -418,7 +427,10 @@
         )
 
     def _make_datagrams(self, name: str, message: Heartbeat, tag: int) -> Iterator[Outgoing]:
-        """Give as many datagrams as the message needs; what fits none by itself is left out."""
+        """Yield a message in as many datagrams as it needs.
+
+        An item that does not fit into one datagram by itself is left out.
+        """
         assert self._published is not None
         body = encode(self._add_header(message))
         if len(body) + OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES:
@@ -426,12 +438,12 @@
             return
         parts = split_heartbeat(message)
         if not parts:
-            log.warning("a heartbeat is too long for a datagram", extra={"bytes": len(body)})
+            log.warning("a heartbeat does not fit into a datagram", extra={"bytes": len(body)})
         for part in parts:
             yield from self._make_datagrams(name, part, tag)
 
 
 def _parse_crashes(heartbeat: Heartbeat, at: float) -> CrashUpdate:
-    """Give what a heartbeat that was sent at or after `at` tells of ends."""
+    """Return the crashes in a heartbeat that was sent at or after `at`."""
     crashes = (Crash(row.life, row.digests, at - row.age_s) for row in heartbeat.ends)
     return CrashUpdate(tuple(crashes), heartbeat.served)
--- a/cloverway/membership/heartbeat.thrift
+++ b/cloverway/membership/heartbeat.thrift
@@ -1,5 +1,6 @@
-// The datagram that hosts send each other. Times travel as ages, never as clock readings: no two
-// clocks are compared. Columns instead of rows: a list element costs its own bytes only.
+// The heartbeat that hosts send to each other in a datagram. Times are sent as ages, never as clock
+// readings, because the clocks of two hosts are not comparable. Tables are sent as columns, because
+// an element of a list takes no bytes beyond its own.
 
 struct Loads {
   1: list<i32> endpoints
@@ -19,7 +20,7 @@
   7: i16 age
 }
 
-// Counts are steps of heartbeats.STEPS: exact when small, within a tenth when large.
+// Counts are indexes into heartbeats.COUNT_STEPS: exact when small, within a tenth when large.
 struct Summary {
   1: string domain
   2: i16 age
@@ -33,7 +34,7 @@
   10: list<byte> waiting
 }
 
-// An endpoint that ended, and the digests of the requests that it was running.
+// An endpoint that crashed, and the digests of the requests that it was running.
 struct End {
   1: string life
   2: list<i64> digests
--- a/cloverway/membership/heartbeats.py
+++ b/cloverway/membership/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats: what hosts tell each other, and its form on the wire.
+"""Heartbeats, the messages of the gossip protocol, and their encoding.
 
-Names of endpoints, hosts and models travel as 32-bit identifiers where both sides know the name.
-Every number is cut to the range of its field, so that encoding never fails.
+Names of endpoints, hosts and models are sent as 32-bit hashes where both hosts know the name.
+Each number is clamped to the range of its field, so that encoding never fails.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 MAX_I32 = 2**31 - 1
 TAG_MASK = 2**32 - 1
 COUNT_STEPS = (*range(32), *(round(32 * 2 ** (step / 8)) for step in range(96)))
-"""The counts that a summary can tell; others are rounded down to the next one."""
+"""The counts that a summary can carry; any other count is rounded down to one of them."""
 LEAVING_LEVEL = -1
 """Level of a host that is leaving or overloaded, in a summary."""
 
 
 class LoadRow(NamedTuple):
-    """Load of one endpoint, of a state that the receiver knows by its tag."""
+    """Load of one endpoint; the tag names the detail that the load belongs to."""
 
     endpoint: int
     tag: int
@@ -51,7 +51,7 @@
 
 
 class Detail(NamedTuple):
-    """The part of an endpoint's state that changes seldom."""
+    """The part of an endpoint's state that changes rarely."""
 
     name: str
     incarnation: str
@@ -83,7 +83,7 @@
 
 
 class DomainSummary(NamedTuple):
-    """What a failure domain tells the others."""
+    """What a failure domain sends to the other failure domains."""
 
     domain: str
     age_s: float
@@ -93,16 +93,16 @@
 
 
 class CrashRow(NamedTuple):
-    """An endpoint that ended."""
+    """An endpoint that crashed."""
 
     life: str
     digests: tuple[int, ...]
-    """What repeats of the requests that it was running have in common."""
+    """Digests of the requests that it was running; repeats of a request have the same digest."""
     age_s: float
 
 
 class Heartbeat(NamedTuple):
-    """One datagram."""
+    """The content of one datagram."""
 
     host: str
     incarnation: int
@@ -112,52 +112,52 @@
     load: float = 0.0
     revision: int = 0
     heard: tuple[tuple[int, int], ...] = ()
-    """(tag of an incarnation, its latest sequence) of hosts that the sender heard itself."""
+    """(tag of an incarnation, its latest sequence) of hosts that the sender heard directly."""
     doubted: tuple[int, ...] = ()
     """Tags of incarnations that the sender asks the receiver about."""
     loads: tuple[LoadRow, ...] = ()
     details: tuple[Detail, ...] = ()
     wanted: tuple[int, ...] = ()
-    """Endpoints whose detail the sender lacks."""
+    """Hashed names of endpoints whose detail the sender lacks."""
     summaries: tuple[DomainSummary, ...] = ()
     retired: int = 0
-    """An incarnation of the receiver's name that the sender knows to be replaced, or 0."""
+    """A replaced incarnation of the receiving host, or 0; its process has to leave."""
     ends: tuple[CrashRow, ...] = ()
     served: tuple[int, ...] = ()
-    """Requests that ran at endpoints that ended, and were served since."""
+    """Digests of requests that ran at endpoints that crashed, and that were served since."""
 
 
 def hash_name(name: str) -> int:
-    """Give the 32-bit identifier of a name."""
+    """Return the signed 32-bit hash of a name."""
     return _to_signed(zlib.crc32(name.encode()))
 
 
 def get_incarnation_tag(incarnation: int) -> int:
-    """Give the unsigned 32-bit tag of a host's incarnation; it is never 0."""
+    """Return the unsigned 32-bit tag of a host's incarnation; it is never 0."""
     return incarnation & TAG_MASK or 1
 
 
 def parse_incarnation(text: str) -> int:
-    """Give the number of an incarnation of 16 hexadecimal digits."""
+    """Return the signed number of an incarnation of 16 hexadecimal digits."""
     number = int(text, 16)
     return number - 2**64 if number >= 2**63 else number
 
 
 def format_incarnation(number: int) -> str:
-    """Give the 16 hexadecimal digits of an incarnation."""
+    """Return the 16 hexadecimal digits of an incarnation."""
     return f"{number & (2**64 - 1):016x}"
 
 
 def compute_detail_tag(
     incarnation: str, ready: bool, leaving: bool, slots: int, models: Iterable[str]
 ) -> int:
-    """Give the tag of an endpoint's slowly changing state; a load row names it."""
+    """Return the tag of an endpoint's detail, by which load rows refer to it."""
     text = "\n".join((incarnation, str(ready), str(leaving), str(slots), *models))
     return hash_name(text)
 
 
 def encode(heartbeat: Heartbeat) -> bytes:
-    """Give the bytes of a heartbeat. Empty lists are left out."""
+    """Encode a heartbeat; empty lists are left out."""
     message = wire.Heartbeat(
         host=heartbeat.host,
         incarnation=heartbeat.incarnation,
@@ -180,20 +180,21 @@
 
 
 def decode(body: bytes) -> Heartbeat:
-    """Read a heartbeat; raise PeerError for bytes that are none."""
+    """Decode a heartbeat; raise PeerError when it is malformed."""
     try:
         check_struct(body)
         return _decode(deserialize(wire.Heartbeat(), body, _PROTOCOL))
     except PeerError:
         raise
     except Exception as error:
-        # The decoder raises many kinds for bytes of an unknown form; none may end the loop.
-        raise PeerError("a datagram has an unknown form") from error
+        # The decoder raises many types of exception for malformed bytes, and none of them may stop
+        # the control loop.
+        raise PeerError("a heartbeat is malformed") from error
 
 
 def _decode(message: Any) -> Heartbeat:
     if not message.host or not message.sequence or message.sequence < 0:
-        raise PeerError("a heartbeat lacks its sender")
+        raise PeerError("a heartbeat has no sender or no sequence number")
     flags = message.flags or 0
     return Heartbeat(
         host=message.host,
@@ -251,7 +252,7 @@
 
 def _decode_detail(detail: Any) -> Detail:
     if not detail.name:
-        raise PeerError("an endpoint's detail lacks its name")
+        raise PeerError("an endpoint detail has no name")
     return Detail(
         name=detail.name,
         incarnation=detail.incarnation or "",
@@ -281,7 +282,7 @@
 
 def _decode_summary(summary: Any) -> DomainSummary:
     if not summary.domain:
-        raise PeerError("a summary lacks its failure domain")
+        raise PeerError("a summary has no failure domain")
     hosts = zip(summary.hosts, summary.incarnations, summary.levels, strict=True)
     targets = zip(summary.targets, summary.ready, summary.free, summary.waiting, strict=True)
     return DomainSummary(
@@ -308,7 +309,7 @@
 
 def _decode_crash(row: Any) -> CrashRow:
     if not row.life:
-        raise PeerError("an end lacks the endpoint")
+        raise PeerError("a crash has no endpoint")
     return CrashRow(row.life, tuple(row.digests or ()), max(0, row.age or 0) * AGE_STEP_S)
 
 
--- a/cloverway/membership/membership.py
+++ b/cloverway/membership/membership.py
@@ -1,7 +1,8 @@
-"""Who is alive in a failure domain, as one host knows it. Pure: no socket, clock or random source.
+"""Failure detection for the hosts of one failure domain.
 
-A host is known by its incarnation, which it draws when it starts. Within one incarnation the
-sequence only grows and leaving is never taken back; another incarnation retires the one before.
+The code is pure: it uses no socket, clock or random source. A host is identified by its
+incarnation, a random number that it draws when it starts. Within one incarnation the sequence
+number only grows and `leaving` is never reset; a new incarnation retires the previous one.
 """
 
 from __future__ import annotations
@@ -14,24 +15,25 @@
 from cloverway.membership.view import HostState
 
 MAX_RETIRED_INCARNATIONS = 16
-"""Replaced incarnations that are remembered for one name."""
+"""Replaced incarnations that are retained per host name."""
 INDIRECT_PROBE_FRACTION = 0.55
-"""Part of the time that counts as dead after which others are asked about a host."""
+"""Fraction of `suspect_s`, the silence after which a host counts as dead, after which siblings are
+asked about it."""
 RETIREMENT_S = 30.0
-"""How long a replaced incarnation stays refused when the one after it has fallen silent."""
+"""How long a replaced incarnation stays rejected when its successor has fallen silent."""
 NEVER = float("-inf")
 
 
 class Merged(StrEnum):
-    """What became of a heartbeat."""
+    """The result of merging a heartbeat."""
 
     NEWS = "news"
-    """A host has joined, was replaced, or is leaving: others are to know at once."""
+    """A host joined, was replaced, or started leaving: decisions need this at once."""
     KNOWN = "known"
     STRANGER = "stranger"
     """The sender is not in the configuration."""
     UNPROVEN = "unproven"
-    """It was not meant for this incarnation; it may be a replay from before this host started."""
+    """It is not addressed to this incarnation; it may be a replay from before this host started."""
     REPLAYED = "replayed"
     RETIRED = "retired"
     """The sender was replaced by a later incarnation."""
@@ -49,13 +51,13 @@
     load: float
     revision: int
     heard_at: float
-    """When it was last heard, by this host or by one that told so."""
+    """When it was last known to be alive, by a heartbeat to this host or to a sibling."""
     direct_heard_at: float
-    """When it was last heard by this host itself."""
+    """When this host last received a heartbeat from it."""
     relayed_sequence: int = 0
-    """The highest sequence that another host told of."""
+    """The highest sequence number that a sibling reported."""
     grace_until: float = NEVER
-    """Until when its silence is not held against it."""
+    """Until when it counts as alive regardless of its silence."""
 
 
 class Retired(NamedTuple):
@@ -66,7 +68,7 @@
 
 
 class Membership:
-    """The hosts of one failure domain, without the host itself."""
+    """The hosts of one failure domain, except the local host."""
 
     def __init__(self, host: str, incarnation: int, suspect_s: float) -> None:
         self.host = host
@@ -78,21 +80,21 @@
         self._retired: dict[str, dict[int, Retired]] = {}
 
     def adopt(self, names: Iterable[str]) -> None:
-        """Take the published hosts of the failure domain; forget hosts that are gone."""
+        """Apply the published hosts of the failure domain; drop hosts that were removed."""
         known = self._members
         self._members = {name: known.get(name) for name in names if name != self.host}
         self._retired = {name: self._retired.get(name, {}) for name in self._members}
         self._rebuild_tags()
 
     def merge(self, heartbeat: Heartbeat, recipient_tag: int, at: float) -> Merged:
-        """Take in a heartbeat that was sent at or after a time, for the incarnation tagged `to`."""
+        """Merge a heartbeat that was sent at or after `at` to the incarnation of a tag."""
         if heartbeat.host == self.host:
             return Merged.KNOWN if heartbeat.incarnation == self.incarnation else Merged.OWN_NAME
         if heartbeat.host not in self._members:
             return Merged.STRANGER
         if recipient_tag != self.tag:
-            # A recorded datagram is as well sealed as a new one. Only a host that has heard this
-            # incarnation can name it, so nothing from before this process started is believed.
+            # The MAC of a replayed datagram is valid. Only a host that has heard this incarnation
+            # can address it, so this rejects everything from before this process started.
             return Merged.UNPROVEN
         known = self._members[heartbeat.host]
         if (
@@ -106,31 +108,34 @@
         return self._store(heartbeat, known, at)
 
     def is_live(self, name: str, now: float) -> bool:
-        """Tell whether a host was heard lately enough to be used."""
+        """Return whether a host was heard recently enough to count as alive."""
         member = self._members.get(name)
         return member is not None and _is_live(member, now, self.suspect_s)
 
     def list_live(self, now: float) -> list[str]:
-        """List the hosts that are alive, with those that are leaving, but for this one."""
+        """List the other hosts that are alive, including those that are leaving."""
         return [name for name in self._members if self.is_live(name, now)]
 
     def list_staying(self, now: float) -> list[str]:
-        """List the hosts that are alive and not leaving, with this one; its caller knows of it."""
+        """List the hosts that are alive and not leaving, and the local host in any case.
+
+        Whether the local host is leaving is known to the caller only.
+        """
         members = self._members
         stay = [name for name in self.list_live(now) if not (m := members[name]) or not m.leaving]
         return [*stay, self.host]
 
     def list_silent(self, now: float) -> list[str]:
-        """List the published hosts that are not heard."""
+        """List the published hosts that are not alive."""
         return [name for name in self._members if not self.is_live(name, now)]
 
     def get_tag(self, name: str) -> int:
-        """Give the tag of a host's present incarnation, or 0."""
+        """Return the tag of a host's current incarnation, or 0."""
         member = self._members.get(name)
         return get_incarnation_tag(member.incarnation) if member else 0
 
     def get_states(self, domain: str, now: float) -> dict[str, HostState]:
-        """Give the live hosts for the view."""
+        """Return the live hosts for the view, by name."""
         return {
             name: HostState(
                 name=name,
@@ -147,11 +152,14 @@
         }
 
     def revisions(self) -> Mapping[str, int]:
-        """Give the configuration revision of each host that was heard."""
+        """Return the configuration revision of each host that was heard."""
         return {name: member.revision for name, member in self._members.items() if member}
 
     def list_doubted(self, now: float) -> tuple[int, ...]:
-        """Give the tags of hosts that have been silent for most of the time that counts as dead."""
+        """Return the tags of hosts to ask siblings about.
+
+        They have been silent for most of `suspect_s`, but not for twice as long.
+        """
         return tuple(
             get_incarnation_tag(member.incarnation)
             for member in self._members.values()
@@ -159,7 +167,7 @@
         )
 
     def confirm_alive(self, doubted: tuple[int, ...], now: float) -> tuple[tuple[int, int], ...]:
-        """Give the sequences of those incarnations that this host itself heard lately."""
+        """Return (tag, sequence) of those incarnations that this host recently heard itself."""
         names = (self._tags[tag] for tag in doubted if tag in self._tags)
         members = (self._members[name] for name in names)
         return tuple(
@@ -169,10 +177,10 @@
         )
 
     def apply_relayed(self, heard: tuple[tuple[int, int], ...], at: float) -> None:
-        """Take another host's word for it that some hosts are alive.
+        """Apply the (tag, sequence) pairs of hosts that a sibling reports as alive.
 
-        Without it, a link that loses datagrams between two hosts makes each of them call the
-        other one dead. A sequence that has not grown proves nothing and changes nothing.
+        Without them, loss on the link between two hosts makes each declare the other one dead.
+        Only a sequence number that has grown proves that a host is alive.
         """
         for tag, sequence in heard:
             name = self._tags.get(tag)
@@ -183,10 +191,11 @@
                 )
 
     def resume(self, paused_at: float, now: float) -> None:
-        """Note that this process did not run between two times.
+        """Record that this process was paused between two times.
 
-        Others were not silent, this process was deaf: who was alive before gets the whole time
-        once more. When each was heard stays as it was, so nothing looks newer than it is.
+        The other hosts were not silent, this process could not receive. Each host that was alive
+        before the pause gets the full `suspect_s` again. The times at which hosts were heard stay
+        unchanged, so no state looks newer than it is.
         """
         for name, member in self._members.items():
             if member and _is_live(member, paused_at, self.suspect_s):
@@ -198,8 +207,9 @@
             return False
         if known and _is_live(known, at, self.suspect_s):
             return True
-        # A host that started between two incarnations can take them in the wrong order, and
-        # would refuse the true one for ever. Datagrams are not late by as much as RETIRED_S.
+        # A host that starts while another one is being replaced can receive the two incarnations
+        # in the wrong order, and would reject the live one forever. No datagram is delayed by as
+        # much as RETIREMENT_S.
         return at - retired.at < RETIREMENT_S or heartbeat.sequence <= retired.sequence
 
     def _store(self, heartbeat: Heartbeat, known: Member | None, at: float) -> Merged:
--- a/cloverway/membership/reports.py
+++ b/cloverway/membership/reports.py
@@ -1,4 +1,4 @@
-"""Reads the load reports of endpoints: by blocking calls on few threads, each bounded."""
+"""Reads the load reports of endpoints, by bounded blocking calls on a few threads."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 log = logging.getLogger(__name__)
 
 SOCKET_TIMEOUT_S = 1.0
-"""Wait for a connection, and for each piece of an answer."""
+"""Timeout of connecting, and of each read from the socket."""
 MAX_FIRST_READ_DELAY_S = 1.0
-"""An endpoint that this host has not read yet is read within this time."""
+"""An endpoint that this host has not read yet is first read within this time."""
 MAX_REPORT_BYTES = 64 * 1024
 MAX_TEXT_LENGTH = 128
-"""The longest incarnation or name that is taken from a report."""
+"""Maximum length of an incarnation or name in a report."""
 MAX_MODELS = 64
 MAX_COUNT = 2**15 - 1
 MINIMAL_HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
-"""Headers that say nothing to an endpoint would be a third of the bytes of a read."""
+"""Suppresses default headers that no endpoint uses; they are a third of the bytes of a read."""
 LOAD_PATHS = {EndpointKind.ENGINE: "/v1/load", EndpointKind.SERVICE: "/load"}
 
 
 class ReportBody(TypedDict):
-    """The JSON that an endpoint answers."""
+    """The JSON body of a load report."""
 
     incarnation: str
     ready: bool
@@ -54,23 +54,24 @@
 
 
 def parse_report(data: bytes, endpoint: Endpoint) -> LoadReport:
-    """Read a report; raise PeerError for anything that is none."""
+    """Parse a load report; raise PeerError when it is malformed."""
     try:
         body = json.loads(data)
     except (ValueError, RecursionError) as error:
         raise PeerError("a load report is not JSON") from error
     if not isinstance(body, dict) or not isinstance(body.get("ready"), bool):
-        raise PeerError("a load report does not say whether the endpoint is ready")
+        raise PeerError("a load report has no boolean 'ready'")
     incarnation = body.get("incarnation")
     if not isinstance(incarnation, str) or not _is_text(incarnation):
-        raise PeerError("a load report has no incarnation")
+        raise PeerError("a load report has no valid incarnation")
     offered = body.get("models" if endpoint.kind is EndpointKind.ENGINE else "services", [])
     if not isinstance(offered, list):
-        raise PeerError("a load report has no list of what is offered")
+        raise PeerError("a load report has no list of models or services")
     return LoadReport(
         incarnation=incarnation,
         ready=body["ready"],
-        # Anything but a plain "no" stops new work: that costs little, the other error a request.
+        # Anything but a plain false stops new requests: a needless stop costs little, while the
+        # opposite error costs a request.
         leaving=body.get("leaving", False) is not False,
         running=_parse_count(body.get("running", 0), "running"),
         waiting=_parse_count(body.get("waiting", 0), "waiting"),
@@ -81,7 +82,7 @@
 
 
 class EndpointReader:
-    """Reads one endpoint, over one connection that is kept. One thread at a time calls `read`."""
+    """Reads one endpoint over a persistent connection; one thread at a time may call `read`."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
@@ -91,10 +92,10 @@
         self._connection_lock = threading.Lock()
 
     def read(self) -> LoadReport:
-        """Read a report; raise PeerError when it can't be had on a new connection either.
+        """Read a report; raise PeerError when a new connection fails too.
 
-        A kept connection can go silent for good while new ones work, so its failure says nothing
-        about the endpoint.
+        A persistent connection can go silent for good while new ones work, so its failure proves
+        nothing about the endpoint.
         """
         if self._connection is not None:
             with contextlib.suppress(PeerError):
@@ -102,7 +103,10 @@
         return self._read()
 
     def abort(self) -> None:
-        """End a read in another thread: an endpoint that sends byte by byte meets no timeout."""
+        """Abort a read in another thread.
+
+        An endpoint that sends its response byte by byte never runs into the socket timeout.
+        """
         with self._connection_lock:
             raw = getattr(self._connection, "sock", None)
         if raw is not None:
@@ -110,7 +114,7 @@
                 raw.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         with self._connection_lock:
             connection, self._connection = self._connection, None
         if connection is not None:
@@ -121,7 +125,7 @@
             report = parse_report(self._get(), self.endpoint)
         except (HTTPException, urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             self.close()
-            raise PeerError(f"the endpoint's load can't be read: {error}") from error
+            raise PeerError(f"can't read the endpoint's load: {error}") from error
         except BaseException:
             self.close()
             raise
@@ -137,7 +141,7 @@
         if response.status != 200:
             raise PeerError(f"the endpoint answered {response.status}")
         if len(data) > MAX_REPORT_BYTES:
-            raise PeerError("a load report is too long")
+            raise PeerError("a load report is too large")
         if response.headers.get("Connection", "").lower() == "close":
             self.close()
         return data
@@ -152,7 +156,7 @@
 
 
 class WorkerThreads:
-    """A few threads that make blocking calls; they end with the process."""
+    """A fixed number of daemon threads that make blocking calls."""
 
     def __init__(self, name: str, count: int) -> None:
         self._inbox: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
@@ -167,24 +171,24 @@
             thread.start()
 
     def stop(self) -> None:
-        """Let each thread end after its present call, without waiting for it."""
+        """Let each thread end after its current call, without waiting for it."""
         for _ in self._threads:
             self._inbox.put(None)
 
     def submit(self, call: Callable[..., Any], *arguments: Any) -> Future[Any]:
-        """Make a call on one of the threads."""
-        answer: Future[Any] = Future()
+        """Make a call on one of the threads; return a future of its result."""
+        result: Future[Any] = Future()
 
         def run() -> None:
-            if not answer.set_running_or_notify_cancel():
+            if not result.set_running_or_notify_cancel():
                 return
             try:
-                answer.set_result(call(*arguments))
+                result.set_result(call(*arguments))
             except BaseException as error:
-                answer.set_exception(error)
+                result.set_exception(error)
 
         self._inbox.put(run)
-        return answer
+        return result
 
     def _run(self) -> None:
         while (call := self._inbox.get()) is not None:
@@ -192,7 +196,7 @@
 
 
 class ReadSchedule:
-    """Which endpoints are due to be read. Pure."""
+    """Decides which endpoints are due to be read. Pure."""
 
     def __init__(self, offset: Callable[[], float]) -> None:
         self._offset = offset
@@ -200,7 +204,7 @@
         self._in_progress: dict[str, float] = {}
 
     def take_due(self, names: list[str], interval_s: float, now: float) -> list[str]:
-        """Give the endpoints to read now, and plan the next time of each."""
+        """Return the endpoints to read now, and schedule the next read of each."""
         self._due = {
             name: self._due.get(
                 name, now + self._offset() * min(interval_s, MAX_FIRST_READ_DELAY_S)
@@ -216,11 +220,11 @@
         return due
 
     def finish(self, name: str) -> None:
-        """Note that a read has ended."""
+        """Record that a read has ended."""
         self._in_progress.pop(name, None)
 
     def list_overdue(self, limit_s: float, now: float) -> list[str]:
-        """List the reads that have taken too long."""
+        """List the endpoints whose read takes longer than a limit."""
         return [name for name, since in self._in_progress.items() if now - since > limit_s]
 
 
@@ -230,5 +234,5 @@
 
 def _parse_count(value: object, name: str, maximum: int = MAX_COUNT) -> int:
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
-        raise PeerError(f"{name} of a load report is not a count")
+        raise PeerError(f"'{name}' of a load report is not a valid count")
     return int(min(value, maximum))
--- a/cloverway/membership/splitting.py
+++ b/cloverway/membership/splitting.py
@@ -1,4 +1,4 @@
-"""How a heartbeat that is too long for one datagram is cut into several."""
+"""Splitting of a heartbeat that does not fit into one datagram."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from cloverway.membership.heartbeats import Heartbeat
 
 EMPTY_HEARTBEAT = Heartbeat("", 0, 0)
-"""A heartbeat that tells nothing; each part of one that was cut is filled up from it."""
+"""A heartbeat without content, from which the further parts of a split heartbeat are made."""
 LIST_FIELDS = ("heard", "doubted", "loads", "details", "wanted", "summaries", "ends", "served")
-"""The parts of a heartbeat that can be cut."""
+"""The fields of a heartbeat that can be split."""
 
 
 def split_heartbeat(message: Heartbeat) -> tuple[Heartbeat, ...]:
-    """Cut a message's longest part in two; give nothing when there is no more to cut."""
+    """Split the longest list of a heartbeat in two; return () when nothing is left to split."""
     field = max(LIST_FIELDS, key=lambda name: len(getattr(message, name)))
     items = getattr(message, field)
     middle = len(items) // 2
@@ -26,7 +26,7 @@
 
 
 def _split_by_field(message: Heartbeat) -> tuple[Heartbeat, ...]:
-    """Give one message for each part that has an item, when there is more than one such part."""
+    """Return one heartbeat per field with an item, or () when only one field has any."""
     filled = [name for name in LIST_FIELDS if getattr(message, name)]
     separated = tuple(
         _replace_field(EMPTY_HEARTBEAT, name, getattr(message, name)) for name in filled
--- a/cloverway/membership/summaries.py
+++ b/cloverway/membership/summaries.py
@@ -1,4 +1,8 @@
-"""What failure domains tell each other: levels of capacity, live hosts and a revision. Pure."""
+"""Summaries that failure domains exchange: capacity, live hosts and configuration revision. Pure.
+
+Some hosts of each failure domain send its summary to one host of another domain, which relays it
+to its siblings. A domain of the same region gets every summary, domains of other regions in turn.
+"""
 
 from __future__ import annotations
 
@@ -21,31 +25,33 @@
 from cloverway.membership.view import EndpointState, HostState, Summary
 
 SUMMARY_SENDERS = 2
-"""Hosts of a domain that tell other domains; one may be dead without a gap."""
+"""Hosts of a domain that send its summary to other domains; one may be dead without a gap."""
 REMOTE_FANOUT = 4
-"""Failure domains of other regions that a speaker tells in one period."""
+"""Failure domains of other regions to which a host sends the summary in one period."""
 RELAY_S_PER_DOMAIN = 0.4
-"""Each summary is told again within a failure domain once in this time for each other domain."""
+"""A summary from another region is relayed within a failure domain once per this time, multiplied
+by the number of other domains, so that the total relay rate does not grow with them."""
 REGION_RELAY_PERIODS = 2
+"""Summary periods between two relays of a summary from the same region."""
 URGENT_RELAY_FACTOR = 2
-"""A summary with a change that matters may be told so many times as often."""
+"""A summary with an urgent change may be relayed this many times as often."""
 MAX_MISSED_SUMMARIES = 3
-"""Missed summaries after which a failure domain counts as cut off."""
+"""Missed summaries after which a failure domain counts as unreachable."""
 MAX_HOSTS = 24
-"""Hosts that a summary names, those with the least load first."""
+"""Maximum number of hosts in a summary; those with the least load are kept."""
 MAX_TARGETS = 64
-"""Models and services that a summary names: it must fit one datagram."""
+"""Maximum number of models and services in a summary, which must fit into one datagram."""
 
 
 class SummaryRecord(NamedTuple):
-    """A summary with the time it was true at."""
+    """A summary with the time at which it was current."""
 
     summary: DomainSummary
     at: float
     direct: bool
-    """Told by the failure domain itself, and not yet judged whether siblings are to know."""
+    """It came from the failure domain itself, and `take_due_relays` has not processed it yet."""
     relayed: DomainSummary | None = None
-    """What siblings were last told, or told this host."""
+    """The summary that was last relayed to or by siblings."""
     relayed_at: float = float("-inf")
 
 
@@ -63,7 +69,7 @@
         self._targets: dict[int, str] = {}
 
     def adopt(self, published: Published) -> None:
-        """Take the published failure domains, hosts and targets; forget what is gone."""
+        """Apply the published failure domains, hosts and targets; drop those that were removed."""
         self._published = published
         region = published.region_of(self.domain)
         others = sorted(name for name in published.domains if name != self.domain)
@@ -78,7 +84,7 @@
         self._targets = {hash_name(name): name for name in itertools.chain(targets, profiles)}
 
     def get_loss_timeout(self, domain: str) -> float:
-        """Silence after which a failure domain counts as cut off, in seconds."""
+        """Return the silence after which a failure domain counts as unreachable, in seconds."""
         if domain in self._region_domains:
             return MAX_MISSED_SUMMARIES * (1 + REGION_RELAY_PERIODS) * self._summary_s
         rounds = max(1, -(-len(self._remote_domains) // REMOTE_FANOUT))
@@ -90,7 +96,7 @@
         return max(self._summary_s, RELAY_S_PER_DOMAIN * others)
 
     def choose_domains(self, turn: int, region_only: bool = False) -> list[str]:
-        """Choose the failure domains to tell in one period: all of the region, some of the rest."""
+        """Choose the recipients of one period: all domains of the region, and some of the rest."""
         if region_only or not self._remote_domains:
             return list(self._region_domains)
         count = min(REMOTE_FANOUT, len(self._remote_domains))
@@ -101,7 +107,7 @@
         ]
 
     def apply(self, summary: DomainSummary, at: float, direct: bool) -> bool:
-        """Take a summary when it is later than what is known; tell whether it is."""
+        """Apply a summary if it is newer than the known one; return whether it is."""
         if summary.domain == self.domain or self._published is None:
             return False
         if summary.domain not in self._published.domains:
@@ -110,7 +116,8 @@
         known = self._records.get(summary.domain)
         if known and true_at <= known.at:
             if not direct:
-                # Siblings have a copy, if an older one: to tell ours too would double the bytes.
+                # Siblings have a copy, possibly an older one. Relaying ours too would double the
+                # traffic.
                 self._records[summary.domain] = known._replace(relayed=summary, relayed_at=at)
             return False
         record = SummaryRecord(summary, true_at, direct)
@@ -122,10 +129,10 @@
         return True
 
     def take_due_relays(self, now: float) -> list[DomainSummary]:
-        """Give the summaries that siblings lack: changes that matter soon, the rest seldom.
+        """Return the summaries to relay to siblings: urgent changes soon, the rest rarely.
 
-        Each copy is judged once, by the host that was told. Where all hosts that were ever told
-        waited for the same moment, two of them told the same at once.
+        Each copy is checked only once, by the host that received it. If all hosts that ever
+        received one checked again later, two of them would relay the same summary at once.
         """
         direct = {name: record for name, record in self._records.items() if record.direct}
         due = {name for name, record in direct.items() if self._is_due(record, now)}
@@ -137,7 +144,7 @@
         return [direct[name].summary._replace(age_s=now - direct[name].at) for name in sorted(due)]
 
     def list_recipients(self, domain: str) -> list[tuple[str, int]]:
-        """List (host, tag) of a failure domain's hosts; tag 0 where no incarnation is known."""
+        """List (host, tag) of a failure domain's hosts; the tag is 0 for unknown incarnations."""
         record = self._records.get(domain)
         rows = record.summary.hosts if record else ()
         live = {row.host: get_incarnation_tag(row.incarnation) for row in rows}
@@ -146,7 +153,7 @@
         return known or [(name, 0) for name in names]
 
     def make_host_states(self, now: float) -> Iterator[HostState]:
-        """Give the live hosts of other failure domains for the view."""
+        """Yield the live hosts of other failure domains for the view."""
         for record in self._list_current(now):
             for row in record.summary.hosts:
                 name = self._hosts.get(row.host)
@@ -158,13 +165,14 @@
                         leaving=row.level == LEAVING_LEVEL,
                         load=max(0, row.level) / 100,
                         revision=record.summary.revision,
-                        # It is live by the bound for its failure domain, whose summaries come
-                        # more seldom than the heartbeats that readers of the view reckon with.
+                        # The host is live because its failure domain is. Summaries arrive less
+                        # often than the heartbeats that readers of the view expect, so the time
+                        # of the summary would make the host look dead.
                         heard_at=now,
                     )
 
     def get_states(self, now: float) -> dict[tuple[str, str], Summary]:
-        """Give the capacity of other failure domains for the view."""
+        """Return the capacity of other failure domains, by (failure domain, target)."""
         return {
             (record.summary.domain, target): Summary(
                 domain=record.summary.domain,
@@ -202,7 +210,7 @@
     hosts: Iterable[HostState],
     endpoints: Mapping[str, EndpointState],
 ) -> DomainSummary:
-    """Give the summary of the own failure domain. A host that is overloaded is told as leaving."""
+    """Return the summary of a failure domain; an overloaded host is listed as leaving."""
     rows: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
     for state in endpoints.values():
         if not state.ready or state.leaving:
@@ -236,9 +244,9 @@
 
 
 def _get_urgent_fields(summary: DomainSummary) -> tuple[Any, ...]:
-    """Give what siblings are to know soon: which hosts are there, and what is ready.
+    """Return the fields whose changes are relayed sooner: the hosts, and the ready endpoints.
 
-    Free slots change all the time under load; to tell each change at once cost 1.6 KB/s.
+    Free slots change constantly under load; relaying each of their changes at once cost 1.6 KB/s.
     """
     hosts = {(row.host, row.incarnation, row.level == LEAVING_LEVEL) for row in summary.hosts}
     targets = {(row.target, row.ready) for row in summary.targets}
--- a/cloverway/membership/view.py
+++ b/cloverway/membership/view.py
@@ -1,4 +1,4 @@
-"""The immutable picture of the system that the control loop publishes to all other tasks."""
+"""The immutable view of the system that the control loop publishes to all other tasks."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
     name: str
     incarnation: str = ""
-    """Changes when the endpoint restarts; its cache is then cold."""
+    """Changes when the endpoint restarts, which empties its KV cache."""
     ready: bool = False
     leaving: bool = False
-    """Sticky for the incarnation: no list can take it back."""
+    """Never reset within an incarnation, whatever the platform's list says."""
     running: int = 0
     waiting: int = 0
     slots: int = 1
@@ -24,7 +24,7 @@
     """Models that are loaded now, or services that are offered."""
     reported_at: float = float("-inf")
     started_at: float = float("-inf")
-    """When this incarnation was first seen ready; a new one is given little at first."""
+    """When this incarnation was first seen ready; a new one gets few requests at first."""
 
 
 class HostState(NamedTuple):
@@ -36,50 +36,50 @@
     leaving: bool = False
     overloaded: bool = False
     load: float = 0.0
-    """Requests in progress over the limit, 0 to 1."""
+    """Requests in progress divided by the limit, 0 to 1."""
     revision: int = 0
     heard_at: float = float("-inf")
 
 
 class Summary(NamedTuple):
-    """What one failure domain offers for one model or service."""
+    """The capacity of one failure domain for one model or service."""
 
     domain: str
     target: str
     ready: int = 0
-    """Endpoints that are ready."""
+    """Number of ready endpoints."""
     free: int = 0
-    """Slots that are free."""
+    """Number of free slots."""
     waiting: int = 0
     at: float = float("-inf")
 
 
 class View(NamedTuple):
-    """All that decisions are made from, as of one moment."""
+    """Everything that decisions are based on, as of one moment."""
 
     host: str
     incarnation: str
     domain: str
     region: str
     published: Published | None = None
-    """None until a configuration was accepted: the host is not ready."""
+    """None until the host starts serving, so until then it is not ready."""
     hosts: Mapping[str, HostState] = {}
     endpoints: Mapping[str, EndpointState] = {}
-    """Of the own failure domain."""
+    """Endpoints of the own failure domain, by name."""
     summaries: Mapping[tuple[str, str], Summary] = {}
-    """By (failure domain, model or service), of other failure domains."""
+    """Capacity of other failure domains, by (failure domain, model or service)."""
     leaving: bool = False
     platform_stale: bool = False
-    """Whether a peer knows a later revision than the platform answers."""
+    """Whether a peer knows a later revision than the one that the platform returns."""
 
     @property
     def ready(self) -> bool:
-        """Whether the host may take work."""
+        """Whether the host may accept requests."""
         return self.published is not None and not self.leaving
 
 
 class ViewHolder:
-    """One reference that the control loop assigns and all others read."""
+    """Holds the current view: the control loop assigns it, all other tasks read it."""
 
     def __init__(self, view: View) -> None:
         self.current = view
