--- a/cloverway/entry/__init__.py
+++ b/cloverway/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Callers come in: listeners, authentication, the directory of hosts."""
+"""Interface for callers: listeners, authentication and the directory of hosts."""
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -1,4 +1,4 @@
-"""A CherryPy application around one handler: calls in, whole answers, streams and problems out."""
+"""CherryPy application around one handler: answers calls with bodies, streams or problems."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
 
 
 class Call(NamedTuple):
-    """One request as it came from the listener."""
+    """One request as received from the listener."""
 
     id: str
     method: str
     path: str
-    """The path, decoded."""
+    """Percent-decoded path."""
     target: str
-    """The path with its query, as it was sent."""
+    """Path and query, as received."""
     headers: Mapping[str, str]
     connection: CallerConnection
     http_request: Any
-    """The server's own request, which decides how the answer is framed."""
+    """Request object of the HTTP server, which determines the framing of the answer."""
 
     @property
     def is_http_1_0(self) -> bool:
-        """Whether the caller speaks HTTP/1.0, which has no chunked framing."""
+        """Return whether the caller uses HTTP/1.0, which has no chunked framing."""
         return bool(self.http_request.response_protocol == HTTP_1_0)
 
     def get_header(self, name: str) -> str:
-        """Give a header, or an empty text."""
+        """Return a header, or an empty string."""
         return self.headers.get(name, "")
 
     def read_body(
-        self, limit: int, seconds: float, on_slow: Callable[[], object] | None = None
+        self, limit: int, timeout_s: float, on_slow: Callable[[], object] | None = None
     ) -> bytes:
-        """Read the body within a size and a time for the whole; raise RequestError.
+        """Read the body of at most `limit` bytes within `timeout_s` seconds; raise RequestError.
 
-        `on_slow` is called when the body does not come promptly.
+        `on_slow` is called if the body does not arrive promptly.
         """
-        self.connection.limit_reading(seconds, on_slow)
+        self.connection.limit_reading(timeout_s, on_slow)
         body = bodies.read_body(
             self.connection.rfile,
             self.headers.get("Content-Length"),
@@ -68,7 +68,7 @@
             limit,
         )
         self.connection.limit_reading(None)
-        # Only now can the connection be used for another request.
+        # From here on the connection can be reused for another request.
         self.http_request.body_is_read = True
         self.http_request.rfile.remaining = 0
         return body
@@ -78,7 +78,7 @@
 
 
 class CherryPyLog:
-    """Send what CherryPy reports to this package's log; requests are logged when they end."""
+    """Redirects messages of CherryPy to this package's log, without an access log."""
 
     def error(
         self,
@@ -87,28 +87,28 @@
         severity: int = logging.INFO,
         traceback: bool = False,
     ) -> None:
-        """Log what CherryPy reports."""
+        """Log a message of CherryPy."""
         log.log(severity, "cherrypy", extra={"report": msg}, exc_info=traceback)
 
     def access(self) -> None:
-        """Log nothing: the line of a request is written when its outcome is known."""
+        """Log nothing, since a request is logged once its outcome is known."""
 
 
 class Responder:
-    """Answers each CherryPy request by a handler; every failure becomes a problem."""
+    """Answers each CherryPy request with a handler; every failure becomes a problem document."""
 
     def __init__(self, host: str, handle: Handler, answer_bytes: int) -> None:
         self.close_connections = False
-        """Whether each connection is closed after its answer."""
+        """Whether to close each connection after its answer."""
         self._host = host
         self._handle = handle
         self._answer_bytes = answer_bytes
 
     def make_application(self) -> cherrypy.Application:
-        """Give the WSGI application."""
+        """Return the WSGI application."""
         application = cherrypy.Application(None, script_name="", config={"/": self._make_config()})
         application.log = CherryPyLog()
-        # Set on the class as well, for a head that is rejected before the settings are looked at.
+        # Set on the class as well, for heads that are rejected before the configuration is applied.
         application.request_class = type(
             "Request",
             (cherrypy.Application.request_class,),
@@ -146,7 +146,7 @@
             return self._make_problem(call, RequestError(Kind.INTERNAL))
 
     def _make_body(self, call: Call, reply: Reply) -> Iterable[bytes]:
-        """Give the body of an answer, as a whole or piece by piece."""
+        """Set the head of a reply and return its body, complete or as an iterator."""
         if reply.stream is None:
             _set_head(reply)
             return [reply.body]
@@ -163,38 +163,40 @@
         return _relay_stream(call, first, pieces, stream)
 
     def _buffer_stream(self, pieces: Iterator[bytes]) -> bytes:
-        """Give a stream as a whole, for a caller that could not tell a cut one from a whole one."""
+        """Buffer a complete stream, for a caller that can't tell whether a stream is truncated."""
         body = bytearray()
         for piece in pieces:
             body += piece
             if len(body) > self._answer_bytes:
                 raise RequestError(
-                    Kind.TRUNCATED, "the answer is too long for HTTP/1.0", ran=Ran.YES
+                    Kind.TRUNCATED,
+                    "the stream exceeds the size limit for HTTP/1.0 callers",
+                    ran=Ran.YES,
                 )
         return bytes(body)
 
     def _make_problem(self, call: Call, error: RequestError) -> Iterable[bytes]:
-        """Give the body of a failure."""
+        """Set the head of a problem and return its body."""
         response = cherrypy.serving.response
         response.status = error.status
         response.headers["Content-Type"] = PROBLEM_TYPE
         if error.retry_after is not None:
             response.headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
         if not _is_body_read(call):
-            # What is left of the body would be taken for the next request.
+            # The rest of the body would be parsed as the next request.
             call.http_request.close_connection = True
             call.connection.linger = True
         return [json.dumps(error.as_problem(call.id)).encode()]
 
     def _respond_to_unhandled_error(self) -> None:
-        """Answer for an exception that escaped everything else: no traceback to the caller."""
+        """Answer an unhandled exception, without a traceback for the caller."""
         response = cherrypy.serving.response
         response.status = 500
         response.headers["Content-Type"] = PROBLEM_TYPE
         response.body = [json.dumps(RequestError(Kind.INTERNAL).as_problem("")).encode()]
 
     def _format_rejection(self, status: str, message: str, **_: str) -> str:
-        """Give the body for a head that CherryPy itself rejects."""
+        """Return the body for a head that CherryPy itself rejects."""
         response = cherrypy.serving.response
         error = RequestError(Kind.MALFORMED, message)
         response.status = error.status
@@ -203,12 +205,12 @@
 
 
 def make_json_reply(document: Any, status: int = 200) -> Reply:
-    """Give a document as an answer."""
+    """Return a reply with a JSON document."""
     return Reply(status, JSON_TYPE, json.dumps(document).encode())
 
 
 def require_method(call: Call, *methods: str) -> None:
-    """Raise RequestError for another method."""
+    """Raise RequestError METHOD_NOT_ALLOWED unless the call uses one of the methods."""
     if call.method not in methods:
         raise RequestError(Kind.METHOD_NOT_ALLOWED, f"use {' or '.join(methods)}")
 
@@ -229,7 +231,7 @@
 
 
 def _run_at_end(callback: Callable[[], None]) -> None:
-    """Call back when the answer was written or given up."""
+    """Register a callback for when the answer was written or aborted."""
     cherrypy.serving.request.hooks.attach("on_end_request", callback, failsafe=True)
 
 
@@ -244,12 +246,12 @@
 
 
 def _is_safe_header(name: str, text: str) -> bool:
-    """Tell whether a header says nothing about framing, and can't break out of its line."""
+    """Return whether a header does not affect the framing and can't inject other headers."""
     return name.lower() not in FRAMING_HEADERS and name.isascii() and text.isprintable()
 
 
 def _is_body_read(call: Call) -> bool:
-    """Tell whether the next request on the connection would start where it should."""
+    """Return whether the body was read, so that the next request starts behind it."""
     if call.http_request.body_is_read:
         return True
     return not call.http_request.chunked_read and not call.http_request.rfile.remaining
@@ -258,9 +260,9 @@
 def _relay_stream(
     call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream
 ) -> Iterator[bytes]:
-    """Give the first piece to the server, and hand the connection over for the rest.
+    """Yield the first piece to the server, and hand over the connection for the rest.
 
-    `pieces` is held until the end: were it dropped, its generator would close the stream.
+    `pieces` is referenced until the end, since dropping its generator would close the stream.
     """
     yield first
     try:
@@ -273,10 +275,14 @@
 
 
 def _abort_response(call: Call, error: Exception) -> None:
-    """End an answer so that nobody takes it for whole: no last chunk, connection closed."""
+    """Close the connection without the last chunk, so that the answer is seen as truncated."""
     call.http_request.chunked_write = False
     call.http_request.close_connection = True
     if isinstance(error, RequestError | OSError):
-        log.info("a stream was cut", extra={"request_id": call.id, "cause": str(error)})
+        log.info("stream to the caller aborted", extra={"request_id": call.id, "cause": str(error)})
     else:
-        log.error("a stream failed", extra={"request_id": call.id}, exc_info=error)
+        log.error(
+            "unexpected error in a stream to the caller",
+            extra={"request_id": call.id},
+            exc_info=error,
+        )
--- a/cloverway/entry/authentication.py
+++ b/cloverway/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Who a caller is: bearer key to team, and what that team may use."""
+"""Authentication of callers: from bearer keys to teams, and to the profiles they may use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Caller(NamedTuple):
-    """An authenticated caller and the class of work that it asks for."""
+    """An authenticated caller and the profile that it requests."""
 
     team: str
     profile_name: str
@@ -26,47 +26,47 @@
 
 
 class KeyIndex(NamedTuple):
-    """Teams by the hash of their keys, for one published configuration."""
+    """Teams by the hashes of their keys, for one published configuration."""
 
     published: Published
     teams: Mapping[str, str]
 
     @classmethod
     def from_published(cls, published: Published) -> KeyIndex:
-        """Index every key hash of a configuration."""
+        """Build the index from all key hashes of a configuration."""
         teams = {
             key_hash: name for name, team in published.teams.items() for key_hash in team.key_hashes
         }
         return cls(published, teams)
 
     def find_team(self, bearer: str) -> str:
-        """Give the team of a bearer key, or an empty name for an unknown key."""
+        """Return the team of a bearer key, or an empty name for an unknown key."""
         key_hash = hash_key(bearer)
         known = key_hash if key_hash in self.teams else UNMATCHED_HASH
-        # The look-up is by a hash, which a caller can't steer towards a known one byte by byte;
-        # the comparison takes the same time for a known and an unknown key.
+        # The look-up uses a hash, so a caller can't approach a known key byte by byte. The
+        # comparison takes the same time for known and unknown keys.
         if not hmac.compare_digest(known, key_hash):
             return ""
         return self.teams.get(known, "")
 
     def require_team(self, authorization: str) -> str:
-        """Give the team behind an Authorization header; raise RequestError UNAUTHENTICATED."""
+        """Return the team of an Authorization header; raise RequestError UNAUTHENTICATED."""
         team = self.find_team(parse_bearer(authorization))
         if not team:
-            raise RequestError(Kind.UNAUTHENTICATED, "the bearer key is not known")
+            raise RequestError(Kind.UNAUTHENTICATED, "unknown bearer key")
         return team
 
 
 class KeyIndexCache:
-    """Keep the index of the newest configuration that was seen."""
+    """Caches the key index of the newest configuration."""
 
     def __init__(self) -> None:
         self._index: KeyIndex | None = None
 
     def get_index(self, published: Published) -> KeyIndex:
-        """Give the index of a configuration; built once for each.
+        """Return the index of a configuration, which is built once.
 
-        Two threads may both build the first index of a configuration, which are equal.
+        If two threads build the first index of a configuration, the results are equal.
         """
         index = self._index
         if index is None or index.published is not published:
@@ -76,15 +76,15 @@
 
 
 def hash_key(bearer: str) -> str:
-    """Give the published form of a bearer key."""
+    """Return the published hash of a bearer key."""
     return HASH_PREFIX + hashlib.sha256(bearer.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def authenticate(index: KeyIndex, authorization: str, profile_name: str) -> Caller:
-    """Give the caller behind two headers.
+    """Return the caller for an Authorization header and a profile name.
 
-    Raises RequestError: UNAUTHENTICATED, MALFORMED without a profile, FORBIDDEN when the team may
-    not use it. A profile that is not published is FORBIDDEN as well: names of others stay unknown.
+    Raise RequestError UNAUTHENTICATED, MALFORMED without a profile, or FORBIDDEN if the team may
+    not use it. An unpublished profile is FORBIDDEN as well, which hides the profiles of others.
     """
     team_name = index.require_team(authorization)
     if not profile_name:
@@ -96,22 +96,22 @@
 
 
 def parse_bearer(authorization: str) -> str:
-    """Give the key of an Authorization header; raise RequestError when there is none."""
+    """Return the bearer key of an Authorization header; raise RequestError UNAUTHENTICATED."""
     scheme, _, bearer = authorization.strip().partition(" ")
     bearer = bearer.strip()
     if scheme.lower() != SCHEME or not bearer:
         raise RequestError(Kind.UNAUTHENTICATED, "send Authorization: Bearer KEY")
     if len(bearer) > MAX_KEY_CHARACTERS:
-        raise RequestError(Kind.UNAUTHENTICATED, "the bearer key is not known")
+        raise RequestError(Kind.UNAUTHENTICATED, "unknown bearer key")
     return bearer
 
 
 def choose_deadline_s(profile: Profile, header: str) -> float:
-    """Give the seconds a request may take: the shorter of the profile's and the caller's."""
+    """Return the shorter of the profile's and the caller's deadline, in seconds."""
     if not header:
         return profile.deadline_ms / 1000
     if not header.isascii() or not header.isdigit() or len(header) > 9 or int(header) == 0:
         raise RequestError(
-            Kind.MALFORMED, "Cloverway-Deadline-Ms must be a whole number of milliseconds over 0"
+            Kind.MALFORMED, "Cloverway-Deadline-Ms must be a positive integer (milliseconds)"
         )
     return min(profile.deadline_ms, int(header)) / 1000
--- a/cloverway/entry/bodies.py
+++ b/cloverway/entry/bodies.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: read within its size and time, and checked as JSON."""
+"""Request bodies of callers: reading with limits for size and time, and parsing as JSON."""
 
 from __future__ import annotations
 
@@ -15,32 +15,34 @@
 
 
 class Reader(Protocol):
-    """The buffered reading half of a connection."""
+    """Buffered reader of a connection."""
 
     def read1(self, size: int, /) -> bytes:
-        """Give what is there, after at most one read of the socket; empty at the end."""
+        """Return available bytes after at most one read of the socket; empty at the end."""
         ...
 
     def readline(self, size: int, /) -> bytes:
-        """Give a line of at most so many bytes."""
+        """Return a line of at most `size` bytes."""
         ...
 
 
 def read_body(reader: Reader, length: str | None, chunked: bool, limit: int) -> bytes:
-    """Read a body; raise RequestError TOO_LARGE, TOO_SLOW or MALFORMED.
+    """Read a body of at most `limit` bytes; raise RequestError TOO_LARGE, TOO_SLOW or MALFORMED.
 
-    The reader raises TimeoutError when the time for the whole body is up.
+    The reader raises TimeoutError once the time for the complete body is over.
     """
     pieces = _read_chunked(reader, limit) if chunked else _read_sized(reader, length, limit)
     body = bytearray()
     try:
-        # Joined at once: a body that comes byte by byte would take forty times its size as a list.
+        # Appended to one buffer: as a list, a body sent byte by byte would need 40 times its size.
         for piece in pieces:
             body += piece
     except TimeoutError as error:
-        raise RequestError(Kind.TOO_SLOW, "the body did not arrive in time") from error
+        raise RequestError(Kind.TOO_SLOW, "the request body did not arrive in time") from error
     except OSError as error:
-        raise RequestError(Kind.MALFORMED, "the body was cut") from error
+        raise RequestError(
+            Kind.MALFORMED, "the connection failed within the request body"
+        ) from error
     return bytes(body)
 
 
@@ -52,7 +54,7 @@
     if length is None or length == "":
         return 0
     if not length.isascii() or not length.isdigit():
-        raise RequestError(Kind.MALFORMED, "Content-Length is not a number")
+        raise RequestError(Kind.MALFORMED, "Content-Length is not a decimal number")
     if len(length) > 19 or int(length) > limit:
         raise RequestError(Kind.TOO_LARGE, f"a body may have {limit} bytes")
     return int(length)
@@ -62,13 +64,15 @@
     while count:
         piece = reader.read1(min(count, READ_BYTES))
         if not piece:
-            raise RequestError(Kind.MALFORMED, "the body ended before its length")
+            raise RequestError(
+                Kind.MALFORMED, "the request body is shorter than its declared length"
+            )
         count -= len(piece)
         yield piece
 
 
 def _read_chunked(reader: Reader, limit: int) -> Iterator[bytes]:
-    """Decode chunks; the size of each is checked before any of it is read."""
+    """Decode chunks, checking the size of each before reading its data."""
     remaining = limit
     while size := _read_chunk_size(reader):
         if size > remaining:
@@ -76,35 +80,35 @@
         remaining -= size
         yield from _read_exactly(reader, size)
         if reader.readline(MAX_CHUNK_LINE_BYTES) != b"\r\n":
-            raise RequestError(Kind.MALFORMED, "a chunk is longer than its size")
+            raise RequestError(Kind.MALFORMED, "chunk data exceeds the chunk size")
     for _ in range(MAX_TRAILER_LINES):
         if _read_line(reader) == b"\r\n":
             return
-    raise RequestError(Kind.MALFORMED, "there are too many trailer fields")
+    raise RequestError(Kind.MALFORMED, "too many trailer fields")
 
 
 def _read_chunk_size(reader: Reader) -> int:
     digits = _read_line(reader).partition(b";")[0].rstrip(b" \t\r\n")
     if not 0 < len(digits) <= 15 or digits.strip(b"0123456789abcdefABCDEF"):
-        raise RequestError(Kind.MALFORMED, "a chunk has no size")
+        raise RequestError(Kind.MALFORMED, "invalid chunk size")
     return int(digits, 16)
 
 
 def _read_line(reader: Reader) -> bytes:
     line = reader.readline(MAX_CHUNK_LINE_BYTES)
     if not line.endswith(b"\r\n"):
-        raise RequestError(Kind.MALFORMED, "a line of the chunked body is cut or too long")
+        raise RequestError(Kind.MALFORMED, "a chunk-size or trailer line is truncated or too long")
     return line
 
 
 def parse_json(body: bytes, content_type: str) -> dict[str, Any]:
-    """Give a JSON object; raise RequestError MALFORMED for anything else."""
+    """Parse a JSON object; raise RequestError MALFORMED for anything else."""
     if content_type.partition(";")[0].strip().lower() != JSON_TYPE:
         raise RequestError(Kind.MALFORMED, f"Content-Type must be {JSON_TYPE}")
     try:
         document = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise RequestError(Kind.MALFORMED, "the body is not JSON") from error
+        raise RequestError(Kind.MALFORMED, "the body is not valid JSON") from error
     if not isinstance(document, dict):
         raise RequestError(Kind.MALFORMED, "the body is not a JSON object")
     return document
@@ -115,7 +119,7 @@
 
 
 class CompletionRequest(NamedTuple):
-    """A completion as an endpoint gets it."""
+    """A completion request as sent to an endpoint."""
 
     body: bytes
     stream: bool
@@ -124,10 +128,10 @@
 def parse_completion(
     body: bytes, content_type: str, required_field: str, model: str
 ) -> CompletionRequest:
-    """Check the body of a completion that needs a field, and put the profile's model in it.
+    """Check the body of a completion for a required field, and set the model of the profile.
 
-    The profile decides on the model, not the caller. The body is written anew from what was
-    checked: with a name that stands twice, an endpoint could read another value than this host did.
+    The profile determines the model, not the caller. The body is encoded again from the parsed
+    document: for a duplicate name, an endpoint could use another value than this host checked.
     """
     document = parse_json(body, content_type)
     if not document.get(required_field):
@@ -143,5 +147,5 @@
     try:
         return json.dumps(document, separators=(",", ":"), allow_nan=False).encode()
     except (ValueError, RecursionError) as error:
-        # A number such as 1e999 is JSON, and is read as an infinity, which is not.
-        raise RequestError(Kind.MALFORMED, "the body has a number that is too large") from error
+        # A number such as 1e999 is valid JSON, but parsed as infinity, which is not.
+        raise RequestError(Kind.MALFORMED, "the body has a number that is out of range") from error
--- a/cloverway/entry/caller_connection.py
+++ b/cloverway/entry/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: heads collected without waiting, reads and writes bounded in time."""
+"""A caller's connection: non-blocking receipt of heads, time limits for reads and writes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 HTTP_1_0 = "HTTP/1.0"
 HEAD_END = b"\r\n\r\n"
 MIN_WRITE_BYTES_PER_S = 64 * 1024
-"""A caller that takes its whole answer more slowly than this is given up."""
+"""A caller that reads its answer more slowly than this, on average, is disconnected."""
 WRITE_BYTES = 64 * 1024
 SLOW_READ_AFTER_S = 0.25
-"""What has come within this time was not slow, for all that is read together."""
+"""A read that still has to wait this many seconds after a time limit was set counts as slow."""
 LINGER_S = 1.0
-"""How long what a refused caller still sends is read and dropped."""
+"""How long input of a rejected caller is read and discarded before closing, in seconds."""
 LINGER_BYTES = 64 * 1024
 REQUEST_ID_BYTES = 12
 
@@ -48,7 +48,7 @@
 
 
 class EarlyRejection(NamedTuple):
-    """A request that was answered before the application saw it."""
+    """A request that was rejected before it reached the application."""
 
     request_id: str
     kind: Kind
@@ -58,29 +58,29 @@
 
 
 class HeadLimits(NamedTuple):
-    """What the head of a request may take."""
+    """Limits for the head of a request."""
 
     max_bytes: int
     timeout_s: float
-    """Time for all of it, from its first byte."""
+    """Seconds for the complete head, from its first byte."""
 
 
 class HeadState(Enum):
-    """How much of the head of a request has come."""
+    """State of the head of a request."""
 
     WHOLE = auto()
     PART = auto()
     LATE = auto()
-    """A part, and its time is up."""
+    """Incomplete, and past its deadline."""
     LEFT = auto()
-    """The caller closed before the head was whole."""
+    """Incomplete, and the caller has closed the connection."""
 
 
 class TimedIO(socket.SocketIO):
-    """Reads from a socket until a deadline that holds for all reads together.
+    """Reads from a socket, with one deadline for all reads together.
 
-    A timeout for each read alone would let a caller that sends one byte at a time hold a thread
-    for as long as it likes.
+    With a timeout for each read alone, a caller that sends one byte at a time could occupy a
+    thread indefinitely.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -88,14 +88,14 @@
         self.deadline = float("inf")
         self.detached = False
         self.prefetched = bytearray()
-        """What was received before a thread had the connection."""
+        """Bytes received before the connection was passed to a thread."""
         self.on_slow: Callable[[], object] | None = None
-        """Called once when what is read has not all come promptly; may raise."""
+        """Called once if a read has to wait after `slow_after`; may raise."""
         self.slow_after = 0.0
         self._socket = sock
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what is there; raise TimeoutError when the deadline has passed."""
+        """Read available bytes; raise TimeoutError if the deadline passes."""
         if self.detached:
             return None
         if self.prefetched:
@@ -109,7 +109,7 @@
         return super().readinto(buffer)
 
     def prefetch(self, limit: int) -> bool:
-        """Receive what is there without waiting; tell whether the caller may send more."""
+        """Receive available bytes without blocking; return whether the caller may send more."""
         if len(self.prefetched) >= limit or not is_readable(self._socket):
             return True
         data = self._socket.recv(limit - len(self.prefetched))
@@ -132,7 +132,7 @@
 
 
 class TimedReader(io.BufferedReader):
-    """The reading half of a connection."""
+    """Buffered reader of a connection."""
 
     bytes_read = 0
 
@@ -141,12 +141,12 @@
         super().__init__(self.source)
 
     def has_data(self) -> bool:
-        """Tell whether the head of a request has been received, without reading."""
+        """Return whether the head of a request was received already, without reading more."""
         self._unread_buffered()
         return HEAD_END in self.source.prefetched
 
     def _unread_buffered(self) -> None:
-        """Put what was read beyond the last request back before the next."""
+        """Move bytes that were read beyond the last request back to `prefetched`."""
         self.source.detached = True
         try:
             self.source.prefetched[:0] = self.read1(len(self.peek(1)))
@@ -155,9 +155,9 @@
 
 
 class TimedWriter(io.RawIOBase):
-    """The writing half of a connection: each write has one time for all of its bytes as well.
+    """Writer of a connection, with one deadline for all bytes of a write.
 
-    A caller that takes a byte now and then would otherwise hold a thread for as long as it likes.
+    Otherwise a caller that reads a byte now and then could occupy a thread indefinitely.
     """
 
     bytes_written = 0
@@ -168,11 +168,11 @@
         self._timeout_s = timeout_s
 
     def writable(self) -> bool:
-        """Say that this is for writing."""
+        """Return True."""
         return True
 
     def write(self, data: Any) -> int:
-        """Send everything; raise TimeoutError when the caller takes nothing, or too slowly."""
+        """Send all bytes; raise TimeoutError if the caller reads nothing, or too slowly."""
         deadline = time.monotonic() + self._timeout_s + len(data) / MIN_WRITE_BYTES_PER_S
         view = memoryview(data)
         for start in range(0, len(data), WRITE_BYTES):
@@ -185,24 +185,24 @@
 
 
 class CallerConnection(HTTPConnection):
-    """A caller's connection."""
+    """Connection of a caller."""
 
     def __init__(self, server: Any, sock: socket.socket, makefile: Any = MakeFile) -> None:
         super().__init__(server, sock, makefile)
         self.rfile = TimedReader(sock)
         self.wfile = TimedWriter(sock, server.timeout)
         self.linger = False
-        """Whether to read on for a while before closing, so that the answer is not lost."""
+        """Whether to discard input for a while before closing, so that the answer is not lost."""
         self.had_request = False
         self.head_deadline = float("inf")
-        """When the head that has begun to come must be whole."""
+        """Monotonic time by which the head must be complete; infinite before its first byte."""
 
     def limit_reading(
         self, timeout_s: float | None, on_slow: Callable[[], object] | None = None
     ) -> None:
-        """Bound all reads from now on together, or lift the bound.
+        """Set one time limit in seconds for all reads from now on, or remove it.
 
-        `on_slow` is called when they have to wait for longer than a moment.
+        `on_slow` is called once if a read still has to wait after SLOW_READ_AFTER_S.
         """
         now = time.monotonic()
         source = self.rfile.source
@@ -212,7 +212,7 @@
         self.socket.settimeout(self.server.timeout)
 
     def prefetch_head(self, limits: HeadLimits, now: float) -> HeadState:
-        """Receive what has come of a head, without waiting."""
+        """Receive available bytes of a head without blocking, and return its state."""
         source = self.rfile.source
         try:
             more = source.prefetch(limits.max_bytes)
@@ -229,24 +229,24 @@
         return HeadState.LATE if now >= self.head_deadline else HeadState.PART
 
     def communicate(self) -> bool:
-        """Answer one request; tell whether the connection stays open."""
+        """Answer one request; return whether the connection stays open."""
         try:
             return bool(super().communicate())
         finally:
             self.server.request_counter.add(-1)
 
     def close(self) -> None:
-        """Close, after a caller that was refused midway had a chance to read why."""
+        """Close the connection; a caller that was rejected can read its answer first."""
         self.server.on_connection_closed(self)
         if self.linger:
             self._discard_input()
         super().close()
 
     def _discard_input(self) -> None:
-        """Read and drop what still comes, for a short while.
+        """Read and discard input for a short time.
 
-        To close with unread bytes resets the connection, and the caller's system may then drop
-        the answer that it has not read yet.
+        Closing a socket with unread input resets the connection, and the caller's system may then
+        drop the answer before the caller has read it.
         """
         try:
             self.socket.shutdown(socket.SHUT_WR)
@@ -258,12 +258,12 @@
 
 
 class CallerRequest(HTTPRequest):
-    """A caller's request, whose early failures get the same form of answer as all others."""
+    """HTTP request of a caller; early failures are answered with a problem document as well."""
 
     body_is_read = False
 
     def parse_request(self) -> None:
-        """Read the head within its time."""
+        """Parse the head within its time limit."""
         self.conn.limit_reading(self.server.head_limits.timeout_s)
         super().parse_request()
         self.conn.limit_reading(None)
@@ -271,10 +271,10 @@
             self._check_head()
 
     def _check_head(self) -> None:
-        """Refuse what two readers may take for two different requests."""
+        """Reject ambiguous heads, which two parsers may understand differently."""
         names = self.inheaders
         if self.response_protocol != HTTP_1_0 and b"Host" not in names:
-            self._reject("HTTP/1.1 needs a Host header")
+            self._reject("HTTP/1.1 requires a Host header")
         if self.chunked_read and b"Content-Length" in names:
             self._reject("send Content-Length or Transfer-Encoding, not both")
 
@@ -283,9 +283,9 @@
         self.simple_response("400 Bad Request", detail)
 
     def simple_response(self, status: Any, msg: str = "") -> None:
-        """Answer a request that never reached the application, and close."""
+        """Answer a request that did not reach the application, and close the connection."""
         kind = KINDS_BY_STATUS.get(int(str(status)[:3]), Kind.MALFORMED)
-        # Whether the head has an idempotency key is not known: an earlier request may have run.
+        # The head may hold an idempotency key, and an earlier request with that key may have run.
         error = RequestError(kind, msg, ran=Ran.UNKNOWN)
         request_id = make_request_id()
         self.close_connection = True
@@ -295,7 +295,7 @@
             self.conn.wfile.write(format_problem(error, request_id))
             self.conn.wfile.flush()
         except OSError:
-            log.debug("a refused caller had left")
+            log.debug("rejected caller disconnected before it was answered")
         self.server.on_early_rejection(EarlyRejection(request_id, kind))
 
 
@@ -303,7 +303,7 @@
 
 
 def is_readable(sock: socket.socket, wait_s: float = 0.0) -> bool:
-    """Tell whether a read would not block, now or within some time."""
+    """Return whether the socket becomes readable within `wait_s` seconds."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(wait_s * 1000))
@@ -313,12 +313,12 @@
 
 
 def make_request_id() -> str:
-    """Make the id by which a request is found in the logs."""
+    """Return a new request id, by which a request is found in the logs."""
     return secrets.token_hex(REQUEST_ID_BYTES)
 
 
 def format_problem(error: RequestError, request_id: str) -> bytes:
-    """Give a whole HTTP answer for a request that never reached the application."""
+    """Return a complete HTTP response for a request that did not reach the application."""
     body = json.dumps(error.as_problem(request_id)).encode()
     retry = f"Retry-After: {math.ceil(error.retry_after)}\r\n" if error.retry_after else ""
     head = (
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: who may ask for what, made into requests for the gateway."""
+"""Interface for callers: authenticates and checks calls and passes them to the gateway."""
 
 from __future__ import annotations
 
@@ -45,32 +45,32 @@
 STARTING_RETRY_S = 1.0
 SLOW_BODY_RETRY_S = 1.0
 THREADS_PER_SLOW_BODY = 4
-"""One team's bodies may hold one in this many of the threads."""
+"""The slow bodies of one team may occupy one in this many threads."""
 SAFE_TARGET = re.compile(r"/[A-Za-z0-9/._~!$&'()*+,;=:@%?-]*")
 DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 ENCODED_SLASH = re.compile(r"%(2f|5c|00)", re.IGNORECASE)
 
 
 class Rejection(NamedTuple):
-    """A request that was refused before it reached the gateway. Times are seconds."""
+    """A request that was rejected before it reached the gateway. Times are seconds."""
 
     request_id: str
     method: str
-    """The method, or empty where the head was not read."""
+    """HTTP method, or empty if the head was not read."""
     team: str
-    """The team, or empty where the caller is not known."""
+    """Team, or empty if the caller is unknown."""
     profile: str
-    """The profile where it is published, or empty: a caller's own text goes into no log."""
+    """Profile if it is published, or empty: text of a caller is never logged."""
     kind: Kind
     ran: Ran
     total_s: float
 
 
 class SlowBodyLimiter:
-    """Bounds how many threads wait for slow bodies of one team at a time.
+    """Limits how many threads wait for slow bodies of one team at a time.
 
-    A body may take some seconds. Without a bound for each team, one whose callers are on a bad
-    link could have every thread wait for its bodies. Bodies that come promptly are not counted.
+    A body may take some seconds. Without a limit for each team, a team whose callers are on a bad
+    link could occupy every thread. Bodies that arrive promptly are not counted.
     """
 
     def __init__(self, limit: int) -> None:
@@ -80,11 +80,13 @@
 
     @contextlib.contextmanager
     def count_slow_body(self, team: str) -> Iterator[None]:
-        """Count a body for the time of the block; raise RequestError TEAM_LIMIT."""
+        """Count a slow body until the block ends; raise RequestError TEAM_LIMIT."""
         with self._lock:
             if self._counts[team] >= self._limit:
                 raise RequestError(
-                    Kind.TEAM_LIMIT, "too many bodies come slowly", retry_after=SLOW_BODY_RETRY_S
+                    Kind.TEAM_LIMIT,
+                    "too many request bodies of the team arrive slowly",
+                    retry_after=SLOW_BODY_RETRY_S,
                 )
             self._counts[team] += 1
         try:
@@ -97,7 +99,7 @@
 
 
 class CallerServer:
-    """Takes requests from callers, and hands each to the gateway."""
+    """Server that receives requests from callers and passes them to the gateway."""
 
     def __init__(
         self,
@@ -135,33 +137,33 @@
 
     @property
     def address(self) -> str:
-        """Where callers reach it."""
+        """Return the bound address for callers."""
         return self._listener.address
 
     def start(self) -> None:
-        """Bind and serve; raises OSError when the address can't be bound."""
+        """Bind and serve; raise OSError if the address can't be bound."""
         self._disconnects.start()
         self._listener.start()
 
     def stop_accepting(self) -> None:
-        """Close each connection after its answer; new requests still get an answer.
+        """Close each connection after its answer; new requests are still answered.
 
-        Whether new work is refused is the gateway's decision: a repeat with an idempotency key of
-        this host must get its recorded answer while the host leaves.
+        The gateway decides whether to refuse new work, because a repeat with an idempotency key
+        of this host must get its recorded answer while the host leaves.
         """
         self._responder.close_connections = True
 
     def stop(self) -> None:
-        """Close everything; call it when nothing is in progress."""
+        """Stop serving and close all connections; call it when no request is in progress."""
         self._listener.stop()
         self._disconnects.stop()
 
     def in_progress(self) -> int:
-        """Count requests, from a whole head until the answer is written; waiting ones as well."""
+        """Return the number of requests from complete head to written answer, with queued ones."""
         return self._listener.in_progress
 
     def list_hosts(self) -> HostList:
-        """Give the hosts that a caller should use now."""
+        """Return the hosts that a caller should use now."""
         overloaded = self.in_progress() > self._limits.admitted + self._limits.queued
         return list_hosts(
             self._holder.current, self._clock(), self._max_ages, next(self._rotation), overloaded
@@ -183,7 +185,7 @@
             return self._gateway.run(request)
 
     def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
-        """Check a call in the order of what each check costs, and make a request of it."""
+        """Check a call, cheapest checks first, and return its request or an immediate reply."""
         check_path(call)
         published = self._holder.current.published
         if published is None:
@@ -242,18 +244,18 @@
         self._on_rejection(Rejection(rejection.request_id, "", "", "", rejection.kind, ran, 0.0))
 
     def _report_rejection(self, call: Call, error: RequestError, arrived_at: float) -> None:
-        # What is logged is the truth on this request; what the caller is told covers its key.
+        # The log holds the outcome of this request; the caller's answer also covers its key.
         ran = error.ran
         if call.get_header(KEY_HEADER) and error.kind is not Kind.KEY_INVALID:
             # The key was not looked up: an earlier request with it may have run, and a caller that
-            # reads "no" here would do the work again under a new key.
+            # reads "no" would repeat the work with a new key.
             error.ran = Ran.UNKNOWN
         team, profile = self._identify(call)
         total_s = self._clock() - arrived_at
         self._on_rejection(Rejection(call.id, call.method, team, profile, error.kind, ran, total_s))
 
     def _identify(self, call: Call) -> tuple[str, str]:
-        """Give the team and the profile of a refused call, as far as they are known."""
+        """Return the team and the profile of a rejected call, each empty if unknown."""
         published = self._holder.current.published
         if published is None:
             return "", ""
@@ -267,7 +269,7 @@
 
 
 def check_path(call: Call) -> None:
-    """Raise RequestError for a path or a method that there is not."""
+    """Raise RequestError NOT_FOUND or METHOD_NOT_ALLOWED for an unknown path or method."""
     if call.path in COMPLETION_FIELDS or call.path == KEYS_PATH:
         require_method(call, "POST")
         return
@@ -279,14 +281,16 @@
 def check_target(call: Call, caller: Caller) -> None:
     """Raise RequestError unless the profile serves the path.
 
-    The target goes to the endpoint as it is, so it must stay below the path of its own service:
-    with dot segments or hidden slashes a caller could reach an endpoint's orders.
+    The target is forwarded to the endpoint verbatim, so it must stay below the path of its service.
+    With dot segments or encoded slashes a caller could reach an endpoint's control paths.
     """
     if not SAFE_TARGET.fullmatch(call.target):
-        raise RequestError(Kind.MALFORMED, "the path has characters that must be encoded")
+        raise RequestError(Kind.MALFORMED, "the path has characters that must be percent-encoded")
     path = call.target.partition("?")[0]
     if DOT_SEGMENT.search(path) or ENCODED_SLASH.search(path) or "//" in path:
-        raise RequestError(Kind.MALFORMED, "the path has segments that are not allowed")
+        raise RequestError(
+            Kind.MALFORMED, "the path has dot segments, empty segments or encoded slashes"
+        )
     if path in COMPLETION_FIELDS:
         if caller.profile.model is None:
             raise RequestError(Kind.MALFORMED, "the profile serves a service, not a model")
@@ -297,12 +301,12 @@
 
 
 def read_key(call: Call, caller: Caller) -> str:
-    """Give the idempotency key; raise RequestError when one is needed and is not there."""
+    """Return the idempotency key; raise RequestError if it is required or invalid."""
     key = call.get_header(KEY_HEADER).strip()
     if not key and not caller.profile.idempotent:
         raise RequestError(
             Kind.KEY_REQUIRED, "get a key by POST /v1/idempotency-keys and send it with each repeat"
         )
     if len(key) > MAX_KEY_CHARACTERS or not (key.isascii() and key.isprintable()):
-        raise RequestError(Kind.KEY_INVALID, "the key is too long or has odd characters")
+        raise RequestError(Kind.KEY_INVALID, "the key is too long or not printable ASCII")
     return key
--- a/cloverway/entry/departures.py
+++ b/cloverway/entry/departures.py
@@ -1,4 +1,4 @@
-"""Notice callers that leave while their request waits and nobody reads their socket."""
+"""Detects callers that disconnect while their request is pending and no thread reads the socket."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class DisconnectWatcher:
-    """One thread that watches the sockets of callers whose requests wait.
+    """Thread that watches the sockets of callers with pending requests.
 
-    A caller that closes only its sending half counts as gone: with HTTP that looks the same as
-    one that has closed both, and whoever waits for an answer has no reason to do it.
+    A caller that closes only its sending half counts as disconnected: the socket state is the same
+    as after a full close, and a caller that waits for an answer has no reason for a half-close.
     """
 
     def __init__(self, on_disconnect: Callable[[str], None]) -> None:
@@ -42,7 +42,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         os.eventfd_write(self._wake, 1)
         if self._thread.is_alive():
             self._thread.join()
@@ -51,7 +51,7 @@
 
     @contextlib.contextmanager
     def watch(self, sock: socket.socket, request_id: str) -> Iterator[None]:
-        """Watch a caller's socket for the time of the block; `on_left` is called at most once."""
+        """Watch a caller's socket until the block ends; call `on_disconnect` at most once."""
         descriptor = sock.fileno()
         with self._lock:
             self._watched[descriptor] = _Watched(sock, request_id)
@@ -71,14 +71,17 @@
                 self._check(descriptor)
 
     def _check(self, descriptor: int) -> None:
-        # Between the event and this line the request may have ended, and the next one may have
-        # got the same descriptor. The socket is asked again under the lock, so that the wrong
-        # request is never cancelled; it can't be closed before its block has ended.
+        # Since the event was returned, the request may have ended and the next one may use the same
+        # descriptor. The socket is polled again under the lock, so that the wrong request is never
+        # cancelled; it can't be closed before its block has ended.
         with self._lock:
             watched = self._watched.get(descriptor)
             is_disconnected = watched is not None and _is_disconnected(watched.sock)
         if watched is not None and is_disconnected:
-            log.info("a caller left", extra={"request_id": watched.request_id})
+            log.info(
+                "caller disconnected while its request was pending",
+                extra={"request_id": watched.request_id},
+            )
             self._on_disconnect(watched.request_id)
 
 
--- a/cloverway/entry/directory.py
+++ b/cloverway/entry/directory.py
@@ -1,4 +1,4 @@
-"""Which entry hosts a caller should use now."""
+"""Selection of the hosts that a caller should use now."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from cloverway.membership.view import HostState, View
 
 LIST_LIFETIME_S = 5.0
-"""How long a caller may use a list: a leaving host is then out of use within seconds."""
+"""Seconds for which a caller may use a list; short, so that a leaving host is soon unused."""
 MAX_HOSTS = 32
 MAX_SUMMARY_AGE_S = 10.0
 
 
 class HostEntry(TypedDict):
-    """One host of the list."""
+    """Entry of the list of hosts."""
 
     name: str
     address: str
@@ -24,7 +24,7 @@
 
 
 class HostList(TypedDict):
-    """The answer of `GET /v1/hosts`, best host first."""
+    """Answer of `GET /v1/hosts`, best host first."""
 
     hosts: list[HostEntry]
     lifetime_s: float
@@ -32,7 +32,7 @@
 
 
 class MaxAges(NamedTuple):
-    """How old what was heard may be. Seconds."""
+    """Maximum age in seconds of the last heartbeat of a host and of the summary of a domain."""
 
     host_s: float
     domain_s: float = MAX_SUMMARY_AGE_S
@@ -41,10 +41,10 @@
 def list_hosts(
     view: View, now: float, max_ages: MaxAges, rotation: int, overloaded: bool = False
 ) -> HostList:
-    """List the hosts to use: own failure domain first, then own region, then the others.
+    """Return the usable hosts: own failure domain first, then own region, then the others.
 
-    Hosts that leave, are overloaded or are silent are left out. `rotation` turns the order within
-    each rank, so that callers with the same list spread over all of it.
+    Hosts that leave, are overloaded or were not heard recently are omitted. `rotation` rotates the
+    order within each rank, so that callers are spread over the hosts of a rank.
     """
     published = view.published
     if published is None:
@@ -76,9 +76,9 @@
 def _is_in_fresh_domain(
     view: View, name: str, state: HostState | None, now: float, max_ages: MaxAges
 ) -> bool:
-    """Tell whether a host of another failure domain may be there, though it was not heard itself.
+    """Return whether a host of another failure domain may be alive according to its domain.
 
-    Hosts of other domains are not all heard one by one; their domain's summaries are.
+    This host does not receive heartbeats of all hosts of other domains, but their summaries.
     """
     assert view.published is not None
     domain = view.published.hosts[name].domain
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -1,7 +1,7 @@
-"""The HTTP server below the callers' and the operators' interfaces: cheroot with bounds.
+"""HTTP server of the interfaces for callers and operators: cheroot with resource limits.
 
-A connection has a thread only from when the head of a request is whole until it is answered. Until
-then it is parked with the connection manager, so that idle and slow connections cost no thread.
+A connection occupies a thread only from the complete head of a request until its answer. Otherwise
+it is parked with the connection manager, so that idle and slow connections occupy no thread.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 REQUEST_KEY = "cloverway.request"
 
 IDLE_TIMEOUT_S = 30.0
-"""How long a connection may stay open between requests, and one write may block."""
+"""How long a connection may stay idle between requests, and a write may block, in seconds."""
 HEAD_TIMEOUT_S = 10.0
-"""How long a caller may take for the head of a request, in all."""
+"""How long a caller may take to send the complete head of a request, in seconds."""
 KEY_HEADER_PREFIX = b"idempotency-key:"
 RETRY_AFTER_S = 1.0
 ACCEPT_BACKLOG = 128
@@ -49,20 +49,20 @@
 
 
 class ListenerLimits(NamedTuple):
-    """What a listener holds at most. Times are seconds."""
+    """Limits of a listener. Times are seconds."""
 
     threads: int
     queued: int
-    """Connections with a request that wait for a thread; more are closed with a 503."""
+    """Requests that wait for a thread; further ones are rejected with 429 (overloaded)."""
     idle: int
-    """Connections that are open and say nothing; more are closed."""
+    """Open connections without a request; further ones are closed."""
     header_bytes: int
     head_timeout_s: float = HEAD_TIMEOUT_S
     idle_timeout_s: float = IDLE_TIMEOUT_S
 
     @classmethod
     def from_limits(cls, limits: Limits) -> ListenerLimits:
-        """Give the bounds of the callers' listener."""
+        """Return the limits of the listener for callers."""
         return cls(
             threads=limits.threads,
             queued=limits.threads,
@@ -72,9 +72,9 @@
 
 
 class RequestCounter:
-    """Counts requests from the moment their head is whole until they are answered.
+    """Counts requests from their complete head until they are answered.
 
-    Those that wait for a thread are counted: a host that leaves must not close them.
+    Requests that wait for a thread are included: a leaving host must not close them.
     """
 
     def __init__(self) -> None:
@@ -82,17 +82,17 @@
         self.value = 0
 
     def add(self, amount: int) -> None:
-        """Change the count."""
+        """Add to the count, or subtract from it by a negative amount."""
         with self._lock:
             self.value += amount
             assert self.value >= 0, "a request ended twice"
 
 
 class SilentConnections:
-    """Parked connections on which no request ever came, oldest first.
+    """Parked connections that have not sent any request yet, oldest first.
 
-    When all places are taken, the oldest of them makes room. Otherwise whoever opens enough
-    connections and says nothing would keep every new caller out.
+    At the limit for idle connections the oldest of these is closed. Otherwise a client that opens
+    enough connections without sending anything would lock out every new caller.
     """
 
     def __init__(self) -> None:
@@ -100,20 +100,20 @@
         self._connections: dict[CallerConnection, None] = {}
 
     def add(self, conn: CallerConnection) -> None:
-        """Note a connection that is parked."""
+        """Add a parked connection, unless it had a request before."""
         if not conn.had_request:
             with self._lock:
                 self._connections[conn] = None
 
     def discard(self, conn: CallerConnection) -> None:
-        """Note that a connection is not parked any more."""
+        """Remove a connection that is no longer parked."""
         with self._lock:
             self._connections.pop(conn, None)
 
     def drop_oldest(self) -> bool:
-        """End the oldest; tell whether there was one.
+        """Shut down the oldest connection; return whether there was one.
 
-        Shutting it down wakes the connection manager, which finds it ended and closes it.
+        The shutdown wakes the connection manager, which detects the end of input and closes it.
         """
         with self._lock:
             oldest = next(iter(self._connections), None)
@@ -126,12 +126,12 @@
 
 
 class ConnectionGateway(wsgi.Gateway_10):
-    """Gives the application its caller's connection."""
+    """WSGI gateway that passes the caller's connection to the application."""
 
     def get_environ(self) -> Any:
         """Add the connection and the request to the environment."""
         environ: dict[str, Any] = super().get_environ()
-        # The query goes to the endpoint as it was sent; nobody here reads its fields.
+        # The query is forwarded to the endpoint verbatim and never parsed here.
         environ["QUERY_STRING"] = ""
         environ[CONNECTION_KEY] = self.req.conn
         environ[REQUEST_KEY] = self.req
@@ -139,7 +139,7 @@
 
 
 class BoundedServer(wsgi.Server):
-    """A server that gives a thread only to connections that have something to say."""
+    """Server that gives a thread only to connections with a complete request head."""
 
     ConnectionClass = CallerConnection
 
@@ -170,10 +170,10 @@
         self.expiration_interval = EXPIRY_INTERVAL_S
 
     def process_conn(self, conn: CallerConnection) -> None:
-        """Hand a connection to a thread once the head of a request is there, or park it.
+        """Pass a connection with a complete request head to a thread; park or close others.
 
-        Callers that open connections and say nothing, or send a head byte by byte, cost a place
-        in a bounded table of parked connections, and no thread.
+        A caller that sends nothing, or a head byte by byte, occupies an entry in a bounded table
+        of parked connections, but no thread.
         """
         self._silent.discard(conn)
         match conn.prefetch_head(self.head_limits, time.monotonic()):
@@ -183,9 +183,11 @@
                 self.request_counter.add(1)
                 super().process_conn(conn)
             case HeadState.WHOLE:
-                self._reject(conn, Kind.OVERLOADED, "every thread is busy")
+                self._reject(
+                    conn, Kind.OVERLOADED, "all threads are busy and the queue for them is full"
+                )
             case HeadState.LATE:
-                self._reject(conn, Kind.TOO_SLOW, "the head did not arrive in time")
+                self._reject(conn, Kind.TOO_SLOW, "the request head did not arrive in time")
             case HeadState.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
                 self._silent.add(conn)
                 self.put_conn(conn)
@@ -193,7 +195,7 @@
                 conn.close()
 
     def on_connection_closed(self, conn: CallerConnection) -> None:
-        """Note that a connection was closed."""
+        """Handle the close of a connection."""
         self._silent.discard(conn)
 
     def _reject(self, conn: CallerConnection, kind: Kind, detail: str) -> None:
@@ -202,12 +204,12 @@
         send_rejection(conn, kind, detail, request_id)
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what the server reports."""
+        """Log a message of the HTTP server."""
         log.log(level, "http server", extra={"report": msg}, exc_info=traceback)
 
 
 class Listener:
-    """One bound server and the thread that accepts for it."""
+    """A server bound to an address, and the thread that accepts its connections."""
 
     def __init__(
         self,
@@ -224,21 +226,21 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, with the port that was bound."""
+        """Return the bound address, with the actual port."""
         return format_address(self._server.bind_addr)
 
     @property
     def in_progress(self) -> int:
-        """Requests whose head is whole and that are not answered yet."""
+        """Return the number of requests with a complete head that are not answered yet."""
         return self._server.request_counter.value
 
     def start(self) -> None:
-        """Bind and start all threads; raises OSError when the address can't be bound."""
+        """Bind and start all threads; raise OSError if the address can't be bound."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Close all connections; every thread has returned afterwards, or is forced to."""
+        """Close all connections; threads that don't return within a timeout are forced to."""
         self._server.stop()
         self._thread.join(STOP_TIMEOUT_S)
 
@@ -247,7 +249,7 @@
 
 
 def send_rejection(conn: CallerConnection, kind: Kind, detail: str, request_id: str) -> None:
-    """Answer a request that no thread takes, without waiting for anything, and close."""
+    """Answer a request without using a thread and without blocking, and close its connection."""
     head = conn.rfile.source.prefetched
     keyless = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
     retry_after = RETRY_AFTER_S if ANSWERS[kind].come_back else None
