--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -10,7 +10,7 @@
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, EndpointStatement, StatementReport
 from cloverway.serving.ports import ReplyFacts
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 MIN_BROADCAST_INTERVAL_S = 0.2
 """Minimum interval between two broadcasts: an endpoint may name another limit with each answer."""
@@ -34,10 +34,10 @@
     message = StatementReport
     is_regional = True
 
-    def __init__(self, own_name: str, directory: Directory, figures: Figures) -> None:
+    def __init__(self, own_name: str, directory: Directory, metrics: Metrics) -> None:
         self._own_name = own_name
         self._directory = directory
-        self._figures = figures
+        self._metrics = metrics
         self._pending: dict[str, None] = {}
         """Incarnations of endpoints with pending updates, in the order of their arrival."""
         self._broadcast_at = float("-inf")
@@ -54,11 +54,11 @@
         """
         if facts.pause_s is not None:
             self._directory.note_pause(incarnation, facts.pause_s, now)
-            self._figures.note_event("pause_asked")
-            tell("pause_asked", life=incarnation, pause_s=facts.pause_s, request_id=request_id)
+            self._metrics.note_event("pause_asked")
+            log_event("pause_asked", life=incarnation, pause_s=facts.pause_s, request_id=request_id)
         if facts.limit_per_s is not None:
             statement = Statement(facts.limit_per_s, now, facts.leaving)
-        elif facts.sealed:
+        elif facts.is_signed:
             statement = Statement(None, sent_at, facts.leaving)
         else:
             statement = Statement(leaving=facts.leaving)
@@ -87,9 +87,9 @@
     ) -> None:
         statement = self._directory.statements.get(incarnation)
         for change in changes:
-            self._figures.note_event(change)
+            self._metrics.note_event(change)
             is_leaving = change is News.LEAVING
-            tell(
+            log_event(
                 change,
                 life=incarnation,
                 limit_per_s=statement.limit_per_s,
