--- a/cloverway/config/published.py
+++ b/cloverway/config/published.py
@@ -12,10 +12,10 @@
 from functools import cached_property
 from typing import Any
 
-from cloverway.config.checks import Claims, Place, find_faults
+from cloverway.config.consistency import Claims, Place, find_faults
 from cloverway.config.findings import Findings, suggest
-from cloverway.config.options import validate
 from cloverway.config.schema import NAME, SINGLES, TABLES, Tables
+from cloverway.config.validation import validate
 
 VALUE_BYTES = 1024 * 1024
 """The longest document, as JSON; the platform holds no longer ones."""
--- a/cloverway/config/revisions.py
+++ b/cloverway/config/revisions.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from cloverway.config.checks import Claims, Place, find_faults
+from cloverway.config.consistency import Claims, Place, find_faults
 from cloverway.config.documents import Documents, Entry
 from cloverway.config.findings import Findings
 from cloverway.config.published import Published, is_revision, parse_document, warn_unknown
--- a/cloverway/config/settings.py
+++ b/cloverway/config/settings.py
@@ -8,8 +8,8 @@
 from pydantic import Field
 
 from cloverway.config.findings import Findings, read_toml
-from cloverway.config.options import validate
 from cloverway.config.schema import Address, Name
+from cloverway.config.validation import validate
 from cloverway.core.quarantine import QuarantineTerms
 
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -9,7 +9,7 @@
 
 from cloverway.addresses import check_address
 from cloverway.config.findings import Findings, read_toml
-from cloverway.config.tables import Check, check_table
+from cloverway.config.table_checks import Check, check_table
 from cloverway.core.cold_start import ColdStartTerms
 from cloverway.core.deployment import Topology
 from cloverway.core.lookup import Machine
--- a/cloverway/sources/http.py
+++ b/cloverway/sources/http.py
@@ -12,8 +12,8 @@
 from cloverway.config.settings import PlatformSettings
 from cloverway.errors import PlatformError
 from cloverway.sources.codec import decode_changes, decode_list
-from cloverway.sources.pace import Pace
 from cloverway.sources.port import Changes, HostList
+from cloverway.sources.rate_limiter import Pace
 
 WHOLE_BYTES = 64 * 1024 * 1024
 """The longest answer that is read: all documents at the two-year size several times over."""
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -14,8 +14,8 @@
 from cloverway.sources import http
 from cloverway.sources.codec import decode_changes, decode_list
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.pace import LONGEST_DELAY_S, Pace
 from cloverway.sources.port import Changes, Document, Listed
+from cloverway.sources.rate_limiter import LONGEST_DELAY_S, Pace
 from cloverway.tests.standins.platform import Platform
 
 
--- a/cloverway/tests/test_tables.py
+++ b/cloverway/tests/test_table_checks.py
@@ -9,7 +9,7 @@
 
 from cloverway.addresses import check_address
 from cloverway.config.findings import Findings
-from cloverway.config.tables import Check, check_table
+from cloverway.config.table_checks import Check, check_table
 
 Address = Annotated[str, Check(check_address)]
 
