--- a/cloverway/config/directory.py
+++ b/cloverway/config/directory.py
@@ -12,7 +12,7 @@
 from cloverway.config.schema import TABLES
 
 
-class Collected(NamedTuple):
+class MergedFiles(NamedTuple):
     """The documents of a directory, and which file each dotted name comes from."""
 
     tables: dict[str, Any]
@@ -30,12 +30,12 @@
 def load(path: Path) -> tuple[Published | None, Findings]:
     """Read and validate a directory; give the configuration, or None and what is wrong."""
     findings = Findings()
-    collected = collect(read_files(path, findings), findings)
+    merged = merge_files(read_files(path, findings), findings)
     if findings.errors:
         return None, findings
     findings.source = str(path)
-    findings.origins = collected.origins
-    return Published.check_documents(collected.tables, findings), findings
+    findings.origins = merged.origins
+    return Published.check_documents(merged.tables, findings), findings
 
 
 def list_files(directory: Path) -> list[Path]:
@@ -58,18 +58,18 @@
     return contents
 
 
-def collect(contents: Mapping[Path, bytes], findings: Findings) -> Collected:
+def merge_files(contents: Mapping[Path, bytes], findings: Findings) -> MergedFiles:
     """Merge the contents of files; a name that stands twice is an error."""
-    collected = Collected({}, {})
+    merged = MergedFiles({}, {})
     for file, content in contents.items():
         for name, value in _parse(file, content, findings):
-            if name in collected.origins:
-                other = collected.origins[name]
+            if name in merged.origins:
+                other = merged.origins[name]
                 findings.add(f"{file}: {name}", f"stands in {other} too; remove one of them")
                 continue
-            collected.origins[name] = str(file)
-            _put(collected.tables, name, value)
-    return collected
+            merged.origins[name] = str(file)
+            _set_document(merged.tables, name, value)
+    return merged
 
 
 def list_documents(tables: Mapping[str, Any]) -> Iterator[tuple[str, Any]]:
@@ -93,7 +93,7 @@
     return revision + documents
 
 
-def _put(tables: dict[str, Any], name: str, value: Any) -> None:
+def _set_document(tables: dict[str, Any], name: str, value: Any) -> None:
     table, _, entry = name.partition(".")
     if entry:
         tables.setdefault(table, {})[entry] = value
--- a/cloverway/config/documents.py
+++ b/cloverway/config/documents.py
@@ -12,35 +12,35 @@
 from cloverway.config.published import encode_value
 from cloverway.sources.port import Changes, Document
 
-KEY_LENGTH = 128
+MAX_KEY_LENGTH = 128
 """The longest key: a table and a name."""
 
 DIGEST_BYTES = 8
 
-LATEST_CHANGES = 1000
+RECHECKED_CHANGES = 1000
 """Changes that a platform has to tell again after an outage: more than the three hours' worth at
 the two-year size. If it was restored from data no older than that, every change that it lost is
 among them, and one that was not published anew is found missing."""
 
 
-class Entry(NamedTuple):
+class DocumentEntry(NamedTuple):
     """A document as it is held: text takes a fifth of the memory of parsed tables."""
 
     revision: int
     text: bytes | None
     """Canonical JSON, so that equal values have equal text; None for a deleted document."""
-    fault: str = ""
+    error: str = ""
     """Why the value can't be held; such an entry is never in force."""
     implied: bool = False
     """Deleted because a whole lacked it, and not by a revision of its own."""
 
     @classmethod
-    def from_document(cls, document: Document) -> Entry:
+    def from_document(cls, document: Document) -> DocumentEntry:
         """Encode a document; a value that JSON can't carry gives an entry with a fault."""
         if document.value is None:
             return cls(document.revision, None)
-        if len(document.key) > KEY_LENGTH:
-            return cls(document.revision, None, f"has a key of over {KEY_LENGTH} characters")
+        if len(document.key) > MAX_KEY_LENGTH:
+            return cls(document.revision, None, f"has a key of over {MAX_KEY_LENGTH} characters")
         try:
             return cls(document.revision, encode_value(document.value))
         except ValueError as error:
@@ -63,13 +63,13 @@
     tombstones are kept; who lacks more is given the whole, of which nothing needs to be deleted.
     """
 
-    def __init__(self, tombstones: int = 1000) -> None:
-        self._entries: dict[str, Entry] = {}
-        self._tombstones: dict[str, Entry] = {}
-        self._most_tombstones = tombstones
-        self._horizon: int | None = None
+    def __init__(self, max_tombstones: int = 1000) -> None:
+        self._entries: dict[str, DocumentEntry] = {}
+        self._tombstones: dict[str, DocumentEntry] = {}
+        self._max_tombstones = max_tombstones
+        self._min_delta_revision: int | None = None
         """Deltas from an earlier revision would miss a deletion; None while there is nothing."""
-        self._sum = 0
+        self._digest_sum = 0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -80,80 +80,89 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._entries)
 
-    def text(self, key: str) -> bytes | None:
+    def get_text(self, key: str) -> bytes | None:
         """Give the text of a document, or None when there is no such document."""
         entry = self._entries.get(key)
         return entry.text if entry else None
 
-    def put(self, changes: Mapping[str, Entry], revision: int) -> None:
+    def apply(self, changes: Mapping[str, DocumentEntry], revision: int) -> None:
         """Take changes that lead to a revision; all are later than what is held."""
-        if self._horizon is None:
-            self._horizon = revision
-        for key, entry in sorted(changes.items(), key=_by_revision):
-            self._drop(key)
+        if self._min_delta_revision is None:
+            self._min_delta_revision = revision
+        for key, entry in sorted(changes.items(), key=_get_sort_key):
+            self._remove(key)
             if entry.text is None:
                 self._tombstones[key] = entry
                 continue
             self._entries[key] = entry
-            self._sum += _hash(key, entry.text)
+            self._digest_sum += _hash(key, entry.text)
         self._prune()
 
     def changes_after(self, after: int, revision: int) -> Changes:
         """Give the changes from one revision to the present one, or the whole."""
-        if after < (self._horizon or 0) or after > revision:
+        if after < (self._min_delta_revision or 0) or after > revision:
             after = 0
-        deleted = _list_later(self._tombstones, after) if after else ()
-        found = sorted([*_list_later(self._entries, after), *deleted], key=_by_revision)
+        deleted = _list_entries_after(self._tombstones, after) if after else ()
+        found = sorted([*_list_entries_after(self._entries, after), *deleted], key=_get_sort_key)
         documents = tuple(entry.as_document(key) for key, entry in found)
         return Changes(revision, after, documents, self.digest)
 
     @property
-    def anchor(self) -> int:
+    def recheck_after(self) -> int:
         """The revision before the latest changes: a delta from there holds them again.
 
         It is 0, and the delta the whole, where there are not so many changes.
         """
-        kept = (_list_later(self._entries, 0), self._list_deleted(0))
+        kept = (_list_entries_after(self._entries, 0), self._list_deleted(0))
         latest = heapq.merge(*kept, key=lambda item: -item[1].revision)
-        found = next(itertools.islice(latest, LATEST_CHANGES - 1, None), None)
+        found = next(itertools.islice(latest, RECHECKED_CHANGES - 1, None), None)
         return found[1].revision - 1 if found else 0
 
-    def list_later(self, after: int) -> Iterator[str]:
+    def list_keys_after(self, after: int) -> Iterator[str]:
         """Yield the keys of the documents that were written or deleted after a revision."""
-        changes = itertools.chain(_list_later(self._entries, after), self._list_deleted(after))
+        changes = itertools.chain(
+            _list_entries_after(self._entries, after), self._list_deleted(after)
+        )
         return (key for key, _ in changes)
 
     @property
     def digest(self) -> str:
         """Equal digests mean equal documents; costs nothing, as each change is added to it."""
-        return _format_digest(self._sum)
+        return _format_digest(self._digest_sum)
 
-    def digest_with(self, changes: Mapping[str, Entry]) -> str:
+    def compute_digest_with(self, changes: Mapping[str, DocumentEntry]) -> str:
         """Give the digest that changes lead to."""
         difference = sum(
-            _hash(key, entry.text) - _hash(key, self.text(key)) for key, entry in changes.items()
+            _hash(key, entry.text) - _hash(key, self.get_text(key))
+            for key, entry in changes.items()
         )
-        return _format_digest(self._sum + difference)
+        return _format_digest(self._digest_sum + difference)
 
-    def _list_deleted(self, after: int) -> Iterator[tuple[str, Entry]]:
+    def _list_deleted(self, after: int) -> Iterator[tuple[str, DocumentEntry]]:
         """Yield what a revision of its own has deleted; of the others the true revision is lost."""
         return (
-            (key, entry) for key, entry in _list_later(self._tombstones, after) if not entry.implied
+            (key, entry)
+            for key, entry in _list_entries_after(self._tombstones, after)
+            if not entry.implied
         )
 
-    def _drop(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         self._tombstones.pop(key, None)
         old = self._entries.pop(key, None)
         if old is not None:
-            self._sum -= _hash(key, old.text)
+            self._digest_sum -= _hash(key, old.text)
 
     def _prune(self) -> None:
-        while len(self._tombstones) > self._most_tombstones:
+        while len(self._tombstones) > self._max_tombstones:
             oldest = next(iter(self._tombstones))
-            self._horizon = max(self._horizon or 0, self._tombstones.pop(oldest).revision)
+            self._min_delta_revision = max(
+                self._min_delta_revision or 0, self._tombstones.pop(oldest).revision
+            )
 
 
-def _list_later(entries: dict[str, Entry], after: int) -> Iterator[tuple[str, Entry]]:
+def _list_entries_after(
+    entries: dict[str, DocumentEntry], after: int
+) -> Iterator[tuple[str, DocumentEntry]]:
     """Yield the entries after a revision; they stand last, so that the others cost nothing."""
     keys = itertools.takewhile(lambda key: entries[key].revision > after, reversed(entries))
     return ((key, entries[key]) for key in keys)
@@ -167,7 +176,7 @@
     return int.from_bytes(hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest())
 
 
-def _by_revision(item: tuple[str, Entry]) -> tuple[int, str]:
+def _get_sort_key(item: tuple[str, DocumentEntry]) -> tuple[int, str]:
     return (item[1].revision, item[0])
 
 
--- a/cloverway/config/findings.py
+++ b/cloverway/config/findings.py
@@ -24,13 +24,13 @@
         self.errors: list[str] = []
         self.warnings: list[str] = []
 
-    def add(self, where: str, what: str) -> None:
+    def add(self, field_path: str, message: str) -> None:
         """Note an error at a dotted name."""
-        self.errors.append(self._format(where, what))
+        self.errors.append(self._format(field_path, message))
 
-    def warn(self, where: str, what: str) -> None:
+    def warn(self, field_path: str, message: str) -> None:
         """Note and log a warning at a dotted name."""
-        text = self._format(where, what)
+        text = self._format(field_path, message)
         self.warnings.append(text)
         log.warning("%s", text)
 
@@ -39,12 +39,14 @@
         if self.errors:
             raise ConfigurationError(self.errors)
 
-    def _format(self, where: str, what: str) -> str:
-        return ": ".join(part for part in (self._source_of(where), where, what) if part)
+    def _format(self, field_path: str, message: str) -> str:
+        return ": ".join(
+            part for part in (self._find_source(field_path), field_path, message) if part
+        )
 
-    def _source_of(self, where: str) -> str:
+    def _find_source(self, field_path: str) -> str:
         """Give the source of the longest dotted name that `where` starts with."""
-        name = where
+        name = field_path
         while name:
             if name in self.origins:
                 return self.origins[name]
--- a/cloverway/config/published.py
+++ b/cloverway/config/published.py
@@ -12,12 +12,12 @@
 from functools import cached_property
 from typing import Any
 
-from cloverway.config.consistency import Claims, Place, find_faults
+from cloverway.config.consistency import DocumentId, UniqueIndex, find_inconsistencies
 from cloverway.config.findings import Findings, suggest
-from cloverway.config.schema import NAME, SINGLES, TABLES, Tables
+from cloverway.config.schema import NAME, SINGLETONS, TABLES, Tables
 from cloverway.config.validation import validate
 
-VALUE_BYTES = 1024 * 1024
+MAX_VALUE_BYTES = 1024 * 1024
 """The longest document, as JSON; the platform holds no longer ones."""
 
 ENCODER = json.JSONEncoder(sort_keys=True, separators=(",", ":"), allow_nan=False)
@@ -45,20 +45,23 @@
         if not is_revision(revision):
             findings.add("revision", "must be a whole number over 0; raise it with each change")
         values = dict(_list_values(documents, findings))
-        for place, value in values.items():
+        for document_id, value in values.items():
             try:
                 encode_value(value)
             except ValueError as error:
-                findings.add(place.dotted, str(error))
-        parsed = {place: parse_document(place, value, findings) for place, value in values.items()}
-        if Place("organisation") not in parsed:
+                findings.add(document_id.dotted, str(error))
+        parsed = {
+            document_id: parse_document(document_id, value, findings)
+            for document_id, value in values.items()
+        }
+        if DocumentId("organisation") not in parsed:
             findings.add("organisation", "is missing; publish it")
         if findings.errors:
             return None
         assert isinstance(revision, int)
-        published = cls(**_group(parsed), revision=revision)
-        for fault in find_faults(published, parsed, Claims()):
-            findings.add(*fault)
+        published = cls(**_group_by_table(parsed), revision=revision)
+        for inconsistency in find_inconsistencies(published, parsed, UniqueIndex()):
+            findings.add(*inconsistency)
         return None if findings.errors else published
 
     def region_of(self, domain: str) -> str:
@@ -88,14 +91,16 @@
     return isinstance(value, int) and not isinstance(value, bool) and 1 <= value < 2**63
 
 
-def parse_document(place: Place, value: Any, findings: Findings) -> Any:
+def parse_document(document_id: DocumentId, value: Any, findings: Findings) -> Any:
     """Give one document as its NamedTuple, or None when the findings say why not."""
-    if place.table in SINGLES:
-        return validate(SINGLES[place.table], value, findings, place.dotted)
-    if NAME.fullmatch(place.name) is None:
-        findings.add(place.dotted, "has a name that can't be used; take a-z, 0-9, '-' and '.'")
+    if document_id.table in SINGLETONS:
+        return validate(SINGLETONS[document_id.table], value, findings, document_id.dotted)
+    if NAME.fullmatch(document_id.name) is None:
+        findings.add(
+            document_id.dotted, "has a name that can't be used; take a-z, 0-9, '-' and '.'"
+        )
         return None
-    return validate(TABLES[place.table], value, findings, place.dotted)
+    return validate(TABLES[document_id.table], value, findings, document_id.dotted)
 
 
 def encode_value(value: Any) -> bytes:
@@ -107,36 +112,38 @@
         text = ENCODER.encode(value).encode()
     except (TypeError, ValueError, RecursionError):
         raise ValueError("holds what JSON can't carry; use no dates, nan or inf") from None
-    if len(text) > VALUE_BYTES:
-        raise ValueError(f"is longer than {VALUE_BYTES} bytes; split it")
+    if len(text) > MAX_VALUE_BYTES:
+        raise ValueError(f"is longer than {MAX_VALUE_BYTES} bytes; split it")
     return text
 
 
-def warn_unknown(table: str, findings: Findings) -> None:
+def warn_unknown_table(table: str, findings: Findings) -> None:
     """Warn of a table that this release does not know, such as one of a later release."""
-    findings.warn(table, f"is not a known table; {suggest(table, [*TABLES, *SINGLES])}")
+    findings.warn(table, f"is not a known table; {suggest(table, [*TABLES, *SINGLETONS])}")
 
 
-def _list_values(documents: Mapping[str, Any], findings: Findings) -> Iterable[tuple[Place, Any]]:
+def _list_values(
+    documents: Mapping[str, Any], findings: Findings
+) -> Iterable[tuple[DocumentId, Any]]:
     for table, value in documents.items():
-        if table in SINGLES:
-            yield Place(table), value
+        if table in SINGLETONS:
+            yield DocumentId(table), value
         elif table in TABLES and isinstance(value, Mapping):
-            yield from ((Place(table, str(name)), entry) for name, entry in value.items())
+            yield from ((DocumentId(table, str(name)), entry) for name, entry in value.items())
         elif table in TABLES:
             findings.add(table, f"is not a table; write [{table}.NAME]")
         elif table != "revision":
-            warn_unknown(table, findings)
+            warn_unknown_table(table, findings)
 
 
-def _group(parsed: Mapping[Place, Any]) -> dict[str, Any]:
+def _group_by_table(parsed: Mapping[DocumentId, Any]) -> dict[str, Any]:
     """Sort documents into the fields of `Published`."""
     tables: dict[str, Any] = {table: {} for table in TABLES}
-    for place, document in parsed.items():
-        if place.name:
-            tables[place.table][place.name] = document
+    for document_id, document in parsed.items():
+        if document_id.name:
+            tables[document_id.table][document_id.name] = document
         else:
-            tables[place.table] = document
+            tables[document_id.table] = document
     return tables
 
 
--- a/cloverway/config/revisions.py
+++ b/cloverway/config/revisions.py
@@ -11,20 +11,20 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from cloverway.config.consistency import Claims, Place, find_faults
-from cloverway.config.documents import Documents, Entry
+from cloverway.config.consistency import DocumentId, UniqueIndex, find_inconsistencies
+from cloverway.config.documents import DocumentEntry, Documents
 from cloverway.config.findings import Findings
-from cloverway.config.published import Published, is_revision, parse_document, warn_unknown
-from cloverway.config.schema import SINGLES, TABLES, Objective
+from cloverway.config.published import Published, is_revision, parse_document, warn_unknown_table
+from cloverway.config.schema import SINGLETONS, TABLES, Objective
 from cloverway.sources.port import Changes
 
-MOST_DOCUMENTS = 100_000
+MAX_DOCUMENTS = 100_000
 """Bound on the documents that are held: five times the two-year size."""
 
-MOST_FINDINGS = 50
+MAX_FINDINGS = 50
 """Findings that a refusal names; one mistake in a region can show at thousands of teams."""
 
-MOST_REFUSED = 100
+MAX_REJECTED_REVISIONS = 100
 """Refused revisions that are remembered, so that peers are not asked for them again."""
 
 
@@ -48,7 +48,7 @@
 
     revision: int
     findings: tuple[str, ...]
-    contradicts: bool = False
+    conflicts: bool = False
     """Whether a revision that is in force stands for other documents in the offer."""
 
 
@@ -66,18 +66,18 @@
     after: int
 
 
-OfferResult = Accepted | Unchanged | Rejected | Stale | Gap
+ApplyResult = Accepted | Unchanged | Rejected | Stale | Gap
 
 
 class _Pending(NamedTuple):
     """Documents of refused changes: a later change that mends them stands on top of them."""
 
     revision: int = 0
-    entries: Mapping[str, Entry] = {}
-    contradicts: bool = False
+    entries: Mapping[str, DocumentEntry] = {}
+    conflicts: bool = False
 
 
-NOTHING = _Pending()
+NO_PENDING = _Pending()
 
 
 class Revisions:
@@ -85,12 +85,12 @@
 
     def __init__(self) -> None:
         self.published: Published | None = None
-        self.refused: Rejected | None = None
+        self.rejection: Rejected | None = None
         """The latest refusal, until a later revision is in force."""
         self.documents = Documents()
-        self._claims = Claims()
-        self._pending = NOTHING
-        self._refused_revisions: deque[int] = deque(maxlen=MOST_REFUSED)
+        self._unique_index = UniqueIndex()
+        self._pending = NO_PENDING
+        self._rejected_revisions: deque[int] = deque(maxlen=MAX_REJECTED_REVISIONS)
 
     @property
     def revision(self) -> int:
@@ -98,58 +98,62 @@
         return self.published.revision if self.published else 0
 
     @property
-    def covered(self) -> int:
+    def known_revision(self) -> int:
         """The revision up to which the platform's documents are known, in force or refused."""
         return max(self.revision, self._pending.revision)
 
     @property
-    def contradicted(self) -> bool:
+    def has_conflict(self) -> bool:
         """Whether the platform's documents contradict a revision that is in force."""
-        return self._pending.contradicts
+        return self._pending.conflicts
 
-    def has_refused(self, revision: int) -> bool:
+    def has_rejected(self, revision: int) -> bool:
         """Tell whether a revision was refused lately."""
-        return revision in self._refused_revisions
+        return revision in self._rejected_revisions
 
-    def take_published(self, changes: Changes) -> OfferResult:
+    def apply_from_platform(self, changes: Changes) -> ApplyResult:
         """Take the platform's changes, on top of those that were refused before."""
-        if changes.after > self.covered:
-            return Gap(self.covered, changes.after)
+        if changes.after > self.known_revision:
+            return Gap(self.known_revision, changes.after)
         if changes.revision < max(self.revision, changes.after):
             return Stale(max(self.revision, changes.after), changes.revision)
         pending = self._pending
-        on_top = bool(pending.entries) and changes.after >= pending.revision
-        if on_top and not changes.documents and changes.revision == pending.revision:
+        extends_pending = bool(pending.entries) and changes.after >= pending.revision
+        if extends_pending and not changes.documents and changes.revision == pending.revision:
             return Unchanged(self.revision)
-        entries = self._encode(changes, pending.entries if on_top else {})
-        result = self._judge(entries, changes)
-        if isinstance(result, Rejected) and result.contradicts and not (on_top or changes.whole):
+        entries = self._encode(changes, pending.entries if extends_pending else {})
+        result = self._evaluate(entries, changes)
+        if (
+            isinstance(result, Rejected)
+            and result.conflicts
+            and not (extends_pending or changes.complete)
+        ):
             # What the other history has in place of the missing documents is not known: without
             # them the next delta would seem to fit.
             return result
         if isinstance(result, Rejected):
-            self._pending = _Pending(changes.revision, entries, result.contradicts)
-        elif on_top or changes.whole or pending.revision <= self.revision:
-            self._pending = NOTHING
+            self._pending = _Pending(changes.revision, entries, result.conflicts)
+        elif extends_pending or changes.complete or pending.revision <= self.revision:
+            self._pending = NO_PENDING
         return result
 
-    def take_from_peer(self, changes: Changes) -> OfferResult:
+    def apply_from_peer(self, changes: Changes) -> ApplyResult:
         """Take changes that a peer has in force."""
         if changes.after > self.revision:
             return Gap(self.revision, changes.after)
         if changes.revision < self.revision:
             return Stale(self.revision, changes.revision)
-        result = self._judge(self._encode(changes, {}), changes)
+        result = self._evaluate(self._encode(changes, {}), changes)
         if isinstance(result, Accepted) and self._pending.revision <= self.revision:
-            self._pending = NOTHING
+            self._pending = NO_PENDING
         return result
 
-    def find_shape_fault(self, changes: Changes) -> str:
+    def find_format_error(self, changes: Changes) -> str:
         """Say what makes changes unreadable, or give an empty text."""
         if not is_revision(changes.revision):
             return f"{changes.revision!r} is not a revision"
-        if len(self.documents) + len(changes.documents) > MOST_DOCUMENTS:
-            return f"there are over {MOST_DOCUMENTS} documents; publish fewer"
+        if len(self.documents) + len(changes.documents) > MAX_DOCUMENTS:
+            return f"there are over {MAX_DOCUMENTS} documents; publish fewer"
         beyond = [
             document.key
             for document in changes.documents
@@ -157,7 +161,9 @@
         ]
         return f"{beyond[0]} has a revision beyond that of the whole" if beyond else ""
 
-    def _encode(self, changes: Changes, below: Mapping[str, Entry]) -> dict[str, Entry]:
+    def _encode(
+        self, changes: Changes, below: Mapping[str, DocumentEntry]
+    ) -> dict[str, DocumentEntry]:
         """Give changes as entries on top of others, with the deletions that a whole implies."""
         entries = {
             key: entry._replace(revision=changes.revision) if entry.implied else entry
@@ -166,30 +172,30 @@
         for document in changes.documents:
             known = entries.get(document.key)
             if known is None or known.implied or known.revision <= document.revision:
-                entries[document.key] = Entry.from_document(document)
-        if changes.whole:
-            deleted = Entry(changes.revision, None, implied=True)
+                entries[document.key] = DocumentEntry.from_document(document)
+        if changes.complete:
+            deleted = DocumentEntry(changes.revision, None, implied=True)
             entries |= {key: deleted for key in self.documents if key not in entries}
         return entries
 
-    def _judge(self, entries: Mapping[str, Entry], changes: Changes) -> OfferResult:
+    def _evaluate(self, entries: Mapping[str, DocumentEntry], changes: Changes) -> ApplyResult:
         """Put entries in force if they make a valid whole, or refuse them all."""
         revision = changes.revision
         findings = Findings(f"revision {revision}")
         self._check_history(entries, changes, findings)
-        late = {key: entry for key, entry in entries.items() if entry.revision > self.revision}
-        if changes.digest and self.documents.digest_with(late) != changes.digest:
-            if not changes.whole:
+        newer = {key: entry for key, entry in entries.items() if entry.revision > self.revision}
+        if changes.digest and self.documents.compute_digest_with(newer) != changes.digest:
+            if not changes.complete:
                 return Gap(0, changes.after)
             findings.add("", "the documents don't have the digest that the source tells")
         if findings.errors:
-            return self._refuse(revision, findings, contradicts=True)
+            return self._reject(revision, findings, conflicts=True)
         if revision == self.revision:
             return Unchanged(revision)
-        return self._advance(late, revision, findings)
+        return self._validate(newer, revision, findings)
 
     def _check_history(
-        self, entries: Mapping[str, Entry], changes: Changes, findings: Findings
+        self, entries: Mapping[str, DocumentEntry], changes: Changes, findings: Findings
     ) -> None:
         """Note each document that a revision in force holds with other content.
 
@@ -201,106 +207,115 @@
         different = [
             key
             for key, entry in entries.items()
-            if entry.revision <= self.revision and entry.text != self.documents.text(key)
+            if entry.revision <= self.revision and entry.text != self.documents.get_text(key)
         ]
-        if not changes.whole:
-            later = self.documents.list_later(changes.after)
+        if not changes.complete:
+            later = self.documents.list_keys_after(changes.after)
             different += [key for key in later if key not in entries]
         for key in different:
-            findings.add(_dot(key), f"is in force with other content; {remedy}")
+            findings.add(_format_key(key), f"is in force with other content; {remedy}")
 
-    def _advance(
-        self, late: Mapping[str, Entry], revision: int, findings: Findings
+    def _validate(
+        self, newer: Mapping[str, DocumentEntry], revision: int, findings: Findings
     ) -> Accepted | Rejected:
-        parsed = self._parse(late, findings)
+        parsed = self._parse(newer, findings)
         if findings.errors:
-            return self._refuse(revision, findings)
+            return self._reject(revision, findings)
         published = self._compose(parsed, revision)
         if published is None:
             findings.add("organisation", "is missing; publish it")
-            return self._refuse(revision, findings)
-        for fault in find_faults(published, parsed, self._claims):
-            findings.add(*fault)
+            return self._reject(revision, findings)
+        for inconsistency in find_inconsistencies(published, parsed, self._unique_index):
+            findings.add(*inconsistency)
         if findings.errors:
-            return self._refuse(revision, findings)
+            return self._reject(revision, findings)
         before = self.revision
-        self._put_in_force(published, parsed, late)
-        return Accepted(published, before, tuple(findings.warnings[:MOST_FINDINGS]))
+        self._activate(published, parsed, newer)
+        return Accepted(published, before, tuple(findings.warnings[:MAX_FINDINGS]))
 
-    def _parse(self, late: Mapping[str, Entry], findings: Findings) -> dict[Place, Any]:
+    def _parse(
+        self, newer: Mapping[str, DocumentEntry], findings: Findings
+    ) -> dict[DocumentId, Any]:
         """Parse the documents whose content changes; None stands for a deleted one."""
-        parsed: dict[Place, Any] = {}
-        for key, entry in late.items():
-            place = _place(key)
-            if entry.fault:
-                findings.add(place.dotted, entry.fault)
-            elif entry.text == self.documents.text(key):
+        parsed: dict[DocumentId, Any] = {}
+        for key, entry in newer.items():
+            document_id = _parse_key(key)
+            if entry.error:
+                findings.add(document_id.dotted, entry.error)
+            elif entry.text == self.documents.get_text(key):
                 continue
-            elif not _is_known(place):
-                warn_unknown(place.dotted, findings)
+            elif not _is_known_table(document_id):
+                warn_unknown_table(document_id.dotted, findings)
             else:
                 value = entry.value
-                parsed[place] = None if value is None else parse_document(place, value, findings)
+                parsed[document_id] = (
+                    None if value is None else parse_document(document_id, value, findings)
+                )
         return parsed
 
-    def _compose(self, parsed: Mapping[Place, Any], revision: int) -> Published | None:
+    def _compose(self, parsed: Mapping[DocumentId, Any], revision: int) -> Published | None:
         """Give the configuration in force with some documents changed.
 
         Tables without a change are the same objects as before, so that what is derived from
         them can be kept.
         """
         fields = self.published._asdict() if self.published else {}
-        for table in {place.table for place in parsed if place.table in TABLES}:
+        for table in {document_id.table for document_id in parsed if document_id.table in TABLES}:
             fields[table] = dict(fields.get(table, {}))
-        for place, document in parsed.items():
-            if place.table in SINGLES:
-                fields[place.table] = document
+        for document_id, document in parsed.items():
+            if document_id.table in SINGLETONS:
+                fields[document_id.table] = document
             elif document is None:
-                fields[place.table].pop(place.name, None)
+                fields[document_id.table].pop(document_id.name, None)
             else:
-                fields[place.table][place.name] = document
+                fields[document_id.table][document_id.name] = document
         if fields.get("organisation") is None:
             return None
         if fields.get("objective") is None:
             fields["objective"] = Objective()
         return Published(**{**fields, "revision": revision})
 
-    def _put_in_force(
-        self, published: Published, parsed: Mapping[Place, Any], late: Mapping[str, Entry]
+    def _activate(
+        self,
+        published: Published,
+        parsed: Mapping[DocumentId, Any],
+        newer: Mapping[str, DocumentEntry],
     ) -> None:
-        for place, document in parsed.items():
-            self._claims.replace(place, _find(self.published, place), document)
-        self.documents.put(late, published.revision)
+        for document_id, document in parsed.items():
+            self._unique_index.replace(
+                document_id, _find_document(self.published, document_id), document
+            )
+        self.documents.apply(newer, published.revision)
         self.published = published
-        self.refused = None
+        self.rejection = None
 
-    def _refuse(self, revision: int, findings: Findings, contradicts: bool = False) -> Rejected:
-        self.refused = Rejected(revision, _limit(findings.errors), contradicts)
-        self._refused_revisions.append(revision)
-        return self.refused
+    def _reject(self, revision: int, findings: Findings, conflicts: bool = False) -> Rejected:
+        self.rejection = Rejected(revision, _truncate(findings.errors), conflicts)
+        self._rejected_revisions.append(revision)
+        return self.rejection
 
 
-def _place(key: str) -> Place:
+def _parse_key(key: str) -> DocumentId:
     table, _, name = key.partition("/")
-    return Place(table, name)
+    return DocumentId(table, name)
 
 
-def _dot(key: str) -> str:
-    return _place(key).dotted
+def _format_key(key: str) -> str:
+    return _parse_key(key).dotted
 
 
-def _is_known(place: Place) -> bool:
-    return place.table in (TABLES if place.name else SINGLES)
+def _is_known_table(document_id: DocumentId) -> bool:
+    return document_id.table in (TABLES if document_id.name else SINGLETONS)
 
 
-def _find(published: Published | None, place: Place) -> Any:
-    if published is None or not place.name:
+def _find_document(published: Published | None, document_id: DocumentId) -> Any:
+    if published is None or not document_id.name:
         return None
-    return getattr(published, place.table).get(place.name)
+    return getattr(published, document_id.table).get(document_id.name)
 
 
-def _limit(findings: list[str]) -> tuple[str, ...]:
+def _truncate(findings: list[str]) -> tuple[str, ...]:
     """Keep a refusal short enough for a log line and a peer's memory."""
-    if len(findings) <= MOST_FINDINGS:
+    if len(findings) <= MAX_FINDINGS:
         return tuple(findings)
-    return (*findings[:MOST_FINDINGS], f"and {len(findings) - MOST_FINDINGS} more findings")
+    return (*findings[:MAX_FINDINGS], f"and {len(findings) - MAX_FINDINGS} more findings")
--- a/cloverway/config/schema.py
+++ b/cloverway/config/schema.py
@@ -157,7 +157,7 @@
 }
 """Tables with documents by name."""
 
-SINGLES: dict[str, type] = {"organisation": Organisation, "objective": Objective}
+SINGLETONS: dict[str, type] = {"organisation": Organisation, "objective": Objective}
 """Documents of which there is one."""
 
 
--- a/cloverway/config/secrets.py
+++ b/cloverway/config/secrets.py
@@ -6,12 +6,12 @@
 
 from cloverway.config.findings import Findings
 
-LEAST_BYTES = 32
+MIN_SECRET_BYTES = 32
 """A shorter secret can be guessed from recorded datagrams."""
 
-MOST_BYTES = 4096
+MAX_SECRET_BYTES = 4096
 
-WHERE = "security.peer_secret_file"
+SETTING_NAME = "security.peer_secret_file"
 
 READABLE_BY_OTHERS = 0o004
 
@@ -25,11 +25,13 @@
     secret = b""
     try:
         with path.open("rb") as file:
-            secret = file.read(MOST_BYTES + 1).strip()
+            secret = file.read(MAX_SECRET_BYTES + 1).strip()
         if path.stat().st_mode & READABLE_BY_OTHERS:
-            findings.warn(WHERE, "can be read by every user of the host; set its mode to 0600")
+            findings.warn(
+                SETTING_NAME, "can be read by every user of the host; set its mode to 0600"
+            )
     except OSError as error:
-        findings.add(WHERE, f"can't be read: {error.strerror}; give the file to this user")
+        findings.add(SETTING_NAME, f"can't be read: {error.strerror}; give the file to this user")
     else:
         _check_length(secret, findings)
     findings.raise_if_any()
@@ -37,8 +39,10 @@
 
 
 def _check_length(secret: bytes, findings: Findings) -> None:
-    if len(secret) < LEAST_BYTES:
-        remedy = f"make one of at least {LEAST_BYTES}, such as `openssl rand -hex 32` gives"
-        findings.add(WHERE, f"holds {len(secret)} bytes; {remedy}")
-    elif len(secret) > MOST_BYTES:
-        findings.add(WHERE, f"holds over {MOST_BYTES} bytes; name the file of the secret")
+    if len(secret) < MIN_SECRET_BYTES:
+        remedy = f"make one of at least {MIN_SECRET_BYTES}, such as `openssl rand -hex 32` gives"
+        findings.add(SETTING_NAME, f"holds {len(secret)} bytes; {remedy}")
+    elif len(secret) > MAX_SECRET_BYTES:
+        findings.add(
+            SETTING_NAME, f"holds over {MAX_SECRET_BYTES} bytes; name the file of the secret"
+        )
--- a/cloverway/config/table_checks.py
+++ b/cloverway/config/table_checks.py
@@ -24,36 +24,38 @@
     """Raises ValueError with what must hold."""
 
 
-def check_table(model: type[T], values: object, findings: Findings, where: str = "") -> T | None:
+def check_table(
+    model: type[T], values: object, findings: Findings, field_path: str = ""
+) -> T | None:
     """Check a table; unknown names are warnings, all else is an error. None when there is one."""
     if not isinstance(values, Mapping):
-        findings.add(where, f"is not a table; write the names of {model.__name__} into one")
+        findings.add(field_path, f"is not a table; write the names of {model.__name__} into one")
         return None
     hints = _list_hints(cast(Any, model))
     for name in values.keys() - hints.keys():
-        findings.warn(_join(where, name), f"is not a known name; {suggest(name, hints)}")
+        findings.warn(_join(field_path, name), f"is not a known name; {suggest(name, hints)}")
     defaults: Mapping[str, Any] = getattr(model, "_field_defaults", {})
     for name in hints.keys() - values.keys() - defaults.keys():
-        findings.add(_join(where, name), "is missing (set it)")
+        findings.add(_join(field_path, name), "is missing (set it)")
     before = len(findings.errors)
     checked = {
-        name: _check_value(hint, values[name], findings, _join(where, name))
+        name: _check_value(hint, values[name], findings, _join(field_path, name))
         for name, hint in hints.items()
         if name in values
     }
-    is_whole = hints.keys() <= values.keys() | defaults.keys()
-    return model(**checked) if is_whole and len(findings.errors) == before else None
+    is_complete = hints.keys() <= values.keys() | defaults.keys()
+    return model(**checked) if is_complete and len(findings.errors) == before else None
 
 
-def _check_value(hint: Any, value: object, findings: Findings, where: str) -> Any:
+def _check_value(hint: Any, value: object, findings: Findings, field_path: str) -> Any:
     if hasattr(hint, "_fields"):
-        return check_table(hint, value, findings, where)
+        return check_table(hint, value, findings, field_path)
     try:
         converted = msgspec.convert(value, hint)
         for check, item in _list_checks(hint, converted):
             check.run(item)
     except (msgspec.ValidationError, ValueError) as error:
-        findings.add(where, str(error))
+        findings.add(field_path, str(error))
         return None
     return converted
 
@@ -73,5 +75,5 @@
     return get_type_hints(model, include_extras=True)
 
 
-def _join(where: str, name: object) -> str:
-    return f"{where}.{name}" if where else str(name)
+def _join(field_path: str, name: object) -> str:
+    return f"{field_path}.{name}" if field_path else str(name)
--- a/cloverway/config/updates.py
+++ b/cloverway/config/updates.py
@@ -14,8 +14,8 @@
 from cloverway.config.configuration import (
     Accepted,
     ConfigurationStore,
+    ReadinessGate,
     Source,
-    StartGate,
     log_result,
 )
 from cloverway.config.published import Published
@@ -28,14 +28,14 @@
 
 FetchChanges = Callable[[str, str, int], Changes]
 """Asks (host, address) for the changes after a revision; blocks, within a bound."""
-Adopt = Callable[[Published], None]
+OnAccepted = Callable[[Published], None]
 
-OTHER_READ_S = 30.0
+NON_READER_INTERVAL_S = 30.0
 """How often a host that is not a reader of the platform reads it, in case both readers can't."""
-RETRY_S = 0.5
+RETRY_DELAY_S = 0.5
 
 
-class Offer(NamedTuple):
+class PeerRevision(NamedTuple):
     """A peer that has a revision this host may lack."""
 
     host: str
@@ -43,7 +43,7 @@
     revision: int
 
 
-class Updates:
+class ConfigurationUpdater:
     """Owns the store of configuration, and keeps it up to date."""
 
     def __init__(
@@ -60,13 +60,13 @@
         self._platform = platform
         self._fetch_changes = fetch_changes
         self._clock = clock
-        self._gate = StartGate(clock())
+        self._gate = ReadinessGate(clock())
         self._platform_workers = Workers("platform", 1)
         self._fetch_workers = Workers("fetch", 1)
-        self._fetching = False
-        self._fetch_after = 0.0
-        self._fault = ""
-        self.settled = False
+        self._is_fetching = False
+        self._next_fetch_at = 0.0
+        self._last_error = ""
+        self.is_serving = False
         """Whether this host serves: it has asked the platform and its siblings."""
 
     def start(self) -> None:
@@ -99,84 +99,86 @@
         with self._lock:
             return self._store.changes_after(revision)
 
-    def hear_peer(self, host: str, revision: int) -> None:
+    def record_peer(self, host: str, revision: int) -> None:
         """Note a peer that is alive, and the revision that it serves."""
-        if not self.settled:
-            self._gate.hear_peer(host, revision)
+        if not self.is_serving:
+            self._gate.record_peer(host, revision)
 
-    def decide_start(self, now: float) -> bool:
+    def try_start_serving(self, now: float) -> bool:
         """Settle when enough was heard; tell whether that is now."""
         published = self._store.published
-        if self.settled or published is None:
+        if self.is_serving or published is None:
             return False
         siblings = published.hosts_of(self._settings.domain)
         expected = [name for name in siblings if name != self._settings.host]
-        readiness = self._gate.decide(published.revision, expected, now)
+        readiness = self._gate.check(published.revision, expected, now)
         if not readiness.ready:
             return False
         with self._lock:
-            self._store.settle()
-        self.settled = True
-        log.info("ready", extra={"revision": published.revision, "why": readiness.why})
+            self._store.start_serving()
+        self.is_serving = True
+        log.info("ready", extra={"revision": published.revision, "why": readiness.reason})
         return True
 
-    def wants(self, offer: Offer, now: float) -> bool:
+    def should_fetch(self, peer: PeerRevision, now: float) -> bool:
         """Tell whether a peer is to be asked for its changes now: one at a time."""
-        if self._fetching or now < self._fetch_after:
+        if self._is_fetching or now < self._next_fetch_at:
             return False
-        return self._store.ask_peer_after(offer.revision) is not None
+        return self._store.fetch_after(peer.revision) is not None
 
-    async def fetch(self, offer: Offer, adopt: Adopt) -> None:
+    async def fetch(self, peer: PeerRevision, on_accepted: OnAccepted) -> None:
         """Ask a peer for what this host lacks."""
-        after = self._store.ask_peer_after(offer.revision)
-        if after is None or self._fetching:
+        after = self._store.fetch_after(peer.revision)
+        if after is None or self._is_fetching:
             return
-        self._fetching = True
-        call = self._fetch_workers.submit(self._fetch_changes, offer.host, offer.address, after)
+        self._is_fetching = True
+        call = self._fetch_workers.submit(self._fetch_changes, peer.host, peer.address, after)
         try:
-            self._offer(await asyncio.wrap_future(call), Source.PEER, adopt)
+            self._apply(await asyncio.wrap_future(call), Source.PEER, on_accepted)
         except CloverwayError as error:
             log.warning("a peer's configuration can't be read", extra={"why": str(error)})
         except Exception:
             log.exception("a peer's configuration can't be read")
         finally:
-            self._fetching = False
-            self._fetch_after = self._clock() + RETRY_S
+            self._is_fetching = False
+            self._next_fetch_at = self._clock() + RETRY_DELAY_S
 
-    async def watch_platform(self, is_reader: Callable[[float], bool], adopt: Adopt) -> None:
+    async def watch_platform(
+        self, is_reader: Callable[[float], bool], on_accepted: OnAccepted
+    ) -> None:
         """Read the platform's changes, on few hosts of a failure domain; never ends."""
         read_at = float("-inf")
         while True:
             now = self._clock()
-            if self.settled and not is_reader(now) and now - read_at < OTHER_READ_S:
-                await asyncio.sleep(RETRY_S)
+            if self.is_serving and not is_reader(now) and now - read_at < NON_READER_INTERVAL_S:
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             read_at = now
-            if not await self._read_platform(adopt):
-                await asyncio.sleep(RETRY_S)
+            if not await self._read_platform(on_accepted):
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _read_platform(self, adopt: Adopt) -> bool:
+    async def _read_platform(self, on_accepted: OnAccepted) -> bool:
         call = self._platform_workers.submit(
             self._platform.read, self._store.read_after, self._settings.platform.wait_s
         )
         try:
             changes = await asyncio.wrap_future(call)
-            self._gate.hear_platform(changes.revision)
-            self._offer(changes, Source.PLATFORM, adopt)
+            self._gate.record_platform(changes.revision)
+            self._apply(changes, Source.PLATFORM, on_accepted)
         except CloverwayError as error:
-            if str(error) != self._fault:
+            if str(error) != self._last_error:
                 log.warning("the platform can't be read", extra={"why": str(error)})
-            self._fault = str(error)
+            self._last_error = str(error)
             return False
         except Exception:
             log.exception("the platform can't be read")
             return False
-        self._fault = ""
+        self._last_error = ""
         return True
 
-    def _offer(self, changes: Changes, source: Source, adopt: Adopt) -> None:
+    def _apply(self, changes: Changes, source: Source, on_accepted: OnAccepted) -> None:
         with self._lock:
-            result = self._store.offer(changes, source, self._clock())
+            result = self._store.apply(changes, source, self._clock())
         log_result(result, source)
         if isinstance(result, Accepted):
-            adopt(result.published)
+            on_accepted(result.published)
--- a/cloverway/config/validation.py
+++ b/cloverway/config/validation.py
@@ -13,61 +13,63 @@
 T = TypeVar("T")
 Location = tuple[int | str, ...]
 
-FORM = "see the configuration reference for its form"
+SEE_REFERENCE = "see the configuration reference for its form"
 REMEDIES = {
     "missing": "set it",
     "missing_argument": "set it",
-    "string_pattern_mismatch": FORM,
+    "string_pattern_mismatch": SEE_REFERENCE,
     "literal_error": "choose one of these",
     "enum": "choose one of these",
     "finite_number": "give a number",
 }
 
-OWN_CHECK = "Value error, "
+VALUE_ERROR_PREFIX = "Value error, "
 """What stands before the text of a check that is a function of ours."""
-UNKNOWN_NAME = ("extra_forbidden", "unexpected_keyword_argument")
+UNKNOWN_NAME_TYPES = ("extra_forbidden", "unexpected_keyword_argument")
 
 
 def validate(
-    model: type[T], values: Mapping[str, Any], findings: Findings, where: str = ""
+    model: type[T], values: Mapping[str, Any], findings: Findings, prefix: str = ""
 ) -> T | None:
     """Check a table against a NamedTuple; unknown names are warnings, all else is an error.
 
     Dotted names in the findings start with `where`. Returns None when there is an error.
     """
-    schema: TypeAdapter[T] = _adapt(cast(Any, model))
+    schema: TypeAdapter[T] = _get_adapter(cast(Any, model))
     if not isinstance(values, Mapping):
-        findings.add(where, f"is not a table; write the names of {model.__name__} into one")
+        findings.add(prefix, f"is not a table; write the names of {model.__name__} into one")
         return None
     try:
         return schema.validate_python(values)
     except ValidationError as error:
-        faults = error.errors(include_url=False, include_input=False, include_context=False)
-    unknown = [fault["loc"] for fault in faults if fault["type"] in UNKNOWN_NAME]
-    known = [fault for fault in faults if fault["type"] not in UNKNOWN_NAME]
+        details = error.errors(include_url=False, include_input=False, include_context=False)
+    unknown = [detail["loc"] for detail in details if detail["type"] in UNKNOWN_NAME_TYPES]
+    known = [detail for detail in details if detail["type"] not in UNKNOWN_NAME_TYPES]
     for location in unknown:
-        remedy = suggest(str(location[-1]), names_at(model, location[:-1]))
-        findings.warn(_join(where, location), f"is not a known name; {remedy}")
-    for fault in known:
-        remedy = REMEDIES.get(fault["type"], "")
-        what = fault["msg"].removeprefix(OWN_CHECK) + (f" ({remedy})" if remedy else "")
-        findings.add(_join(where, fault["loc"]), what)
+        remedy = suggest(str(location[-1]), list_names(model, location[:-1]))
+        findings.warn(_join(prefix, location), f"is not a known name; {remedy}")
+    for detail in known:
+        remedy = REMEDIES.get(detail["type"], "")
+        message = detail["msg"].removeprefix(VALUE_ERROR_PREFIX) + (
+            f" ({remedy})" if remedy else ""
+        )
+        findings.add(_join(prefix, detail["loc"]), message)
     if known:
         return None
-    return schema.validate_python(_without(values, unknown))
+    return schema.validate_python(_copy_without(values, unknown))
 
 
-def _join(where: str, location: Location) -> str:
-    return ".".join(part for part in (where, *map(str, location)) if part)
+def _join(prefix: str, location: Location) -> str:
+    return ".".join(part for part in (prefix, *map(str, location)) if part)
 
 
-def _without(values: Mapping[str, Any], locations: list[Location]) -> dict[str, Any]:
+def _copy_without(values: Mapping[str, Any], locations: list[Location]) -> dict[str, Any]:
     """Copy nested tables but for the names at some locations."""
     here = {location[0] for location in locations if len(location) == 1}
     deeper = [location for location in locations if len(location) > 1]
     return {
         name: (
-            _without(value, [location[1:] for location in deeper if location[0] == name])
+            _copy_without(value, [location[1:] for location in deeper if location[0] == name])
             if isinstance(value, Mapping)
             else value
         )
@@ -76,7 +78,7 @@
     }
 
 
-def names_at(model: type, location: Location) -> tuple[str, ...]:
+def list_names(model: type, location: Location) -> tuple[str, ...]:
     """List the names that are valid in the table at a location below a NamedTuple."""
     here: Any = model
     for step in location:
@@ -85,5 +87,5 @@
 
 
 @cache
-def _adapt(model: Any) -> TypeAdapter[Any]:
+def _get_adapter(model: Any) -> TypeAdapter[Any]:
     return TypeAdapter(model)
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -20,7 +20,7 @@
 from cloverway.config.configuration import ConfigurationStore, choose_readers
 from cloverway.config.published import Published
 from cloverway.config.settings import Settings
-from cloverway.config.updates import FetchChanges, Offer, Updates
+from cloverway.config.updates import ConfigurationUpdater, FetchChanges, PeerRevision
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.errors import CloverwayError, PeerError
 from cloverway.membership.datagrams import Datagrams
@@ -31,7 +31,7 @@
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.port import Changes, HostList, Listed, Platform
+from cloverway.sources.port import Changes, Listed, MemberStates, Platform
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +81,7 @@
             random=self._random,
             ends=ends,
         )
-        self._updates = Updates(settings, store, platform, fetch_changes, clock)
+        self._updates = ConfigurationUpdater(settings, store, platform, fetch_changes, clock)
         self._leaving = False
         self._serving = False
         self._serve_by: float | None = None
@@ -165,7 +165,7 @@
         return {
             "incarnation": view.incarnation,
             "revision": view.published.revision if view.published else 0,
-            "settled": self._updates.settled,
+            "settled": self._updates.is_serving,
             "leaving": self._leaving,
             "platform_stale": view.platform_stale,
             "resumed_at": self.gossip.resumed_at,
@@ -222,7 +222,7 @@
     def _tick(self, now: float) -> None:
         self._notice_pause(now)
         self._read_endpoints(now)
-        if self._updates.decide_start(now):
+        if self._updates.try_start_serving(now):
             self._note_urgent()
         if self.gossip.ends.take_urgent():
             self._urgent = True
@@ -287,11 +287,11 @@
             log.error("another process has taken this host's name; this one leaves")
             self.begin_leaving()
         if received.proven:
-            self._updates.hear_peer(received.host, received.revision)
+            self._updates.record_peer(received.host, received.revision)
         published = self._updates.published
         known = published.hosts.get(received.host) if published else None
-        offer = Offer(received.host, known.peers if known else source, received.revision)
-        if self._updates.wants(offer, now):
+        offer = PeerRevision(received.host, known.peers if known else source, received.revision)
+        if self._updates.should_fetch(offer, now):
             self._loop.create_task(self._updates.fetch(offer, self._adopt))
 
     def _adopt(self, published: Published) -> None:
@@ -309,14 +309,14 @@
             if not self._is_reader(self._clock()):
                 continue
             try:
-                call = self._list_workers.submit(self._platform.list_states)
+                call = self._list_workers.submit(self._platform.get_member_states)
                 self._take_list(await asyncio.wrap_future(call))
             except CloverwayError as error:
                 log.debug("the platform's list can't be read", extra={"why": str(error)})
             except Exception:
                 log.exception("the platform's list can't be read")
 
-    def _take_list(self, states: HostList) -> None:
+    def _take_list(self, states: MemberStates) -> None:
         leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
         if self.gossip.readings.take_list(leaving, self._clock()):
             self._urgent = True
@@ -362,7 +362,7 @@
         A host that served sooner would refuse its first callers for lack of an endpoint. One that
         hears nothing of an endpoint, which may be dead, serves without it after a while.
         """
-        if self._serving or not self._updates.settled:
+        if self._serving or not self._updates.is_serving:
             return
         if self._serve_by is None:
             self._serve_by = now + FIRST_REPORTS_S
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cloverway.config.configuration import READERS, choose_readers
+from cloverway.config.configuration import READERS_PER_DOMAIN, choose_readers
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import Crash, CrashUpdate
@@ -107,7 +107,9 @@
         self.ends = ends
         self.own = Own()
         self.members = Membership(host, incarnation, timing.suspect_s)
-        self.readings = Readings(timing.suspect_s + SILENT_INTERVALS * READERS * timing.report_s)
+        self.readings = Readings(
+            timing.suspect_s + SILENT_INTERVALS * READERS_PER_DOMAIN * timing.report_s
+        )
         self.summaries = Summaries(domain, timing.summary_s)
         self._timing = timing
         self._seal = seal
@@ -218,7 +220,7 @@
         """
         hosts = len(self.members.staying(now))
         endpoints = len(self._endpoints)
-        readers = min(READERS, hosts)
+        readers = min(READERS_PER_DOMAIN, hosts)
         interval = max(readers * self._timing.report_s, readers * endpoints / hosts / READS_PER_S)
         self.readings.silent_s = self._timing.suspect_s + SILENT_INTERVALS * interval
         return interval
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -13,7 +13,7 @@
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.platform import names
 from cloverway.platform.documents import decode_documents
-from cloverway.platform.entries import decode_born
+from cloverway.platform.entries import decode_start_time
 from cloverway.serving.http.client import ResponseHead
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.ports import LifeFacts, Lookup, ReplyFacts, SendTerms
@@ -31,9 +31,9 @@
 UNAVAILABLE = 503
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """Statuses that tell a caller that its request did not run, whoever sends them."""
-MOST_PRIORITY = 9
+MAX_PRIORITY = 9
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
-PROBLEM = (b"Content-Type", b"application/problem+json")
+PROBLEM_HEADER = (b"Content-Type", b"application/problem+json")
 
 
 class PlatformDialect:
@@ -55,7 +55,7 @@
             method=exchange.method,
             target=exchange.target,
             host=_get_host(fields),
-            headers=tuple(_list_passed(exchange.headers)),
+            headers=tuple(_list_forwarded_headers(exchange.headers)),
             body=exchange.body,
             arrived_at=exchange.arrived_at,
             deadline=exchange.arrived_at + deadline_s,
@@ -89,12 +89,12 @@
             (names.EXPECTED_ENDPOINT, terms.endpoint_id.encode("latin-1")),
         ]
         if call.prompt is not None:
-            priority = min(MOST_PRIORITY, terms.priority)
+            priority = min(MAX_PRIORITY, terms.priority)
             headers.append((names.PRIORITY, str(priority).encode()))
         if terms.last_event_id:
             headers.append((names.LAST_EVENT, terms.last_event_id.encode("latin-1")))
         if terms.fetch_from:
-            headers.append((names.FETCH, terms.fetch_from.encode("latin-1")))
+            headers.append((names.FETCH_FROM, terms.fetch_from.encode("latin-1")))
         return headers
 
     def encode_pass(self, call: Call, left_s: float) -> list[Header]:
@@ -127,12 +127,12 @@
 
     def decode_life(self, head: ResponseHead, body: bytes) -> LifeFacts:
         """Decode the answer to it."""
-        born_ms = decode_born(body) if head.status == OK else None
+        born_ms = decode_start_time(body) if head.status == OK else None
         return LifeFacts(head.status == MISDIRECTED, born_ms)
 
     def encode_refusal(self, error: RequestError, call_id: str) -> tuple[int, list[Header], bytes]:
         """Give status, headers and body of the answer to a request that failed here."""
-        headers = [PROBLEM]
+        headers = [PROBLEM_HEADER]
         if call_id:
             headers.append((names.REQUEST_ID, call_id.encode("latin-1")))
         if error.retry_after is not None and error.ran is Ran.NO:
@@ -150,7 +150,7 @@
     return error.status
 
 
-def _list_passed(headers: Iterable[Header]) -> Iterable[Header]:
+def _list_forwarded_headers(headers: Iterable[Header]) -> Iterable[Header]:
     """List the headers that go on to an endpoint, in their order."""
     items = list(headers)
     named = {
@@ -159,7 +159,7 @@
         if name == b"connection"
         for token in value.split(b",")
     }
-    dropped = names.SYSTEM_HEADERS | names.CONNECTION_HEADERS | named - {names.REQUEST_ID}
+    dropped = names.RESERVED_HEADERS | names.CONNECTION_HEADERS | named - {names.REQUEST_ID}
     return (item for item in items if item[0] not in dropped)
 
 
@@ -168,19 +168,19 @@
 
 
 def _decode_prompt(fields: dict[bytes, bytes]) -> Prompt | None:
-    tokens = fields.get(names.TOKENS)
+    tokens = fields.get(names.TOKEN_COUNTS)
     if tokens is None:
         return None
     counts = tokens.split(b",")
     if len(counts) != 2 or not all(count.strip().isdigit() for count in counts):
         raise RequestError(Kind.MALFORMED, "the counts of tokens can't be read")
     hint = fields.get(names.LENGTH_HINT)
-    likely = int(_read_number(hint, 0)) if hint is not None else None
-    parts = tuple(_decode_parts(fields.get(names.PREFIX, b"")))
-    return Prompt(int(counts[0]), int(counts[1]), parts, likely)
+    expected = int(_read_number(hint, 0)) if hint is not None else None
+    segments = tuple(_decode_segments(fields.get(names.PROMPT_SEGMENTS, b"")))
+    return Prompt(int(counts[0]), int(counts[1]), segments, expected)
 
 
-def _decode_parts(value: bytes) -> Iterable[PromptSegment]:
+def _decode_segments(value: bytes) -> Iterable[PromptSegment]:
     for item in filter(None, value.split(b",")):
         name, _, tokens = item.strip().partition(b":")
         try:
@@ -202,12 +202,12 @@
     return number
 
 
-def _read_decimal(value: bytes | None, complaint: str) -> float | None:
+def _read_decimal(value: bytes | None, message: str) -> float | None:
     """Give a plain decimal number; None where there is none, and a complaint where it is none."""
     if value is None:
         return None
     if DECIMAL.fullmatch(value.strip()) is None:
-        log.warning(complaint, extra={"value": value[:40]})
+        log.warning(message, extra={"value": value[:40]})
         return None
     return float(value)
 
--- a/cloverway/platform/entries.py
+++ b/cloverway/platform/entries.py
@@ -32,9 +32,9 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ENTRY_BYTES = 64 * 1024
+MAX_ENTRY_BYTES = 64 * 1024
 """An endpoint's entry is some 300 bytes, and grows with the models that it lists."""
-MOST_CONFIGURATION_BYTES = 8 * 1024 * 1024
+MAX_CONFIGURATION_BYTES = 8 * 1024 * 1024
 """A route is some 300 bytes: room for 25,000 of them."""
 ADDRESS = (
     r"^(?:[1-9]|[1-9]\d|1\d\d|2[01]\d|22[0-3])(?:\.(?:\d|[1-9]\d|1\d\d|2[0-4]\d|25[0-5])){3}"
@@ -46,7 +46,7 @@
 """Printable, since it is sent in a header: another byte would raise with every request, or end the
 header early."""
 DAY_MS = 86_400_000
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": CallKind.IDEMPOTENT,
     "non_idempotent": CallKind.NON_IDEMPOTENT,
     "streaming": CallKind.STREAM,
@@ -71,8 +71,8 @@
     cold_ms: Milliseconds = field(name="coldRemainingMs")
     """Time left, although the name could be read as time since."""
     sequence: Count
-    leaves_ms: Milliseconds | None = field(name="remainingMs", default=None)
-    born_ms: Count | None = field(name="born", default=None)
+    removal_in_ms: Milliseconds | None = field(name="remainingMs", default=None)
+    started_ms: Count | None = field(name="born", default=None)
     """Unix time of its start."""
 
     def make_entry(self, name: str) -> EndpointEntry:
@@ -85,18 +85,18 @@
             slots=self.slots,
             draining=self.state == "draining",
             cold_s=self.cold_ms / 1000,
-            removal_in_s=self.leaves_ms / 1000 if self.leaves_ms is not None else None,
-            started_ms=self.born_ms,
+            removal_in_s=self.removal_in_ms / 1000 if self.removal_in_ms is not None else None,
+            started_ms=self.started_ms,
         )
 
 
-class _LifeFields(Struct):
+class _StartTimeFields(Struct):
     """The part of an endpoint's state that tells one life of it from the next."""
 
-    born_ms: Count | None = field(name="born", default=None)
+    started_ms: Count | None = field(name="born", default=None)
 
 
-class _ShareFields(Struct):
+class _WeightedServiceFields(Struct):
     service: Name
     weight: Annotated[float, Meta(ge=0)]
 
@@ -109,20 +109,22 @@
     """Whether a request may be repeated, not how it is matched."""
     timeout_ms: Milliseconds = field(name="timeoutMs")
     service: Name | None = None
-    shares: list[_ShareFields] | None = field(name="weightedBackends", default=None)
+    weighted_services: list[_WeightedServiceFields] | None = field(
+        name="weightedBackends", default=None
+    )
     objective_ms: Milliseconds | None = field(name="targetLatencyMs", default=None)
     gap_objective_ms: Milliseconds | None = field(name="targetGapMs", default=None)
     attempts: Annotated[int, Meta(ge=1)] = 1
     priority: Count = 0
     resumable: bool = False
-    homes: list[Name] | None = field(name="homeRegions", default=None)
+    home_regions: list[Name] | None = field(name="homeRegions", default=None)
 
     def make_route(self) -> Route:
         return Route(
             name=self.name,
             host=self.host.lower(),
             prefix=self.prefix,
-            kind=KINDS[self.kind],
+            kind=ROUTE_KINDS[self.kind],
             services=self._list_services(),
             timeout_s=self.timeout_ms / 1000,
             objective_s=(self.objective_ms or self.timeout_ms) / 1000,
@@ -130,12 +132,14 @@
             attempts=self.attempts,
             priority=self.priority,
             resumable=self.resumable,
-            home_regions=frozenset(self.homes or ()),
+            home_regions=frozenset(self.home_regions or ()),
         )
 
     def _list_services(self) -> tuple[WeightedService, ...]:
-        if self.shares:
-            return tuple(WeightedService(share.service, share.weight) for share in self.shares)
+        if self.weighted_services:
+            return tuple(
+                WeightedService(share.service, share.weight) for share in self.weighted_services
+            )
         if self.service is None:
             raise DocumentError(f"the route {self.name} names no service")
         return (WeightedService(self.service, 1.0),)
@@ -146,7 +150,7 @@
     kv_tokens: Annotated[int, Meta(ge=1)] = field(name="kvTokens")
     token_bytes: Annotated[float, Meta(ge=0)] | None = field(name="kvTokenBytes", default=None)
     link_mbps: Annotated[float, Meta(ge=0)] | None = field(name="linkMbps", default=None)
-    event_tokens: Count | None = field(name="stride", default=None)
+    tokens_per_event: Count | None = field(name="stride", default=None)
     """How much each event holds, not how far apart they are."""
 
     def make_shape(self) -> EngineShape:
@@ -155,7 +159,7 @@
             kv_tokens=self.kv_tokens,
             token_bytes=int(self.token_bytes or 0),
             link_mbps=self.link_mbps or 0.0,
-            tokens_per_event=self.event_tokens or 0,
+            tokens_per_event=self.tokens_per_event or 0,
         )
 
 
@@ -163,7 +167,7 @@
     name: Name
     max_connections: Count | None = field(name="maxConnections", default=None)
     cold_s: Annotated[float, Meta(ge=0)] | None = field(name="coldS", default=None)
-    cold_per_s: Annotated[float, Meta(ge=0)] | None = field(name="coldPerS", default=None)
+    cold_requests_per_s: Annotated[float, Meta(ge=0)] | None = field(name="coldPerS", default=None)
     engine: _EngineFields | None = None
 
     def make_service(self) -> Service:
@@ -171,7 +175,7 @@
             name=self.name,
             max_connections=self.max_connections or 100,
             cold_s=self.cold_s or 0.0,
-            cold_requests_per_s=self.cold_per_s or 0.0,
+            cold_requests_per_s=self.cold_requests_per_s or 0.0,
             engine=self.engine.make_shape() if self.engine is not None else None,
         )
 
@@ -206,13 +210,13 @@
     """Decode the entry of an endpoint; raise DocumentError, whatever the bytes."""
     if not ENDPOINT_ID.fullmatch(name):
         raise DocumentError("the id can't be sent in a header")
-    return _decode(EntryFields, value, MOST_ENTRY_BYTES).make_entry(name)
+    return _decode(EntryFields, value, MAX_ENTRY_BYTES).make_entry(name)
 
 
-def decode_born(value: bytes) -> int | None:
+def decode_start_time(value: bytes) -> int | None:
     """Decode when an endpoint started, from what it says of itself; None where it can't be read."""
     try:
-        return _decode(_LifeFields, value, MOST_ENTRY_BYTES).born_ms
+        return _decode(_StartTimeFields, value, MAX_ENTRY_BYTES).started_ms
     except DocumentError as error:
         log.warning("what an endpoint says of itself can't be read", extra={"why": str(error)})
         return None
@@ -220,7 +224,7 @@
 
 def decode_configuration(value: bytes) -> Configuration:
     """Decode a whole configuration; raise DocumentError, whatever the bytes."""
-    fields = _decode(_ConfigurationFields, value, MOST_CONFIGURATION_BYTES)
+    fields = _decode(_ConfigurationFields, value, MAX_CONFIGURATION_BYTES)
     return Configuration(
         version=fields.version,
         routes=tuple(route.make_route() for route in fields.routes),
@@ -229,8 +233,8 @@
     )
 
 
-def _decode(fields: type[Fields], value: bytes, most_bytes: int) -> Fields:
-    if len(value) > most_bytes:
+def _decode(fields: type[Fields], value: bytes, max_bytes: int) -> Fields:
+    if len(value) > max_bytes:
         raise DocumentError(f"{len(value)} bytes are too many")
     try:
         return msgspec.json.decode(value, type=fields)
--- a/cloverway/platform/names.py
+++ b/cloverway/platform/names.py
@@ -4,9 +4,9 @@
 
 REQUEST_ID = b"x-cloverway-request-id"
 DEADLINE = b"x-cloverway-deadline-ms"
-TOKENS = b"x-cloverway-token-usage"
+TOKEN_COUNTS = b"x-cloverway-token-usage"
 """Tokens of the prompt, and the most tokens of the answer: not what was used."""
-PREFIX = b"x-cloverway-prompt-prefix"
+PROMPT_SEGMENTS = b"x-cloverway-prompt-prefix"
 """All parts of the prompt in order, the last one the request's own: more than a prefix."""
 LENGTH_HINT = b"x-cloverway-length-hint"
 LAST_EVENT = b"last-event-id"
@@ -20,10 +20,10 @@
 LEAVING = b"server-leaving"
 EXPECTED_ENDPOINT = b"x-cloverway-target-instance"
 PRIORITY = b"x-cloverway-request-priority"
-FETCH = b"kv-fetch"
+FETCH_FROM = b"kv-fetch"
 """The address of the endpoint from which parts of the prompt are to be fetched."""
 
-SYSTEM_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     (
         EXPECTED_ENDPOINT,
         PRIORITY,
@@ -39,7 +39,7 @@
         b"x-cloverway-instance-id",
         b"x-cloverway-cold-ms",
         b"x-cloverway-weight-versions",
-        FETCH,
+        FETCH_FROM,
         b"kv-from",
     )
 )
--- a/cloverway/platform/store.py
+++ b/cloverway/platform/store.py
@@ -23,17 +23,17 @@
 )
 from cloverway.serving.ports import HistoryGoneError, StoreBusyError
 
-ANSWER_S = 0.9
+RESPONSE_TIMEOUT_S = 0.9
 """Time for an answer beyond the time that a watch waits. The store answers in milliseconds; when it
 is slow, sixty times as long."""
-ANSWER_LIMIT = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 """The longest answer that is read: a page holds about one MB, or one value of that size. A host has
 some hundred MB, and takes several times the length of an answer to decode it."""
-MOST_PAGES = 10_000
-MOST_DOCUMENTS = 40_000
+MAX_PAGES = 10_000
+UNREADABLE_CUTOFF = 40_000
 """Documents of one read beyond which unreadable ones are left out and then taken for absent: all
 the keys of a store that somebody has filled would not fit into a host's memory."""
-EVERYTHING = ""
+ALL_KEYS = ""
 """The prefix of all keys: one watch tells of operators' and endpoints' writes alike, and each watch
 that waits is paid for."""
 
@@ -41,7 +41,7 @@
 """Stands for a value that isn't in its form: no document is empty."""
 
 
-class Item(msgspec.Struct):
+class StoreItem(msgspec.Struct):
     """One key of the store, as far as it is needed."""
 
     key: str
@@ -50,7 +50,7 @@
     tombstone: bool = False
 
 
-class Answer(msgspec.Struct):
+class StoreResponse(msgspec.Struct):
     """What the store answers to a read."""
 
     at: int
@@ -80,36 +80,36 @@
         are read at once: a host far from the store is ready only with them, and each call takes
         a trip of 160 ms.
         """
-        parts = await asyncio.gather(*(self._read_prefix(prefix) for prefix in PREFIXES))
-        documents = tuple(document for part in parts for document in part.documents)
-        return Snapshot(min(part.revision for part in parts), documents, True)
+        snapshots = await asyncio.gather(*(self._read_prefix(prefix) for prefix in PREFIXES))
+        documents = tuple(document for snapshot in snapshots for document in snapshot.documents)
+        return Snapshot(min(snapshot.revision for snapshot in snapshots), documents, True)
 
     async def watch(self, after: int, wait_s: float) -> Snapshot:
         """Give what changed after a revision; raise PlatformError."""
         wait_ms = int(wait_s * 1000)
-        query = {"prefix": EVERYTHING, "after": str(after), "waitMs": str(wait_ms)}
+        query = {"prefix": ALL_KEYS, "after": str(after), "waitMs": str(wait_ms)}
         try:
-            answer = await self._call("/kv-watch", query, wait_s)
+            response = await self._call("/kv-watch", query, wait_s)
         except ResponseTooLargeError as error:
             # Somebody writes faster than is read. Pages of all keys are bounded, and show the same.
             raise HistoryGoneError("/kv-watch: too many changes") from error
-        return Snapshot(max(after, answer.at), _decode_items(answer.events), False)
+        return Snapshot(max(after, response.at), _decode_items(response.events), False)
 
     async def _read_prefix(self, prefix: str) -> Snapshot:
         documents: list[Document] = []
         revisions: list[int] = []
         after = ""
-        for _ in range(MOST_PAGES):
-            answer = await self._call("/kv-range", {"prefix": prefix, "after": after}, 0.0)
-            revisions.append(answer.at)
-            page = _decode_items(answer.items)
-            documents += _keep_some(page, len(documents))
-            if not answer.has_more or not page:
+        for _ in range(MAX_PAGES):
+            response = await self._call("/kv-range", {"prefix": prefix, "after": after}, 0.0)
+            revisions.append(response.at)
+            page = _decode_items(response.items)
+            documents += _limit_unreadable(page, len(documents))
+            if not response.has_more or not page:
                 break
             after = page[-1].key
         return Snapshot(min(revisions), tuple(documents), True)
 
-    async def _call(self, path: str, query: dict[str, str], wait_s: float) -> Answer:
+    async def _call(self, path: str, query: dict[str, str], wait_s: float) -> StoreResponse:
         fields = {name: value for name, value in query.items() if value or name == "prefix"}
         target = f"{path}?{urlencode(fields, safe='/')}"
         headers = [(b"Host", self._address.encode())]
@@ -120,8 +120,8 @@
                 self._address,
                 request,
                 b"",
-                timeout_s=wait_s + ANSWER_S,
-                limit=ANSWER_LIMIT,
+                timeout_s=wait_s + RESPONSE_TIMEOUT_S,
+                limit=MAX_RESPONSE_BYTES,
             )
         except ResponseTooLargeError:
             raise
@@ -134,18 +134,18 @@
         if head.status != 200:
             raise PlatformError(f"{path}: status {head.status}")
         try:
-            return msgspec.json.decode(body, type=Answer)
+            return msgspec.json.decode(body, type=StoreResponse)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
             raise PlatformError(f"{path}: an answer that can't be read") from error
 
 
-def _keep_some(page: tuple[Document, ...], read: int) -> list[Document]:
+def _limit_unreadable(page: tuple[Document, ...], read: int) -> list[Document]:
     """Give the documents of a page that are kept: unreadable ones without their bytes, or not."""
     kept = []
     for document in page:
         if not is_unreadable(document):
             kept.append(document)
-        elif read + len(kept) < MOST_DOCUMENTS:
+        elif read + len(kept) < UNREADABLE_CUTOFF:
             kept.append(document._replace(value=UNREADABLE))
     return kept
 
@@ -158,7 +158,7 @@
 
 def _decode_item(fields: object) -> Document | None:
     try:
-        item = msgspec.convert(fields, Item)
+        item = msgspec.convert(fields, StoreItem)
     except msgspec.ValidationError as error:
         log.error("an item of the store has no key or revision", extra={"why": str(error)[:200]})
         return None
--- a/cloverway/sources/codec.py
+++ b/cloverway/sources/codec.py
@@ -8,7 +8,7 @@
 
 from cloverway.config.published import is_revision
 from cloverway.errors import PlatformError
-from cloverway.sources.port import Changes, Document, HostList, Listed
+from cloverway.sources.port import Changes, Document, Listed, MemberStates
 
 
 def decode_changes(data: bytes, after: int) -> Changes:
@@ -17,14 +17,14 @@
     documents = body.get("documents")
     if not isinstance(documents, list):
         raise PlatformError("the documents are not a list")
-    revision = _parse_revision(body.get("revision"), least=0)
+    revision = _parse_revision(body.get("revision"), minimum=0)
     return Changes(revision, after, tuple(_parse_document(item) for item in documents))
 
 
-def decode_list(data: bytes) -> HostList:
+def decode_member_states(data: bytes) -> MemberStates:
     """Read the list of hosts and endpoints; raises PlatformError for any other form."""
     body = _decode(data)
-    return HostList(_parse_states(body.get("hosts")), _parse_states(body.get("endpoints")))
+    return MemberStates(_parse_states(body.get("hosts")), _parse_states(body.get("endpoints")))
 
 
 def _decode(data: bytes) -> Mapping[str, Any]:
@@ -43,11 +43,11 @@
     value = item.get("value")
     if not isinstance(value, dict | None):
         raise PlatformError(f"the value of {item['key'][:80]!r} is not a table")
-    return Document(item["key"], _parse_revision(item.get("revision"), least=1), value)
+    return Document(item["key"], _parse_revision(item.get("revision"), minimum=1), value)
 
 
-def _parse_revision(value: Any, least: int) -> int:
-    if isinstance(value, int) and (is_revision(value) or (value == 0 and least == 0)):
+def _parse_revision(value: Any, minimum: int) -> int:
+    if isinstance(value, int) and (is_revision(value) or (value == 0 and minimum == 0)):
         return int(value)
     raise PlatformError(f"{str(value)[:80]!r} is not a revision")
 
--- a/cloverway/sources/file.py
+++ b/cloverway/sources/file.py
@@ -7,26 +7,32 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from cloverway.config.directory import Collected, collect, list_documents, list_files, read_files
-from cloverway.config.documents import Entry
+from cloverway.config.directory import (
+    MergedFiles,
+    list_documents,
+    list_files,
+    merge_files,
+    read_files,
+)
+from cloverway.config.documents import DocumentEntry
 from cloverway.config.findings import Findings
 from cloverway.config.published import is_revision
 from cloverway.config.settings import PlatformSettings
 from cloverway.errors import PlatformError
-from cloverway.sources.port import Changes, Document, HostList
+from cloverway.sources.port import Changes, Document, MemberStates
 
-UNSETTLED_S = 2.0
+CONTENT_CHECK_S = 2.0
 """For so long after a change, contents are compared as well: two writes within one tick of the
 file system's clock can leave the same time and size."""
 
-STAY_PART = 0.9
+MIN_STABLE_FRACTION = 0.9
 """Part of the time between two looks for which a content has to stay before it counts."""
 
-MOST_NAMED = 10
+MAX_LISTED_KEYS = 10
 """Names that a refusal lists."""
 
 
-class Mark(NamedTuple):
+class FileStamp(NamedTuple):
     """What tells that a file was changed without reading it."""
 
     modified_ns: int
@@ -35,7 +41,7 @@
     size: int
 
     @classmethod
-    def from_file(cls, file: Path) -> Mark:
+    def from_file(cls, file: Path) -> FileStamp:
         """Read the mark of the file that a name leads to now, through links."""
         stat = file.stat()
         return cls(stat.st_mtime_ns, stat.st_ctime_ns, stat.st_ino, stat.st_size)
@@ -60,14 +66,14 @@
         self._poll_s = poll_s
         self._clock = clock
         self._sleep = sleep
-        self._marks: dict[Path, Mark] | None = None
+        self._stamps: dict[Path, FileStamp] | None = None
         self._contents: dict[Path, bytes] | None = None
-        self._judged: dict[Path, bytes] | None = None
-        self._changed_at = float("-inf")
-        self._found_at = float("-inf")
-        self._entries: dict[str, Entry] = {}
+        self._checked_contents: dict[Path, bytes] | None = None
+        self._stamps_changed_at = float("-inf")
+        self._contents_changed_at = float("-inf")
+        self._entries: dict[str, DocumentEntry] = {}
         self._revision = 0
-        self._fault = "the directory has not been read yet"
+        self._error = "the directory has not been read yet"
 
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> FilePlatform:
@@ -76,88 +82,97 @@
 
     def read(self, after: int, wait_s: float) -> Changes:
         """Give the documents after a revision; see `Platform`."""
-        until = self._clock() + wait_s
+        deadline = self._clock() + wait_s
         while True:
-            self._look(self._clock())
+            self._poll(self._clock())
             if self._revision and (self._revision > after or after == 0):
-                return self._give_whole()
-            left = until - self._clock()
-            if left <= 0:
+                return self._make_snapshot()
+            remaining_s = deadline - self._clock()
+            if remaining_s <= 0:
                 break
-            self._sleep(min(self._poll_s, left))
-        if self._fault:
-            raise PlatformError(self._fault)
+            self._sleep(min(self._poll_s, remaining_s))
+        if self._error:
+            raise PlatformError(self._error)
         return Changes(self._revision, after)
 
-    def list_states(self) -> HostList:
+    def get_member_states(self) -> MemberStates:
         """Give an empty list: a directory does not know who is live."""
-        return HostList()
+        return MemberStates()
 
-    def _give_whole(self) -> Changes:
+    def _make_snapshot(self) -> Changes:
         documents = tuple(entry.as_document(key) for key, entry in self._entries.items())
         return Changes(self._revision, 0, documents)
 
-    def _look(self, now: float) -> None:
+    def _poll(self, now: float) -> None:
         """Read the directory if it may have changed, and judge what stands there for long."""
         try:
-            marks = {file: Mark.from_file(file) for file in list_files(self._directory)}
+            stamps = {file: FileStamp.from_file(file) for file in list_files(self._directory)}
         except OSError:
             return
-        if marks != self._marks:
-            self._changed_at = now
-            self._marks = marks
-        elif now - self._changed_at > UNSETTLED_S and self._contents == self._judged:
+        if stamps != self._stamps:
+            self._stamps_changed_at = now
+            self._stamps = stamps
+        elif (
+            now - self._stamps_changed_at > CONTENT_CHECK_S
+            and self._contents == self._checked_contents
+        ):
             return
         findings = Findings()
         contents = read_files(self._directory, findings)
         if contents != self._contents:
             self._contents = contents
-            self._found_at = now
-        settled = now - self._found_at >= STAY_PART * self._poll_s
-        if settled and contents != self._judged:
-            self._judged = contents
-            self._judge(contents, findings)
-
-    def _judge(self, contents: Mapping[Path, bytes], findings: Findings) -> None:
-        collected = collect(contents, findings)
+            self._contents_changed_at = now
+        is_stable = now - self._contents_changed_at >= MIN_STABLE_FRACTION * self._poll_s
+        if is_stable and contents != self._checked_contents:
+            self._checked_contents = contents
+            self._check(contents, findings)
+
+    def _check(self, contents: Mapping[Path, bytes], findings: Findings) -> None:
+        merged = merge_files(contents, findings)
         findings.source = str(self._directory)
-        findings.origins = collected.origins
-        revision = collected.tables.get("revision")
+        findings.origins = merged.origins
+        revision = merged.tables.get("revision")
         if not is_revision(revision):
             findings.add("revision", "must be a whole number over 0, in one file")
         if not findings.errors:
             assert isinstance(revision, int)
-            self._take(collected, revision, findings)
-        self._fault = "\n".join(findings.errors)
+            self._accept(merged, revision, findings)
+        self._error = "\n".join(findings.errors)
 
-    def _take(self, collected: Collected, revision: int, findings: Findings) -> None:
+    def _accept(self, merged: MergedFiles, revision: int, findings: Findings) -> None:
         """Hold a content as the last good one, unless its revision does not allow it."""
-        held = self._entries
+        accepted = self._entries
         entries = {
-            key: Entry.from_document(Document(key, revision, value))
-            for key, value in list_documents(collected.tables)
+            key: DocumentEntry.from_document(Document(key, revision, value))
+            for key, value in list_documents(merged.tables)
         }
         for key, entry in entries.items():
-            if entry.fault:
-                findings.add(key.replace("/", ".", 1), entry.fault)
-        changed = {key for key in entries.keys() | held.keys() if _differ(key, entries, held)}
+            if entry.error:
+                findings.add(key.replace("/", ".", 1), entry.error)
+        changed = {
+            key for key in entries.keys() | accepted.keys() if _has_changed(key, entries, accepted)
+        }
         if revision < self._revision:
-            what = f"went back from {self._revision} to {revision}; raise it over {self._revision}"
-            findings.add("revision", what)
+            message = (
+                f"went back from {self._revision} to {revision}; raise it over {self._revision}"
+            )
+            findings.add("revision", message)
         elif revision == self._revision and changed:
-            names = ", ".join(sorted(changed)[:MOST_NAMED])
+            names = ", ".join(sorted(changed)[:MAX_LISTED_KEYS])
             findings.add("revision", f"is still {revision} but {names} changed; raise it")
         if findings.errors or revision == self._revision:
             return
         # Who skips a revision can't tell what it changed and changed back, while other hosts may
         # have seen it. All documents then count as new: none is older here than it is there.
         if revision == self._revision + 1:
-            entries |= {key: held[key] for key in entries if key not in changed}
+            entries |= {key: accepted[key] for key in entries if key not in changed}
         self._entries = entries
         self._revision = revision
 
 
-def _differ(key: str, entries: Mapping[str, Entry], held: Mapping[str, Entry]) -> bool:
-    if key not in entries or key not in held:
+def _has_changed(
+    key: str, entries: Mapping[str, DocumentEntry], accepted: Mapping[str, DocumentEntry]
+) -> bool:
+    if key not in entries or key not in accepted:
         return True
-    return entries[key].text != held[key].text
+    return entries[key].text != accepted[key].text
--- a/cloverway/sources/port.py
+++ b/cloverway/sources/port.py
@@ -32,7 +32,7 @@
     """Digest of all documents at `revision`, where the source tells it."""
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether these are all documents."""
         return self.after == 0
 
@@ -44,7 +44,7 @@
     LEAVING = "leaving"
 
 
-class HostList(NamedTuple):
+class MemberStates(NamedTuple):
     """The platform's list of live and leaving members, which lags behind the truth."""
 
     hosts: Mapping[str, Listed] = {}
@@ -62,6 +62,6 @@
         """
         ...
 
-    def list_states(self) -> HostList:
+    def get_member_states(self) -> MemberStates:
         """Give the list of live and leaving hosts and endpoints."""
         ...
--- a/cloverway/sources/rate_limiter.py
+++ b/cloverway/sources/rate_limiter.py
@@ -4,16 +4,16 @@
 
 import random
 
-LONGEST_DELAY_S = 2.0
+MAX_DELAY_S = 2.0
 """Bound on a delay, so that a change is known soon after an outage has ended."""
 
-LONGEST_RETRY_AFTER_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 """Bound on a delay that the service asks for."""
 
-LEAST_JITTER = 0.5
+MIN_JITTER = 0.5
 
 
-class Pace:
+class RateLimiter:
     """Decide when the next call may start; times are monotonic seconds.
 
     After a success calls are at least an interval apart. After each failure in a row the delay
@@ -26,19 +26,19 @@
         self._failures = 0
         self._next_at = float("-inf")
 
-    def delay(self, now: float) -> float:
+    def get_delay(self, now: float) -> float:
         """Give the seconds until a call may start."""
         return max(0.0, self._next_at - now)
 
-    def note_success(self, started_at: float) -> None:
+    def record_success(self, started_at: float) -> None:
         """Note that the call that started then was answered."""
         self._failures = 0
         self._next_at = started_at + self._interval_s
 
-    def note_failure(self, now: float, retry_after_s: float = 0.0) -> None:
+    def record_failure(self, now: float, retry_after_s: float = 0.0) -> None:
         """Note that a call failed, and when the service wants the next one."""
         self._failures += 1
-        doubled = self._interval_s * 2 ** min(self._failures, 16)
-        jitter = LEAST_JITTER + (1 - LEAST_JITTER) * self._rng.random()
-        asked = min(retry_after_s, LONGEST_RETRY_AFTER_S)
-        self._next_at = now + max(min(doubled, LONGEST_DELAY_S) * jitter, asked * (1 + jitter))
+        backoff_s = self._interval_s * 2 ** min(self._failures, 16)
+        jitter = MIN_JITTER + (1 - MIN_JITTER) * self._rng.random()
+        requested_s = min(retry_after_s, MAX_RETRY_AFTER_S)
+        self._next_at = now + max(min(backoff_s, MAX_DELAY_S) * jitter, requested_s * (1 + jitter))
--- a/cloverway/tests/bench_change.py
+++ b/cloverway/tests/bench_change.py
@@ -17,20 +17,20 @@
 from cloverway.tests.standins.topology import Topology
 
 CHANGES = 30
-LONGEST_S = 10.0
-LOOK_S = 0.005
+TIMEOUT_S = 10.0
+POLL_S = 0.005
 
 
-def wait_in_force(
+def wait_for_revision(
     fleet: Fleet, http: urllib3.PoolManager, hosts: list[str], revision: int
 ) -> float:
     """Give the seconds until every host has a revision in force."""
-    begin, pause = time.monotonic(), threading.Event()
-    left = set(hosts)
-    while left:
-        assert time.monotonic() < begin + LONGEST_S, f"{left} never got revision {revision}"
-        left = {host for host in left if read_revision(fleet, http, host) < revision}
-        pause.wait(LOOK_S)
+    begin, timer = time.monotonic(), threading.Event()
+    remaining = set(hosts)
+    while remaining:
+        assert time.monotonic() < begin + TIMEOUT_S, f"{remaining} never got revision {revision}"
+        remaining = {host for host in remaining if read_revision(fleet, http, host) < revision}
+        timer.wait(POLL_S)
     return time.monotonic() - begin
 
 
@@ -44,7 +44,7 @@
     times = []
     for number in range(CHANGES):
         revision = fleet.publish({"objective": {"cost": 1.0 + number}})
-        times.append(wait_in_force(fleet, http, hosts, revision))
+        times.append(wait_for_revision(fleet, http, hosts, revision))
     return sorted(times)
 
 
--- a/cloverway/tests/bench_configuration.py
+++ b/cloverway/tests/bench_configuration.py
@@ -62,12 +62,12 @@
     return json.dumps([document._asdict() for document in changes.documents], separators=(",", ":"))
 
 
-def time_us(act: Callable[[int], Any], rounds: int = ROUNDS) -> float:
+def time_us(call: Callable[[int], Any], rounds: int = ROUNDS) -> float:
     """Give the median time of one call in microseconds of processor time."""
     times = []
     for i in range(rounds):
         started = time.process_time_ns()
-        act(i)
+        call(i)
         times.append((time.process_time_ns() - started) / 1000)
     return statistics.median(times)
 
@@ -78,24 +78,24 @@
     gc.collect()
     tracemalloc.start()
     store = ConfigurationStore()
-    store.offer(Changes(last, 0, tuple(documents)), Source.PEER, 0.0)
+    store.apply(Changes(last, 0, tuple(documents)), Source.PEER, 0.0)
     del documents
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    wholes = Changes(last, 0, tuple(make_documents(teams)))
-    whole_us = time_us(lambda _: ConfigurationStore().offer(wholes, Source.PEER, 0.0), rounds=3)
-    store.settle()
+    snapshot = Changes(last, 0, tuple(make_documents(teams)))
+    whole_us = time_us(lambda _: ConfigurationStore().apply(snapshot, Source.PEER, 0.0), rounds=3)
+    store.start_serving()
 
     def change(i: int) -> None:
         revision = store.revision + 1
         document = Document(f"teams/t{i % teams}", revision, make_team(i % teams, 1 + i / 1000))
-        store.offer(Changes(revision, revision - 1, (document,)), Source.PEER, 0.0)
+        store.apply(Changes(revision, revision - 1, (document,)), Source.PEER, 0.0)
 
     def put_profile(i: int, value: dict[str, Any] | None) -> None:
         revision = store.revision + 1
         document = Document(f"profiles/spare{i}", revision, value)
-        store.offer(Changes(revision, revision - 1, (document,)), Source.PEER, 0.0)
+        store.apply(Changes(revision, revision - 1, (document,)), Source.PEER, 0.0)
 
     change_us = time_us(change)
     assert store.revision == last + ROUNDS, "a change was refused"
@@ -103,13 +103,13 @@
     for i in range(ROUNDS):
         put_profile(i, {"model": "m1"})
     return {
-        "documents": len(wholes.documents),
+        "documents": len(snapshot.documents),
         "one change, us": change_us,
         "deletion of a profile, us": time_us(lambda i: put_profile(i, None)),
         "delta for a peer, us": time_us(lambda _: store.changes_after(store.revision - 1)),
         "delta, bytes": len(encode(delta)),
         "whole, ms": whole_us / 1000,
-        "whole, bytes": len(encode(wholes)),
+        "whole, bytes": len(encode(snapshot)),
         "memory, MB": held / 1e6,
     }
 
--- a/cloverway/tests/test_configuration_machine.py
+++ b/cloverway/tests/test_configuration_machine.py
@@ -15,10 +15,10 @@
 
 STORES = 3
 REGIONS = ("curepipe", "port-louis", "rodrigues")
-PLACES = ("curepipe", "port-louis", "rodrigues", "curepipe", "port-louis", "nowhere")
+DOMAIN_REGIONS = ("curepipe", "port-louis", "rodrigues", "curepipe", "port-louis", "nowhere")
 DELETED = ("domains/b", "regions/rodrigues", "teams/p", "teams/q")
-index = st.integers(0, STORES - 1)
-hearers = st.sets(index)
+store_index = st.integers(0, STORES - 1)
+readers = st.sets(store_index)
 
 
 class FakePlatform:
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.log: list[Document] = []
         self.served: int | None = None
-        self.sets: dict[tuple[int, str], bool] = {}
+        self.published_sets: dict[tuple[int, str], bool] = {}
         """Every set that was ever published, and whether it is valid."""
 
     @property
@@ -36,7 +36,7 @@
 
     def publish(self, key: str, value: dict[str, Any] | None) -> None:
         self.log.append(Document(key, self.revision + 1, value))
-        self._note()
+        self._record_set()
 
     def restore(self, revision: int) -> None:
         self.log = self.log[:revision]
@@ -46,7 +46,7 @@
         last = {document.key: document for document in self.log[:served]}
         return Changes(served, after, tuple(d for d in last.values() if d.revision > after))
 
-    def nest(self) -> dict[str, Any]:
+    def make_tables(self) -> dict[str, Any]:
         tables: dict[str, Any] = {"revision": self.revision}
         for document in self.answer(0).documents:
             table, _, name = document.key.partition("/")
@@ -56,34 +56,34 @@
                 tables[table] = document.value
         return tables
 
-    def _note(self) -> None:
+    def _record_set(self) -> None:
         served, self.served = self.served, None
         store = ConfigurationStore()
-        store.offer(self.answer(0), Source.PLATFORM, 0.0)
+        store.apply(self.answer(0), Source.PLATFORM, 0.0)
         try:
-            Published.from_documents(self.nest())
+            Published.from_documents(self.make_tables())
             valid = True
         except ConfigurationError:
             valid = False
         # The store checks what changed, the loader checks all: both must come to one verdict.
         assert (store.revision == self.revision) == valid
-        self.sets[self.revision, digest_of(self.answer(0))] = valid
+        self.published_sets[self.revision, digest_of(self.answer(0))] = valid
         self.served = served
 
 
 def digest_of(changes: Changes) -> str:
     store = ConfigurationStore()
     live = {d.key: d._replace(revision=1) for d in changes.documents if d.value is not None}
-    store._held.documents.put(
-        {key: store_entry(document) for key, document in live.items()}, changes.revision
+    store._revisions.documents.apply(
+        {key: make_entry(document) for key, document in live.items()}, changes.revision
     )
     return store.digest
 
 
-def store_entry(document: Document) -> Any:
-    from cloverway.config.documents import Entry  # noqa: PLC0415
+def make_entry(document: Document) -> Any:
+    from cloverway.config.documents import DocumentEntry  # noqa: PLC0415
 
-    return Entry.from_document(document)
+    return DocumentEntry.from_document(document)
 
 
 class Stores(RuleBasedStateMachine):
@@ -101,35 +101,35 @@
         self.network: list[Changes] = []
         for i in range(STORES):
             self.read_platform(i)
-            self.stores[i].settle()
+            self.stores[i].start_serving()
 
     # The operators. Most of what they publish is valid, so that runs get far.
 
-    @rule(name=st.sampled_from(REGIONS), then=st.integers(0, 2), hearers=hearers)
-    def publish_region(self, name: str, then: int, hearers: set[int]) -> None:
+    @rule(name=st.sampled_from(REGIONS), then=st.integers(0, 2), readers=readers)
+    def publish_region(self, name: str, then: int, readers: set[int]) -> None:
         for _ in range(then + 1):
             self.nonce += 1
             self.platform.publish(f"regions/{name}", {"title": str(self.nonce)})
-        self.tell(hearers)
+        self.read_at_stores(readers)
 
-    @rule(name=st.sampled_from("ab"), region=st.sampled_from(PLACES), hearers=hearers)
-    def publish_domain(self, name: str, region: str, hearers: set[int]) -> None:
+    @rule(name=st.sampled_from("ab"), region=st.sampled_from(DOMAIN_REGIONS), readers=readers)
+    def publish_domain(self, name: str, region: str, readers: set[int]) -> None:
         self.platform.publish(f"domains/{name}", {"region": region})
-        self.tell(hearers)
+        self.read_at_stores(readers)
 
-    @rule(name=st.sampled_from("pq"), key=st.sampled_from("12"), hearers=hearers)
-    def publish_team(self, name: str, key: str, hearers: set[int]) -> None:
+    @rule(name=st.sampled_from("pq"), key=st.sampled_from("12"), readers=readers)
+    def publish_team(self, name: str, key: str, readers: set[int]) -> None:
         key_hashes = ["sha256:" + key * 64]
         self.platform.publish(f"teams/{name}", {"home": "port-louis", "key_hashes": key_hashes})
-        self.tell(hearers)
+        self.read_at_stores(readers)
 
-    @rule(key=st.sampled_from(DELETED), hearers=hearers)
-    def delete(self, key: str, hearers: set[int]) -> None:
+    @rule(key=st.sampled_from(DELETED), readers=readers)
+    def delete(self, key: str, readers: set[int]) -> None:
         self.platform.publish(key, None)
-        self.tell(hearers)
+        self.read_at_stores(readers)
 
-    def tell(self, hearers: set[int]) -> None:
-        for i in hearers:
+    def read_at_stores(self, readers: set[int]) -> None:
+        for i in readers:
             self.read_platform(i)
 
     @rule(back=st.integers(0, 4))
@@ -140,58 +140,58 @@
     def thaw(self) -> None:
         self.platform.served = None
 
-    @rule(back=st.integers(1, 4), then=st.integers(0, 5), seen_by=hearers, hearers=hearers)
-    def restore(self, back: int, then: int, seen_by: set[int], hearers: set[int]) -> None:
+    @rule(back=st.integers(1, 4), then=st.integers(0, 5), seen_by=readers, readers=readers)
+    def restore(self, back: int, then: int, seen_by: set[int], readers: set[int]) -> None:
         """The platform is out of reach and comes back with older data; some hosts see it so."""
         self.now += 11
         self.answers = [None] * STORES
         self.platform.restore(max(3, self.platform.revision - back))
-        self.tell(seen_by)
+        self.read_at_stores(seen_by)
         if then:
-            self.publish_region("port-louis", then, hearers)
+            self.publish_region("port-louis", then, readers)
 
     # The stores.
 
     def read_platform(self, i: int) -> None:
-        self.ask_platform(i)
-        self.hear_platform(i)
+        self.request_from_platform(i)
+        self.receive_from_platform(i)
 
-    @rule(i=index)
-    def ask_platform(self, i: int) -> None:
+    @rule(i=store_index)
+    def request_from_platform(self, i: int) -> None:
         self.answers[i] = self.platform.answer(self.stores[i].read_after)
 
-    @rule(i=index)
-    def hear_platform(self, i: int) -> None:
+    @rule(i=store_index)
+    def receive_from_platform(self, i: int) -> None:
         answer, self.answers[i] = self.answers[i], None
         if answer is not None:
-            self.stores[i].offer(answer, Source.PLATFORM, self.now)
+            self.stores[i].apply(answer, Source.PLATFORM, self.now)
 
-    @rule(i=index, j=index)
-    def gossip(self, i: int, j: int) -> None:
-        after = self.stores[i].ask_peer_after(self.stores[j].served_revision)
+    @rule(i=store_index, j=store_index)
+    def fetch_from_peer(self, i: int, j: int) -> None:
+        after = self.stores[i].fetch_after(self.stores[j].served_revision)
         if i != j and after is not None:
             changes = self.stores[j].changes_after(after)
             self.network.append(changes)
-            self.stores[i].offer(changes, Source.PEER, self.now)
+            self.stores[i].apply(changes, Source.PEER, self.now)
 
     @precondition(lambda self: self.network)
-    @rule(which=st.integers(0, 99), i=index)
-    def deliver_again(self, which: int, i: int) -> None:
+    @rule(which=st.integers(0, 99), i=store_index)
+    def deliver_late(self, which: int, i: int) -> None:
         """Deltas come late, twice, in another order, and to others than asked for them."""
         changes = self.network.pop(which % len(self.network))
-        self.stores[i].offer(changes, Source.PEER, self.now)
+        self.stores[i].apply(changes, Source.PEER, self.now)
 
-    @rule(i=index)
+    @rule(i=store_index)
     def restart(self, i: int) -> None:
         self.stores[i], self.highest[i], self.answers[i] = ConfigurationStore(), 0, None
 
-    @rule(i=index)
-    def settle(self, i: int) -> None:
+    @rule(i=store_index)
+    def start_serving(self, i: int) -> None:
         if self.stores[i].revision:
-            self.stores[i].settle()
+            self.stores[i].start_serving()
 
     @rule(seconds=st.sampled_from((1, 5, 11)))
-    def wait(self, seconds: int) -> None:
+    def advance_time(self, seconds: int) -> None:
         self.now += seconds
 
     @invariant()
@@ -205,7 +205,7 @@
     def only_valid_sets_are_in_force(self) -> None:
         for store in self.stores:
             if store.revision:
-                assert self.platform.sets[store.revision, store.digest]
+                assert self.platform.published_sets[store.revision, store.digest]
 
     def teardown(self) -> None:
         """Mend the platform as the operator's page says, and see that all stores follow."""
@@ -225,11 +225,11 @@
         for _ in range(4):
             self.now += 1
             for i in range(STORES):
-                self.ask_platform(i)
-                self.hear_platform(i)
-                self.settle(i)
-        wanted = (self.platform.revision, digest_of(self.platform.answer(0)))
-        assert all((store.revision, store.digest) == wanted for store in self.stores)
+                self.request_from_platform(i)
+                self.receive_from_platform(i)
+                self.start_serving(i)
+        expected = (self.platform.revision, digest_of(self.platform.answer(0)))
+        assert all((store.revision, store.digest) == expected for store in self.stores)
         assert not any(store.platform_stale for store in self.stores)
 
 
@@ -246,4 +246,4 @@
 def test_gap_is_not_applied() -> None:
     store = ConfigurationStore()
     later = Changes(9, 8, (Document("regions/rodrigues", 9, {}),))
-    assert store.offer(later, Source.PEER, 0.0) == Gap(0, 8)
+    assert store.apply(later, Source.PEER, 0.0) == Gap(0, 8)
--- a/cloverway/tests/test_configuration_reference.py
+++ b/cloverway/tests/test_configuration_reference.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cloverway.config.schema import SINGLES, TABLES
+from cloverway.config.schema import SINGLETONS, TABLES
 from cloverway.config.settings import Settings
 
 PAGE = Path(__file__).parents[2] / "docs" / "operator-guide" / "configuration-reference.md"
@@ -20,7 +20,7 @@
     """Give the NamedTuple of each section of the page by its heading."""
     hints = get_type_hints(Settings)
     parts = {name: hint for name, hint in hints.items() if hasattr(hint, "_fields")}
-    published = SINGLES | {f"{table}.NAME": model for table, model in TABLES.items()}
+    published = SINGLETONS | {f"{table}.NAME": model for table, model in TABLES.items()}
     return {"Top level": without(Settings, set(parts))} | parts | published
 
 
--- a/cloverway/tests/test_control.py
+++ b/cloverway/tests/test_control.py
@@ -13,7 +13,7 @@
 from cloverway.errors import PeerError, PlatformError
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.sources.port import Changes, Document, HostList, Listed
+from cloverway.sources.port import Changes, Document, Listed, MemberStates
 from cloverway.tests.standins.service import Service
 from cloverway.tests.standins.waiting import wait_until
 
@@ -29,7 +29,7 @@
         self.documents: dict[str, Document] = {}
         self.revision = 0
         self.down = threading.Event()
-        self.states = HostList()
+        self.states = MemberStates()
         self.reads = 0
 
     def publish(self, values):
@@ -47,7 +47,7 @@
         found = tuple(doc for doc in self.documents.values() if doc.revision > after)
         return Changes(self.revision, after, found)
 
-    def list_states(self):
+    def get_member_states(self):
         if self.down.is_set():
             raise PlatformError("the platform is down")
         return self.states
@@ -272,9 +272,9 @@
     start_three(cluster)
     wait_until(lambda: all(cluster.view(name).endpoints["a-s1"].ready for name in cluster.loops))
     wait_until(lambda: any(loop.gossip.readings._list_said for loop in cluster.loops.values()))
-    cluster.platform.states = HostList(endpoints={"a-s1": Listed.LEAVING})
+    cluster.platform.states = MemberStates(endpoints={"a-s1": Listed.LEAVING})
     wait_until(lambda: all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops))
-    cluster.platform.states = HostList(endpoints={"a-s1": Listed.LIVE})
+    cluster.platform.states = MemberStates(endpoints={"a-s1": Listed.LIVE})
     reads = cluster.platform.reads
     wait_until(lambda: cluster.platform.reads > reads + 6)
     assert all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops)
--- a/cloverway/tests/test_file_platform.py
+++ b/cloverway/tests/test_file_platform.py
@@ -45,9 +45,9 @@
 def test_reads_all_files_as_documents(tmp_path: Path, platform: FilePlatform) -> None:
     (tmp_path / "teams.toml").write_text('[teams.a]\nhome = "curepipe"\n')
     changes = platform.read(0, 2.0)
-    assert changes.whole and changes.revision == 5
+    assert changes.complete and changes.revision == 5
     assert {d.key for d in changes.documents} == {"organisation", "regions/curepipe", "teams/a"}
-    assert isinstance(ConfigurationStore().offer(changes, Source.PLATFORM, 0.0), Accepted)
+    assert isinstance(ConfigurationStore().apply(changes, Source.PLATFORM, 0.0), Accepted)
 
 
 def test_change_is_seen_while_waiting(tmp_path: Path, platform: FilePlatform, clock: Clock) -> None:
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverway.core.lookup import MIN_LOOKUP_AGE_S
-from cloverway.platform.store import Answer
+from cloverway.platform.store import StoreResponse
 from cloverway.serving.clock import read_clock
 from cloverway.serving.documents.catalogue import MAX_FOLLOWER_AGE_S
 from cloverway.serving.http.client import ClientExchange, fetch, make_request
@@ -342,7 +342,7 @@
                 if len(requested_prefixes) == 2:
                     both_requested.set()
                 await asyncio.wait_for(both_requested.wait(), 1.0)
-                return Answer(at=7)
+                return StoreResponse(at=7)
 
             store = fleet.hosts[0].catalogue._store
             fleet.hosts[0].catalogue._store = None
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -12,10 +12,10 @@
 
 from cloverway.errors import PlatformError
 from cloverway.sources import http
-from cloverway.sources.codec import decode_changes, decode_list
+from cloverway.sources.codec import decode_changes, decode_member_states
 from cloverway.sources.http import HttpPlatform
 from cloverway.sources.port import Changes, Document, Listed
-from cloverway.sources.rate_limiter import LONGEST_DELAY_S, Pace
+from cloverway.sources.rate_limiter import MAX_DELAY_S, RateLimiter
 from cloverway.tests.standins.platform import Platform
 
 
@@ -31,8 +31,8 @@
 
 
 def test_reads_whole_and_delta(service: Platform, platform: HttpPlatform) -> None:
-    whole = platform.read(0, 0.0)
-    assert whole.whole and whole.revision == 2 and len(whole.documents) == 2
+    snapshot = platform.read(0, 0.0)
+    assert snapshot.complete and snapshot.revision == 2 and len(snapshot.documents) == 2
     service.publish("regions/a", None)
     assert platform.read(2, 5.0) == Changes(3, 2, (Document("regions/a", 3, None),))
 
@@ -48,7 +48,7 @@
 
 def test_list_lets_an_unknown_state_get_no_work(service: Platform, platform: HttpPlatform) -> None:
     service.list_as(hosts={"a": "live", "b": "leaving"}, endpoints={"e": "rebooting"})
-    states = platform.list_states()
+    states = platform.get_member_states()
     assert states.hosts == {"a": Listed.LIVE, "b": Listed.LEAVING}
     assert states.endpoints == {"e": Listed.LEAVING}
 
@@ -57,7 +57,7 @@
     service: Platform, platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection goes silent for good; the next read goes over a new one."""
-    monkeypatch.setattr(http, "ANSWER_S", 0.1)
+    monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", 0.1)
     service.faults.silent = True
     with pytest.raises(PlatformError, match="can't be read"):
         platform.read(2, 0.0)
@@ -88,7 +88,7 @@
 
 
 def test_endless_answer_is_bounded(platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http, "WHOLE_BYTES", 50)
+    monkeypatch.setattr(http, "MAX_CONFIGURATION_BYTES", 50)
     with pytest.raises(PlatformError, match="longer than 50 bytes"):
         platform.read(0, 0.0)
 
@@ -101,7 +101,7 @@
 
 @given(st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
 def test_decode_of_anything_raises_only_platform_error(data: bytes) -> None:
-    for decode in (lambda text: decode_changes(text, 0), decode_list):
+    for decode in (lambda text: decode_changes(text, 0), decode_member_states):
         try:
             decode(data)
         except PlatformError:
@@ -131,21 +131,21 @@
     longer than a change may take."""
     delays = []
     for seed in range(216):
-        pace = Pace(0.25, random.Random(seed))
+        limiter = RateLimiter(0.25, random.Random(seed))
         for _ in range(10):
-            pace.note_failure(100.0)
-        delays.append(pace.delay(100.0))
-    assert max(delays) <= LONGEST_DELAY_S
-    assert max(delays) - min(delays) > LONGEST_DELAY_S / 3
+            limiter.record_failure(100.0)
+        delays.append(limiter.get_delay(100.0))
+    assert max(delays) <= MAX_DELAY_S
+    assert max(delays) - min(delays) > MAX_DELAY_S / 3
     assert max(sum(d <= at < d + 0.1 for d in delays) for at in (1.0, 1.5, 1.9)) < 60
 
 
 def test_pace_keeps_calls_apart_and_heeds_retry_after() -> None:
-    pace = Pace(0.25, random.Random(1))
-    assert pace.delay(10.0) == 0.0
-    pace.note_success(10.0)
-    assert pace.delay(10.1) == pytest.approx(0.15)
-    pace.note_failure(11.0, retry_after_s=5.0)
-    assert pace.delay(11.0) >= 5.0
-    pace.note_failure(11.0, retry_after_s=99_999.0)
-    assert pace.delay(11.0) <= 60.0
+    limiter = RateLimiter(0.25, random.Random(1))
+    assert limiter.get_delay(10.0) == 0.0
+    limiter.record_success(10.0)
+    assert limiter.get_delay(10.1) == pytest.approx(0.15)
+    limiter.record_failure(11.0, retry_after_s=5.0)
+    assert limiter.get_delay(11.0) >= 5.0
+    limiter.record_failure(11.0, retry_after_s=99_999.0)
+    assert limiter.get_delay(11.0) <= 60.0
--- a/cloverway/tests/test_platform_entries.py
+++ b/cloverway/tests/test_platform_entries.py
@@ -26,8 +26,8 @@
 from cloverway.core.endpoints import Directory
 from cloverway.platform import entries, store
 from cloverway.platform.documents import decode_documents
-from cloverway.platform.entries import decode_born
-from cloverway.platform.store import _decode_items, _keep_some
+from cloverway.platform.entries import decode_start_time
+from cloverway.platform.store import _decode_items, _limit_unreadable
 
 CASES = int(os.environ.get("ENTRY_CASES", "300"))
 TOPOLOGY = Topology("d1", "north", {"d1": "north", "d2": "south"})
@@ -75,7 +75,7 @@
         pytest.param(b"null", id="null"),
         pytest.param(b"[]", id="a list"),
         pytest.param(encode()[:-20], id="cut off"),
-        pytest.param(encode() + b" " * entries.MOST_ENTRY_BYTES, id="too long"),
+        pytest.param(encode() + b" " * entries.MAX_ENTRY_BYTES, id="too long"),
     ],
 )
 def test_bytes_that_are_no_entry_name_no_endpoint(value):
@@ -137,20 +137,20 @@
 
 # Beside good entries
 
-junk_json = st.recursive(
+garbage_json = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3) | st.dictionaries(st.sampled_from([*ENTRY, "born"]), inner)
     ),
     max_leaves=6,
 )
-junk_values = st.one_of(
+garbage_values = st.one_of(
     st.binary(max_size=40),
-    junk_json.map(lambda value: json.dumps(value).encode()),
+    garbage_json.map(lambda value: json.dumps(value).encode()),
     st.builds(
         lambda name, value: json.dumps(ENTRY | {name: value}).encode(),
         st.sampled_from([*ENTRY, "born", "remainingMs"]),
-        junk_json,
+        garbage_json,
     ),
     st.integers(0, len(encode()) - 1).map(lambda size: encode()[:size]),
 )
@@ -158,14 +158,14 @@
 
 
 @settings(max_examples=CASES, deadline=None)
-@given(st.lists(st.tuples(keys, junk_values), min_size=1, max_size=4), st.booleans())
-def test_good_entries_hold_beside_any_junk(junk, is_whole):
+@given(st.lists(st.tuples(keys, garbage_values), min_size=1, max_size=4), st.booleans())
+def test_good_entries_hold_beside_any_junk(garbage, is_complete):
     """Whatever is written beside it, a good entry is in force, and nothing raises."""
     table = DocumentTable(decode_documents)
     directory = Directory(TOPOLOGY)
-    documents = [Document(key, 10 + n, value) for n, (key, value) in enumerate(junk)]
-    documents.insert(len(junk) // 2, Document("servers/good", 9, encode()))
-    directory.apply(table.apply(Snapshot(20, tuple(documents), is_whole)), 0.0)
+    documents = [Document(key, 10 + n, value) for n, (key, value) in enumerate(garbage)]
+    documents.insert(len(garbage) // 2, Document("servers/good", 9, encode()))
+    directory.apply(table.apply(Snapshot(20, tuple(documents), is_complete)), 0.0)
     usable = {endpoint.entry.id for endpoint in directory.list_usable("desk", 0.0)}
     assert "good" in usable
     for name in usable - {"good"}:
@@ -182,7 +182,7 @@
     return [change.what for change in changes]
 
 
-def make_fleet():
+def make_directory():
     table, directory = DocumentTable(decode_documents), Directory(TOPOLOGY)
     assert read(table, directory, 1, "servers/e1", encode(), now=0.0) == ["endpoint_new"]
     return table, directory
@@ -193,7 +193,7 @@
 
     Taken for a removal, the endpoint was used for two more seconds, and then forgotten.
     """
-    table, directory = make_fleet()
+    table, directory = make_directory()
     endpoint = directory.endpoints["e1"]
     assert read(table, directory, 2, "servers/e1", b"{", now=1.0) == ["endpoint_unreadable"]
     assert directory.list_usable("desk", 1.0) == []
@@ -205,7 +205,7 @@
 
 
 def test_an_entry_that_was_bad_and_is_then_removed_is_gone():
-    table, directory = make_fleet()
+    table, directory = make_directory()
     read(table, directory, 2, "servers/e1", b"{", now=1.0)
     assert read(table, directory, 3, "servers/e1", None, now=2.0) == ["endpoint_missing"]
     assert [change.what for change in directory.forget_missing(5.0)] == ["endpoint_gone"]
@@ -213,7 +213,7 @@
 
 def test_a_host_that_follows_another_learns_which_entries_have_turned_bad():
     """It gets documents from a host that reads the store, and would go on using the endpoint."""
-    reader, directory = make_fleet()
+    reader, directory = make_directory()
     follower = DocumentTable(decode_documents)
     follower.apply(reader.export_since(-1))
     assert follower.digest == reader.digest
@@ -262,9 +262,9 @@
 
 def test_what_others_write_takes_a_bounded_part_of_a_hosts_memory():
     """A writer leaves more keys than a host could hold; endpoints that it knows stay in use."""
-    table, directory = make_fleet()
-    junk = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MAX_UNREADABLE))
-    directory.apply(table.apply(Snapshot(2, junk, False)), 1.0)
+    table, directory = make_directory()
+    garbage = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MAX_UNREADABLE))
+    directory.apply(table.apply(Snapshot(2, garbage, False)), 1.0)
     assert len(table._unreadable) <= MAX_UNREADABLE
     other = tuple(Document(f"else/{n}", 3, b"x") for n in range(1_000))
     assert table.apply(Snapshot(3, other, False)) == []
@@ -276,19 +276,19 @@
 
 def test_a_read_of_a_store_that_was_filled_keeps_the_good_entries(monkeypatch):
     """A writer leaves a million keys; all of them in memory, the host was killed by its machine."""
-    monkeypatch.setattr(store, "MOST_DOCUMENTS", 500)
+    monkeypatch.setattr(store, "UNREADABLE_CUTOFF", 500)
     kept = []
     for number in range(100):
-        junk = (Document(f"servers/j{number}-{n}", 2, b"x" * 1_000) for n in range(99))
+        garbage = (Document(f"servers/j{number}-{n}", 2, b"x" * 1_000) for n in range(99))
         good = Document(f"servers/z{number}", 2, encode())
-        kept += _keep_some((*junk, good), len(kept))
+        kept += _limit_unreadable((*garbage, good), len(kept))
     assert sum(document.value == encode() for document in kept) == 100
     assert len(kept) <= 500 + 100
     assert sum(len(document.value) for document in kept) < 100 * len(encode()) + 1
 
 
 @pytest.mark.parametrize(
-    ("said", "born_ms"),
+    ("body", "started_ms"),
     [
         (b'{"stage": "combined", "running": 2, "born": 1700000000000}', 1_700_000_000_000),
         (b'{"stage": "combined"}', None),
@@ -303,6 +303,6 @@
         (b"\xff\xfe", None),
     ],
 )
-def test_what_an_endpoint_says_of_its_start_is_a_whole_number_or_nothing(said, born_ms):
+def test_what_an_endpoint_says_of_its_start_is_a_whole_number_or_nothing(body, started_ms):
     """Whoever listens at an address may answer anything to the question how it is."""
-    assert decode_born(said) == born_ms
+    assert decode_start_time(body) == started_ms
--- a/cloverway/tests/test_published.py
+++ b/cloverway/tests/test_published.py
@@ -13,13 +13,13 @@
 from cloverway.config.configuration import ConfigurationStore, Rejected, Source
 from cloverway.config.directory import load, load_directory
 from cloverway.config.published import Published
-from cloverway.config.schema import SINGLES, TABLES
+from cloverway.config.schema import SINGLETONS, TABLES
 from cloverway.config.secrets import read_secret
 from cloverway.config.settings import Settings
 from cloverway.errors import ConfigurationError
 from cloverway.sources.port import Changes, Document
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "revision": 1,
     "organisation": {"name": "riviere"},
     "regions": {"curepipe": {}, "rodrigues": {}},
@@ -30,7 +30,7 @@
 
 def list_findings(**changed: Any) -> list[str]:
     with pytest.raises(ConfigurationError) as caught:
-        Published.from_documents(GOOD | changed, "here")
+        Published.from_documents(VALID | changed, "here")
     return caught.value.findings
 
 
@@ -69,7 +69,7 @@
 ) -> None:
     """`slot` is a near miss of a name of endpoints, but no name of a team comes near it."""
     team = {"home": "curepipe", "slot": 3, "profile": []}
-    Published.from_documents(GOOD | {"teams": {"t": team}}, "here")
+    Published.from_documents(VALID | {"teams": {"t": team}}, "here")
     assert caplog.messages == [
         "here: teams.t.slot: is not a known name; remove it",
         "here: teams.t.profile: is not a known name; did you mean 'profiles'?",
@@ -111,7 +111,7 @@
 
 
 SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8)
-ODD = st.recursive(
+ANY_VALUES = st.recursive(
     SCALARS,
     lambda inner: st.lists(inner, max_size=3)
     | st.dictionaries(st.text(max_size=6), inner, max_size=3),
@@ -123,13 +123,13 @@
 )
 VALUES = st.dictionaries(
     st.sampled_from(FIELDS) | st.text(max_size=4),
-    ODD | PLAUSIBLE | st.lists(PLAUSIBLE, max_size=2),
+    ANY_VALUES | PLAUSIBLE | st.lists(PLAUSIBLE, max_size=2),
     max_size=5,
 )
 NAMES = st.sampled_from(["a", "curepipe", "curepipe-a", "lookup"]) | st.text(max_size=4)
 DOCUMENTS = st.dictionaries(
-    st.sampled_from([*TABLES, *SINGLES, "revision"]) | st.text(max_size=4),
-    ODD | VALUES | st.dictionaries(NAMES, VALUES | ODD, max_size=3),
+    st.sampled_from([*TABLES, *SINGLETONS, "revision"]) | st.text(max_size=4),
+    ANY_VALUES | VALUES | st.dictionaries(NAMES, VALUES | ANY_VALUES, max_size=3),
     max_size=4,
 )
 
@@ -137,7 +137,7 @@
 def check_documents(tables: dict[str, Any]) -> None:
     """No input crashes the checks, and whatever passes them is taken by a store."""
     try:
-        published = Published.from_documents(GOOD | tables)
+        published = Published.from_documents(VALID | tables)
     except ConfigurationError as error:
         assert error.findings
         return
@@ -147,12 +147,12 @@
 def check_document(key: str, value: Any) -> None:
     store = ConfigurationStore()
     base = (Document("organisation", 1, {"name": "riviere"}), Document("regions/curepipe", 1, {}))
-    store.offer(Changes(1, 0, base), Source.PEER, 0.0)
-    result = store.offer(Changes(2, 1, (Document(key, 2, value),)), Source.PEER, 0.0)
+    store.apply(Changes(1, 0, base), Source.PEER, 0.0)
+    result = store.apply(Changes(2, 1, (Document(key, 2, value),)), Source.PEER, 0.0)
     assert store.revision == (1 if isinstance(result, Rejected) else 2)
 
 
-KEYS = st.tuples(st.sampled_from([*TABLES, *SINGLES]) | st.text(max_size=4), NAMES).map("/".join)
+KEYS = st.tuples(st.sampled_from([*TABLES, *SINGLETONS]) | st.text(max_size=4), NAMES).map("/".join)
 
 
 @settings(max_examples=300, deadline=None)
@@ -162,6 +162,6 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(KEYS | st.sampled_from([*SINGLES, "regions"]), st.none() | VALUES)
+@given(KEYS | st.sampled_from([*SINGLETONS, "regions"]), st.none() | VALUES)
 def test_any_change_is_judged_without_a_crash(key: str, value: Any) -> None:
     check_document(key, value)
--- a/cloverway/tests/test_table_checks.py
+++ b/cloverway/tests/test_table_checks.py
@@ -25,7 +25,7 @@
     wait_s: Annotated[float, Meta(ge=0, le=10)] = 1.0
 
 
-GOOD = {"name": "n", "inner": {"address": "10.0.0.1:1"}}
+VALID = {"name": "n", "inner": {"address": "10.0.0.1:1"}}
 
 
 def check(values):
@@ -34,7 +34,7 @@
 
 
 def test_a_table_that_fits_gives_its_value_with_defaults():
-    value, findings = check(GOOD | {"wait_s": 2})
+    value, findings = check(VALID | {"wait_s": 2})
     assert value == Outer("n", Inner("10.0.0.1:1"), 2.0)
     assert findings.errors == []
 
@@ -50,11 +50,11 @@
 @pytest.mark.parametrize("wait_s", [float("nan"), float("inf"), True, "1", None, [1]])
 def test_a_number_that_is_none_is_refused(wait_s):
     """TOML knows nan and inf: taken over, a host that leaves would wait for ever, or not at all."""
-    assert check(GOOD | {"wait_s": wait_s})[0] is None
+    assert check(VALID | {"wait_s": wait_s})[0] is None
 
 
 def test_an_unknown_name_is_a_warning_with_the_nearest_known_one():
-    value, findings = check(GOOD | {"wait": 1})
+    value, findings = check(VALID | {"wait": 1})
     assert value is not None
     assert "did you mean 'wait_s'?" in findings.warnings[0]
 
@@ -62,4 +62,4 @@
 @pytest.mark.parametrize("values", [None, 1, [], "x"])
 def test_what_is_no_table_is_told(values):
     assert check(values)[0] is None
-    assert check(GOOD | {"inner": values})[0] is None
+    assert check(VALID | {"inner": values})[0] is None
--- a/cloverway/tests/test_updates.py
+++ b/cloverway/tests/test_updates.py
@@ -8,34 +8,34 @@
 
 from cloverway.config.configuration import ConfigurationStore
 from cloverway.config.settings import Listen, PlatformSettings, Security, Settings
-from cloverway.config.updates import Updates
+from cloverway.config.updates import ConfigurationUpdater
 from cloverway.errors import PeerError, PlatformError
-from cloverway.sources.port import Changes, HostList
+from cloverway.sources.port import Changes, MemberStates
 
-READ_WITHIN_S = 10.0
+READ_TIMEOUT_S = 10.0
 
 
-class SilentPlatform:
+class UnavailablePlatform:
     """Notes what it is asked for, and gives nothing."""
 
-    def __init__(self, asked: asyncio.Queue, loop: asyncio.AbstractEventLoop) -> None:
-        self._asked = asked
+    def __init__(self, requested_waits: asyncio.Queue, loop: asyncio.AbstractEventLoop) -> None:
+        self._asked = requested_waits
         self._loop = loop
 
     def read(self, after: int, wait_s: float) -> Changes:
         self._loop.call_soon_threadsafe(self._asked.put_nowait, wait_s)
         raise PlatformError("there is nothing yet")
 
-    def list_states(self) -> HostList:
-        return HostList()
+    def get_member_states(self) -> MemberStates:
+        return MemberStates()
 
 
 def refuse(host: str, address: str, after: int) -> Changes:
     raise PeerError("there are no peers")
 
 
-async def find_wait(platform: PlatformSettings) -> float:
-    asked: asyncio.Queue[float] = asyncio.Queue()
+async def get_read_wait(platform: PlatformSettings) -> float:
+    requested_waits: asyncio.Queue[float] = asyncio.Queue()
     settings = Settings(
         host="a-h1",
         domain="a-1",
@@ -44,12 +44,12 @@
         platform=platform,
         security=Security("none"),
     )
-    silent = SilentPlatform(asked, asyncio.get_running_loop())
-    updates = Updates(settings, ConfigurationStore(), silent, refuse, time.monotonic)
+    silent = UnavailablePlatform(requested_waits, asyncio.get_running_loop())
+    updates = ConfigurationUpdater(settings, ConfigurationStore(), silent, refuse, time.monotonic)
     updates.start()
     watch = asyncio.create_task(updates.watch_platform(lambda now: True, lambda published: None))
     try:
-        return await asyncio.wait_for(asked.get(), READ_WITHIN_S)
+        return await asyncio.wait_for(requested_waits.get(), READ_TIMEOUT_S)
     finally:
         watch.cancel()
         with contextlib.suppress(asyncio.CancelledError):
@@ -65,4 +65,4 @@
     which the service holds a call back. At the two-year size 216 hosts read it.
     """
     platform = PlatformSettings(kind=kind, poll_s=0.25, watch_s=7.0)
-    assert asyncio.run(find_wait(platform)) == expected
+    assert asyncio.run(get_read_wait(platform)) == expected
