--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -16,7 +16,7 @@
 from cloverway.serving.clock import read_clock, wait_for_tick
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.documents.sync import DocumentSync
-from cloverway.serving.early import KNOCK
+from cloverway.serving.early_sockets import SYNC_REQUEST
 from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.endpoint_loads import EndpointLoadExchange
 from cloverway.serving.hosts.messages import (
@@ -27,7 +27,7 @@
     RegionOffer,
 )
 from cloverway.serving.hosts.region_capacity import decode_region_offer, list_region_capacity
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 log = logging.getLogger(__name__)
 
@@ -87,7 +87,7 @@
         directory: Directory,
         catalogue: Catalogue,
         sync: DocumentSync,
-        figures: Figures,
+        metrics: Metrics,
         *,
         broadcaster: UpdateBroadcaster,
         seeds: tuple[str, ...],
@@ -96,7 +96,7 @@
         self.directory = directory
         self.catalogue = catalogue
         self.sync = sync
-        self.figures = figures
+        self.metrics = metrics
         self.seeds = seeds
         self._transport: asyncio.DatagramTransport
         self.endpoint_loads = EndpointLoadExchange(members, directory, self._send)
@@ -129,7 +129,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Handle a heartbeat, a join request or an update of another host."""
-        if data == KNOCK:
+        if data == SYNC_REQUEST:
             self._answer_join_request(format_address(addr), read_clock())
             return
         try:
@@ -226,16 +226,16 @@
         """
         alive = self.members.list_alive(now)
         is_remote = not self._is_same_region(peer.member)
-        offers = self._list_region_capacity(now) if is_remote else ()
-        if known_hosts and known_hosts + MAX_RELAYED_HOSTS >= len(alive) and not offers:
+        capacity = self._list_region_capacity(now) if is_remote else ()
+        if known_hosts and known_hosts + MAX_RELAYED_HOSTS >= len(alive) and not capacity:
             return
         alive.sort(key=lambda other: other.member.region != peer.member.region)
         others = tuple(_describe_peer(other, now) for other in alive[:MAX_SYNC_HOSTS])
-        self._send(peer.member.name, self._encode(now, others, offers))
+        self._send(peer.member.name, self._encode(now, others, capacity))
 
     def _answer_join_request(self, address: str, now: float) -> None:
         """Send all current updates and then the known hosts to a host that is still loading."""
-        self.figures.note_event("knock_heard")
+        self.metrics.note_event("knock_heard")
         self.broadcaster.send_full_state(address, now)
         others = self.members.list_alive(now)[:MAX_SYNC_HOSTS]
         states = tuple(_describe_peer(other, now) for other in others)
@@ -269,8 +269,8 @@
         self._idle_remote_at = now + idle_hosts / IDLE_REMOTE_HEARTBEATS_PER_S * random.uniform(
             0.8, 1.2
         )
-        offers = self._list_region_capacity(now)
-        data = self._encode(now, self._list_relayed_hosts(now, True), offers)
+        capacity = self._list_region_capacity(now)
+        data = self._encode(now, self._list_relayed_hosts(now, True), capacity)
         for region, peers in regions.items():
             for peer in self._choose_remote_hosts(
                 region, peers, HOSTS_PER_REMOTE_REGION if is_serving_callers else 1
@@ -305,7 +305,7 @@
         self,
         now: float,
         others: tuple[HostState, ...],
-        offers: tuple[RegionOffer, ...],
+        capacity: tuple[RegionOffer, ...],
     ) -> bytes:
         age_ms = min(now - self.catalogue.read_at, 1e6) * 1000
         configuration = self.directory.configuration
@@ -315,7 +315,7 @@
             self.catalogue.table.revision,
             int(age_ms),
             others,
-            offers,
+            capacity,
             int(self.members.get_own_request_rate(now) * 1000),
             self.catalogue.table.digest,
             len(self.members.peers),
@@ -378,7 +378,7 @@
             return
         self._had_first_contact = True
         age_s = round(now - self._started_at, 3)
-        tell("introduced", peer=peer.member.name, hosts=len(self.members.peers), age_s=age_s)
+        log_event("introduced", peer=peer.member.name, hosts=len(self.members.peers), age_s=age_s)
         self.on_first_contact()
 
     def _apply_relayed_state(self, state: HostState, now: float) -> None:
@@ -403,12 +403,12 @@
             if self._is_same_region(peer.member) or peer.request_rate >= ACTIVE_REQUESTS_PER_S
         }
         for name in alive - self._alive_names:
-            self.figures.note_event("host_heard")
-            tell("host_heard", peer=name, region=self.members.peers[name].member.region)
+            self.metrics.note_event("host_heard")
+            log_event("host_heard", peer=name, region=self.members.peers[name].member.region)
             self.broadcaster.sync_joining_host(name, now)
         for name in self._alive_names - alive:
-            self.figures.note_event("host_silent")
-            tell("host_silent", peer=name)
+            self.metrics.note_event("host_silent")
+            log_event("host_silent", peer=name)
         self._alive_names = alive
 
 
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -9,7 +9,7 @@
 from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 from cloverway.serving.hosts.broadcast import UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, SuspectReport, SuspectSend
-from cloverway.serving.telemetry import tell
+from cloverway.serving.telemetry import log_event
 
 MAX_SUSPECTS_PER_MESSAGE = 20
 """Maximum number of suspects in a message: about 60 bytes each, within one packet of 1,500 bytes.
@@ -47,7 +47,7 @@
             return
         self._own[number] = SuspectRun(routed.digest, incarnation, level, until)
         self._publish_own()
-        tell(
+        log_event(
             "suspect_sent",
             request_id=routed.call.id,
             request_digest=f"{routed.digest:016x}",
--- /dev/null
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -0,0 +1,109 @@
+"""Tracking of endpoint crashes during the attempts of one request."""
+
+from __future__ import annotations
+
+from cloverway.core.prediction import STALLED_AFTER_S, RoutedCall
+from cloverway.core.quarantine import Crash
+from cloverway.errors import Kind, Ran, RequestError
+from cloverway.serving.clock import read_clock
+from cloverway.serving.context import Context
+from cloverway.serving.requests.attempt import Answered, Broken
+from cloverway.serving.requests.streaming import Timing
+from cloverway.serving.requests.target_selector import Target
+
+
+class CrashTracker:
+    """Records crashes of endpoints that ran one request, and stops the request after too many."""
+
+    def __init__(self, context: Context, routed: RoutedCall, timing: Timing) -> None:
+        self._context = context
+        self._digest = routed.digest
+        self._timing = timing
+        self._pending_target: Target | None = None
+        """The target whose response is awaited."""
+        self._sent_at = routed.call.arrived_at
+        """When the last attempt began."""
+        self.crashed: list[str] = []
+        """Incarnations of endpoints that appear to have crashed while they ran the request."""
+
+    def check(self, ran: Ran) -> None:
+        """Raise RequestError when too many endpoints crashed while they ran the request.
+
+        `ran` tells whether earlier attempts ran it.
+        """
+        hold = self._context.quarantine.get_block(self._digest, read_clock())
+        if hold is not None:
+            why = f"{hold.crashes} endpoints ended while they ran it"
+            left_s = hold.remaining_s if ran is Ran.NO else None
+            raise RequestError(Kind.QUARANTINED, why, ran=ran, retry_after=left_s)
+
+    async def may_send(self, target: Target) -> bool:
+        """Return whether the request may be sent to a target.
+
+        If the endpoint may have crashed under this request, query its incarnation first.
+        """
+        if target.candidate is None:
+            return True
+        return await self._context.incarnations.may_send(target.candidate.endpoint, self._digest)
+
+    def note_sent(self, target: Target, now: float) -> None:
+        """Record that an attempt begins."""
+        self._pending_target = target
+        self._sent_at = now
+
+    def note_failed(self) -> None:
+        """Record that the attempt failed, so that no response is awaited any more."""
+        self._pending_target = None
+
+    def note_broken(self, target: Target, outcome: Broken, now: float) -> None:
+        """Record the crashes implied by an attempt that may have run."""
+        if outcome.is_disconnect:
+            self._note_crash(target, now)
+        elif _is_stalled(target, now):
+            self._note_crash(target, self._last_activity_at)
+        for life in outcome.crashed:
+            # Not broadcast: the host that saw the crash does that. Its response arrives here
+            # before its broadcast.
+            self._context.quarantine.note_crash(Crash(life, (self._digest,), now))
+
+    def note_completed(self, target: Target, answered: Answered) -> None:
+        """Record that the request got a complete response, so that it causes no crashes."""
+        self._pending_target = None
+        self._context.crashes.report_served(self._digest)
+        if target.candidate is not None:
+            # The response proves that the incarnation is running to which the connection was
+            # opened. The directory entry alone doesn't tell which that is: a restarted endpoint
+            # whose entry still names its previous incarnation would clear the crash of that one.
+            life = target.candidate.endpoint.entry.incarnation
+            opened_at = answered.sending.connection.opened_at
+            self._context.quarantine.note_alive(life, opened_at, read_clock())
+
+    def note_abandoned(self, now: float) -> Target | None:
+        """Treat the endpoint as crashed if it was silent when the request was abandoned; return it.
+
+        An endpoint that loses power while it runs the request doesn't close the connection.
+        """
+        target = self._pending_target
+        is_silent = now - self._last_activity_at >= STALLED_AFTER_S
+        if target is None or not is_silent or not _is_stalled(target, now):
+            return None
+        self._note_crash(target, self._last_activity_at)
+        return target
+
+    @property
+    def _last_activity_at(self) -> float:
+        """When the last attempt began, or when data of its response last arrived."""
+        return max(self._sent_at, self._timing.last_at)
+
+    def _note_crash(self, target: Target, at: float) -> None:
+        if target.candidate is not None:
+            life = target.candidate.endpoint.entry.incarnation
+            self.crashed.append(life)
+            self._context.crashes.report_crash(life, self._digest, at)
+
+
+def _is_stalled(target: Target, now: float) -> bool:
+    """Return whether an endpoint made no progress on any request of this host for too long."""
+    if target.candidate is None:
+        return False
+    return now - target.candidate.endpoint.load.last_progress_at > STALLED_AFTER_S
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -143,7 +143,7 @@
     Closed as idle, the connection would be reset by the incoming bytes, and the caller could not
     know that nothing ran. The request is read and refused as not run.
     """
-    monkeypatch.setattr("cloverway.serving.host.NOTICE_S", 0.0)
+    monkeypatch.setattr("cloverway.serving.host.LEAVE_NOTICE_S", 0.0)
 
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -15,7 +15,7 @@
     StatementExchange,
 )
 from cloverway.serving.ports import ReplyFacts
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
 LIFE, OTHER = "engine-1@7", "engine-2@7"
 
@@ -35,7 +35,7 @@
             self.members.apply_state(make_member(other, "south"), 0.0, True, 0.0)
         self.directory = Directory(Topology("d1", "north", {"d1": "north"}))
         self.statements = self.directory.statements
-        self.exchange = StatementExchange(name, self.directory, Figures())
+        self.exchange = StatementExchange(name, self.directory, Metrics())
         self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
         self.broadcaster.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
         self.sent = []
@@ -46,8 +46,10 @@
             entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, started_ms=int(born_ms))
             self.directory.apply([EndpointPublished(name, entry)], 0.0)
 
-    def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, sealed=True):
-        facts = ReplyFacts(not_run=False, sealed=sealed, limit_per_s=limit_per_s, leaving=leaving)
+    def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, is_signed=True):
+        facts = ReplyFacts(
+            not_run=False, is_signed=is_signed, limit_per_s=limit_per_s, leaving=leaving
+        )
         self.exchange.note_answer(life, facts, request_id="r", sent_at=now - 1, now=now)
 
     def take_sent(self):
@@ -97,7 +99,7 @@
         here = Side("a")
         here.answer(1.0, 100.0)
         here.answer(None, 100.5)
-        here.answer(None, 103.0, sealed=False)
+        here.answer(None, 103.0, is_signed=False)
         assert here.statements.get(LIFE).limit_per_s == 1.0
         here.answer(None, 101.5)
         assert here.statements.get(LIFE).limit_per_s is None
