--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -21,7 +21,7 @@
 from cloverway.config.configuration import ConfigurationStore, choose_readers
 from cloverway.config.published import Published
 from cloverway.config.settings import Settings
-from cloverway.config.updates import FetchChanges, Offer, Updates
+from cloverway.config.updates import ConfigurationUpdater, FetchChanges, PeerRevision
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.errors import CloverwayError, PeerError
 from cloverway.membership.datagram_auth import DatagramAuthenticator
@@ -32,7 +32,7 @@
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.port import Changes, HostList, Listed, Platform
+from cloverway.sources.port import Changes, Listed, MemberStates, Platform
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
             random=self._random,
             crash_tracker=crash_tracker,
         )
-        self._updates = Updates(settings, store, platform, fetch_changes, clock)
+        self._updates = ConfigurationUpdater(settings, store, platform, fetch_changes, clock)
         self._leaving = False
         self._serving = False
         self._serve_deadline: float | None = None
@@ -170,7 +170,7 @@
         return {
             "incarnation": view.incarnation,
             "revision": view.published.revision if view.published else 0,
-            "settled": self._updates.settled,
+            "settled": self._updates.is_serving,
             "leaving": self._leaving,
             "platform_stale": view.platform_stale,
             "resumed_at": self.gossip.resumed_at,
@@ -230,7 +230,7 @@
     def _tick(self, now: float) -> None:
         self._detect_pause(now)
         self._read_endpoints(now)
-        if self._updates.decide_start(now):
+        if self._updates.try_start_serving(now):
             self._schedule_broadcast()
         if self.gossip.crash_tracker.take_urgent():
             self._broadcast_due = True
@@ -298,11 +298,11 @@
             log.error("another process has taken this host's name; this host is leaving")
             self.begin_leaving()
         if received.is_fresh:
-            self._updates.hear_peer(received.host, received.revision)
+            self._updates.record_peer(received.host, received.revision)
         published = self._updates.published
         known = published.hosts.get(received.host) if published else None
-        offer = Offer(received.host, known.peers if known else source, received.revision)
-        if self._updates.wants(offer, now):
+        offer = PeerRevision(received.host, known.peers if known else source, received.revision)
+        if self._updates.should_fetch(offer, now):
             self._loop.create_task(self._updates.fetch(offer, self._adopt))
 
     def _adopt(self, published: Published) -> None:
@@ -321,14 +321,14 @@
             if not self._is_reader(self._clock()):
                 continue
             try:
-                call = self._list_workers.submit(self._platform.list_states)
+                call = self._list_workers.submit(self._platform.get_member_states)
                 self._apply_member_list(await asyncio.wrap_future(call))
             except CloverwayError as error:
                 log.debug("can't read the platform's member list", extra={"why": str(error)})
             except Exception:
                 log.exception("can't read the platform's member list")
 
-    def _apply_member_list(self, states: HostList) -> None:
+    def _apply_member_list(self, states: MemberStates) -> None:
         leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
         if self.gossip.endpoint_table.apply_member_list(leaving, self._clock()):
             self._broadcast_due = True
@@ -374,7 +374,7 @@
         A host that started earlier would refuse its first callers for lack of a ready endpoint.
         An endpoint that may be dead does not hold it up: after a timeout it serves without it.
         """
-        if self._serving or not self._updates.settled:
+        if self._serving or not self._updates.is_serving:
             return
         if self._serve_deadline is None:
             self._serve_deadline = now + STARTUP_REPORTS_TIMEOUT_S
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cloverway.config.configuration import READERS, choose_readers
+from cloverway.config.configuration import READERS_PER_DOMAIN, choose_readers
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
 from cloverway.core.quarantine import Crash, CrashUpdate
@@ -115,7 +115,7 @@
         self.local_state = LocalState()
         self.members = Membership(host, incarnation, timing.suspect_s)
         self.endpoint_table = EndpointTable(
-            timing.suspect_s + MISSED_READ_INTERVALS * READERS * timing.report_s
+            timing.suspect_s + MISSED_READ_INTERVALS * READERS_PER_DOMAIN * timing.report_s
         )
         self.summaries = Summaries(domain, timing.summary_s)
         self._timing = timing
@@ -234,7 +234,7 @@
         """
         hosts = len(self.members.list_staying(now))
         endpoints = len(self._endpoints)
-        readers = min(READERS, hosts)
+        readers = min(READERS_PER_DOMAIN, hosts)
         interval = max(
             readers * self._timing.report_s, readers * endpoints / hosts / MAX_READS_PER_S
         )
