--- a/cloverway/__main__.py
+++ b/cloverway/__main__.py
@@ -16,10 +16,10 @@
 from cloverway.commands.options import AdminHost, CallerHosts, Json
 from cloverway.commands.printing import Commands, print_document, print_report
 from cloverway.errors import CallError, Kind
-from cloverway.load import Plan
+from cloverway.load import LoadPlan
 from cloverway.serving.settings import FleetSettings
 
-CUT_SHORT = 3
+EXIT_TRUNCATED = 3
 """Exit code for an answer that is not whole."""
 
 
@@ -41,8 +41,8 @@
 """
 
 
-def _print_version(wanted: bool) -> None:
-    if wanted:
+def _print_version(is_requested: bool) -> None:
+    if is_requested:
         typer.echo(f"cloverway {__version__}")
         raise typer.Exit
 
@@ -189,15 +189,15 @@
     """
     addresses = status.find_addresses(host or [], published)
     if len(addresses) == 1:
-        print_document(admin.ask_host(addresses[0], status.PATH), json)
+        print_document(admin.query_json(addresses[0], status.PATH), json)
         return
-    statuses = status.ask_each(addresses)
-    faults = status.find_faults(statuses)
+    statuses = status.query_all(addresses)
+    faults = status.find_problems(statuses)
     if json:
         hosts = [one._asdict() for one in statuses]
         typer.echo(output.format_json({"hosts": hosts, "faults": faults}))
     else:
-        typer.echo(output.format_table(status.HEAD, map(status.as_cells, statuses)))
+        typer.echo(output.format_table(status.COLUMNS, map(status.as_cells, statuses)))
         for fault in faults:
             typer.echo(f"look at: {fault}", err=True)
     if faults:
@@ -216,7 +216,7 @@
 
     Best first; leaving and overloaded ones are left out. Any host answers.
     """
-    print_document(admin.ask_host(host, "/v1/hosts"), json)
+    print_document(admin.query_json(host, "/v1/hosts"), json)
 
 
 @app.command(
@@ -237,7 +237,7 @@
     Nothing is sent to an endpoint.
     """
     question = {"team": team, "profile": profile}
-    print_document(admin.ask_host(host, "/v1/explain", "POST", question), json)
+    print_document(admin.query_json(host, "/v1/explain", "POST", question), json)
 
 
 @app.command(
@@ -252,7 +252,7 @@
 
     It takes no new work, tells its callers where to go and ends what is in progress.
     """
-    print_document(admin.ask_host(host, "/v1/drain", "POST"), json)
+    print_document(admin.query_json(host, "/v1/drain", "POST"), json)
 
 
 @app.command(
@@ -278,7 +278,7 @@
         if json:
             typer.echo(output.format_json([row._asdict() for row in rows]))
             continue
-        typer.echo(output.format_table(watch.HEAD, (watch.as_cells(row) for row in rows)) + "\n")
+        typer.echo(output.format_table(watch.COLUMNS, (watch.as_cells(row) for row in rows)) + "\n")
 
 
 @app.command(
@@ -324,19 +324,19 @@
     A failure says whether the call was run. Only a call that was not run is sent again, at the
     time and to the host that the answer names.
     """
-    choice = call.Choice(
+    call_options = call.CallOptions(
         message, profile, service, path, data, stream, deadline_ms, idempotency_key
     )
     client = call.make_client(host, key_file, patience)
-    request = call.make_call(choice)
+    request = call.make_call(call_options)
     try:
         answer = client.call(request, once=once)
         call.print_answer(answer, _write)
     except CallError as error:
         typer.echo(f"\ncloverway: {call.describe_failure(error)}", err=True)
-        raise typer.Exit(CUT_SHORT if error.kind is Kind.TRUNCATED else 1) from error
+        raise typer.Exit(EXIT_TRUNCATED if error.kind is Kind.TRUNCATED else 1) from error
     typer.echo()
-    typer.echo(call.describe_place(answer), err=True)
+    typer.echo(call.describe_origin(answer), err=True)
 
 
 def _write(text: str) -> None:
@@ -372,13 +372,13 @@
     caller_key = os.environ.get("CLOVERWAY_KEY", "")
     headers = {"Authorization": f"Bearer {caller_key}", "Cloverway-Profile": profile}
     targets = [bench.parse_target(text, headers) for text in target]
-    plan = Plan(streams, seconds, tokens, token_ms / 1000, model=model)
-    figures, spent = bench.bench(targets, plan, seed, pid or [])
+    plan = LoadPlan(streams, seconds, tokens, token_ms / 1000, model=model)
+    stats, usage = bench.bench(targets, plan, seed, pid or [])
     if json:
-        typer.echo(output.format_json(bench.as_document(targets, figures, spent)))
+        typer.echo(output.format_json(bench.as_document(targets, stats, usage)))
         return
-    typer.echo(bench.format_markdown(bench.HEAD, bench.make_rows(targets, figures, plan)))
-    for each in spent:
+    typer.echo(bench.format_markdown(bench.COLUMNS, bench.make_rows(targets, stats, plan)))
+    for each in usage:
         typer.echo(f"process {each.pid}: {each.cores:.2f} cores, {each.memory_mb:.0f} MB")
 
 
--- a/cloverway/answers.py
+++ b/cloverway/answers.py
@@ -13,8 +13,8 @@
 
 END_OF_STREAM = "[DONE]"
 REQUEST_ID = "x-request-id"
-LARGEST_ANSWER = 64 * 1024 * 1024
-LARGEST_EVENT = 4 * 1024 * 1024
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class Answer:
@@ -56,7 +56,9 @@
         try:
             yield from self._iterate_framed()
         except (HTTPError, OSError) as error:
-            raise self._cut(f"the connection ended midway ({type(error).__name__})") from error
+            raise self._make_truncated_error(
+                f"the connection ended midway ({type(error).__name__})"
+            ) from error
         finally:
             self.close()
 
@@ -66,8 +68,8 @@
         size = 0
         for piece in self:
             size += len(piece)
-            if size > LARGEST_ANSWER:
-                raise self._cut("the answer is larger than this client takes")
+            if size > MAX_ANSWER_BYTES:
+                raise self._make_truncated_error("the answer is larger than this client takes")
             pieces.append(piece)
         return b"".join(pieces)
 
@@ -86,7 +88,7 @@
             if not ended:
                 yield self._read_event(data)
         if not ended:
-            raise self._cut("the stream ended without its closing event")
+            raise self._make_truncated_error("the stream ended without its closing event")
 
     def close(self) -> None:
         """Close the connection; the host then cancels what still runs."""
@@ -97,7 +99,7 @@
         chunked = "chunked" in self.headers.get("transfer-encoding", "")
         if not chunked and "content-length" not in self.headers:
             # Without framing, a lost connection looks just like the end of the answer.
-            raise self._cut("the answer has no framing, so its end can't be known")
+            raise self._make_truncated_error("the answer has no framing, so its end can't be known")
         if chunked:
             yield from self._response.read_chunked()
         else:
@@ -107,19 +109,19 @@
         try:
             event = json.loads(data)
         except ValueError as error:
-            raise self._cut("the answer is not JSON") from error
+            raise self._make_truncated_error("the answer is not JSON") from error
         problem = event.get("error") if isinstance(event, dict) else None
         if isinstance(problem, dict):
             raise read_problem(problem, 0, self.headers, self.key, self.host)
         return extract_text(event)
 
-    def _cut(self, detail: str) -> CallError:
+    def _make_truncated_error(self, detail: str) -> CallError:
         return CallError(
             Kind.TRUNCATED, detail, key=self.key, request_id=self.request_id, host=self.host
         )
 
 
-def read_refusal(answer: Answer) -> CallError:
+def read_error_answer(answer: Answer) -> CallError:
     """Read the body of a failed answer."""
     try:
         problem = json.loads(answer.read())
@@ -155,7 +157,7 @@
     for piece in pieces:
         buffer = (buffer + piece).replace(b"\r\n", b"\n")
         *events, buffer = buffer.split(b"\n\n")
-        if len(buffer) > LARGEST_EVENT:
+        if len(buffer) > MAX_EVENT_BYTES:
             raise CallError(Kind.TRUNCATED, "an event of the stream is too large")
         for event in events:
             lines = [line for line in event.split(b"\n") if line.startswith(b"data:")]
--- a/cloverway/client.py
+++ b/cloverway/client.py
@@ -17,7 +17,7 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
 
-from cloverway.answers import Answer, join_address, read_refusal
+from cloverway.answers import Answer, join_address, read_error_answer
 from cloverway.errors import CallError, Kind, Ran
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 """The longest wait for the next byte of an answer whose call names no deadline."""
 DEADLINE_GRACE_S = 2.0
 """What the host's own final answer may need after the deadline that a call names."""
-SHORTEST_WAIT_S = 0.1
+MIN_WAIT_S = 0.1
 KEEPALIVE = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 20),
@@ -36,9 +36,9 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
 )
 """Probes that end a connection gone silent for good within 35 s, however long an answer takes."""
-MOVE_ON = (Kind.LEAVING, Kind.STARTING)
+NEXT_HOST_KINDS = (Kind.LEAVING, Kind.STARTING)
 """Kinds that concern one host only: another one is asked at once."""
-WAIT = (Kind.OVERLOADED, Kind.TEAM_LIMIT, Kind.NO_CAPACITY, Kind.ENDPOINT_REFUSED)
+RETRY_LATER_KINDS = (Kind.OVERLOADED, Kind.TEAM_LIMIT, Kind.NO_CAPACITY, Kind.ENDPOINT_REFUSED)
 """Kinds that pass: a new attempt makes sense after Retry-After."""
 
 
@@ -106,19 +106,19 @@
     ) -> None:
         self._addresses = tuple(addresses)
         self._caller_key = caller_key
-        self._patience_s = patience_s
+        self._retry_timeout_s = patience_s
         """How long attempts and waits between them may take until the last one starts."""
         self._clock = clock
         self._sleep = sleep
-        self._list = HostList(())
-        self._listed_at = float("-inf")
+        self._host_list = HostList(())
+        self._host_list_read_at = float("-inf")
 
     def list_hosts(self) -> HostList:
         """Ask known addresses in turn which entry hosts to use; raise CallError if none says."""
         now = self._clock()
-        if now < self._listed_at + self._list.lifetime_s:
-            return self._list
-        known = [host.address for host in self._list.hosts]
+        if now < self._host_list_read_at + self._host_list.lifetime_s:
+            return self._host_list
+        known = [host.address for host in self._host_list.hosts]
         refusal = CallError(Kind.NO_CAPACITY, "no address of an entry host was given", ran=Ran.NO)
         for address in dict.fromkeys([*known, *self._addresses]):
             try:
@@ -126,9 +126,9 @@
             except CallError as error:
                 refusal = error
                 continue
-            self._list = read_host_list(document)
-            self._listed_at = now
-            return self._list
+            self._host_list = read_host_list(document)
+            self._host_list_read_at = now
+            return self._host_list
         raise refusal
 
     def issue_key(self, address: str) -> str:
@@ -145,7 +145,7 @@
         With `once`, each attempt carries a new idempotency key from the host that is asked. A new
         attempt is made only after the promise that the one before did not run. Raises CallError.
         """
-        give_up_at = self._clock() + self._patience_s
+        give_up_at = self._clock() + self._retry_timeout_s
         tried: list[str] = []
         while True:
             hosts = [host.address for host in self.list_hosts().hosts] or list(self._addresses)
@@ -174,13 +174,13 @@
 
     def _send(self, address: str, call: Call) -> Answer:
         connection = _connect(address, _choose_timeout(call))
-        response = _exchange(connection, call, self._headers(call))
+        response = _exchange(connection, call, self._make_headers(call))
         answer = Answer(response, connection, call.path, call.key)
         if answer.status < 400:
             return answer
-        raise read_refusal(answer)
+        raise read_error_answer(answer)
 
-    def _headers(self, call: Call) -> dict[str, str]:
+    def _make_headers(self, call: Call) -> dict[str, str]:
         headers = {
             "Authorization": f"Bearer {self._caller_key}",
             "Content-Type": call.content_type,
@@ -192,7 +192,9 @@
 
     def _ask(self, address: str, method: str, path: str) -> Any:
         try:
-            return json.loads(ask(address, Call(path, method=method), self._headers(Call(path))))
+            return json.loads(
+                ask(address, Call(path, method=method), self._make_headers(Call(path)))
+            )
         except ValueError as error:
             raise CallError(
                 Kind.INTERNAL, f"{path} is not JSON", ran=Ran.NO, host=address
@@ -215,7 +217,7 @@
     connection = _connect(address, LOOKUP_TIMEOUT_S)
     answer = Answer(_exchange(connection, call, headers), connection, call.path)
     if answer.status >= 400:
-        raise read_refusal(answer)
+        raise read_error_answer(answer)
     return answer.read()
 
 
@@ -226,12 +228,12 @@
     """
     if error.ran is not Ran.NO:
         return None
-    if error.kind in MOVE_ON or not error.reached:
+    if error.kind in NEXT_HOST_KINDS or not error.reached:
         if others:
             return 0.0
-    elif error.kind not in WAIT:
+    elif error.kind not in RETRY_LATER_KINDS:
         return None
-    wait = max(SHORTEST_WAIT_S, error.retry_after if error.retry_after is not None else 1.0)
+    wait = max(MIN_WAIT_S, error.retry_after if error.retry_after is not None else 1.0)
     return wait if now + wait < give_up_at else None
 
 
--- a/cloverway/commands/admin.py
+++ b/cloverway/commands/admin.py
@@ -18,21 +18,21 @@
         raise UserError(f"{address!r}: give IP:PORT, for example 127.0.0.11:8011") from error
 
 
-def ask_host(address: str, path: str, method: str = "GET", document: Any = None) -> Any:
+def query_json(address: str, path: str, method: str = "GET", document: Any = None) -> Any:
     """Ask a host and give its JSON answer; raise UserError when there is none."""
     body = json.dumps(document).encode() if document is not None else b""
     try:
-        return json.loads(_ask(address, Call(path, body, method=method)))
+        return json.loads(_query(address, Call(path, body, method=method)))
     except ValueError as error:
         raise UserError(f"{address}: the answer of {path} is not JSON") from error
 
 
-def ask_text(address: str, path: str) -> str:
+def query_text(address: str, path: str) -> str:
     """Ask a host and give its answer as text; raise UserError when there is none."""
-    return _ask(address, Call(path, method="GET")).decode("utf-8", "replace")
+    return _query(address, Call(path, method="GET")).decode("utf-8", "replace")
 
 
-def _ask(address: str, call: Call) -> bytes:
+def _query(address: str, call: Call) -> bytes:
     headers = {"Content-Type": call.content_type} if call.body else {}
     try:
         return ask(check_address(address), call, headers)
--- a/cloverway/commands/bench.py
+++ b/cloverway/commands/bench.py
@@ -11,10 +11,10 @@
 
 from cloverway.commands.admin import check_address
 from cloverway.errors import UserError
-from cloverway.load import Figures, Plan, Target, run_load
+from cloverway.load import LoadPlan, LoadStats, Target, run_load
 
 QUANTILES = (50, 95, 99)
-HEAD = (
+COLUMNS = (
     "target",
     "first p50",
     "first p95",
@@ -25,10 +25,10 @@
     "tokens/s",
     "outcomes",
 )
-MICROSECONDS = 1000
+US_PER_MS = 1000
 
 
-class Usage(NamedTuple):
+class UsageSample(NamedTuple):
     """What a process has used: processor seconds, and memory in MB."""
 
     pid: int
@@ -36,7 +36,7 @@
     memory_mb: float
 
 
-class Spent(NamedTuple):
+class ProcessUsage(NamedTuple):
     """What a process used over a run: cores, and memory in MB at its end."""
 
     pid: int
@@ -45,19 +45,19 @@
 
 
 def bench(
-    targets: Sequence[Target], plan: Plan, seed: int, pids: Sequence[int]
-) -> tuple[list[Figures], list[Spent]]:
+    targets: Sequence[Target], plan: LoadPlan, seed: int, pids: Sequence[int]
+) -> tuple[list[LoadStats], list[ProcessUsage]]:
     """Run a load; give the figures of each target and what some processes used meanwhile."""
     before = [read_usage(pid) for pid in pids]
-    begin = time.monotonic()
-    figures = run_load(targets, plan, Random(seed))
-    passed_s = time.monotonic() - begin
+    started_at = time.monotonic()
+    stats = run_load(targets, plan, Random(seed))
+    elapsed_s = time.monotonic() - started_at
     after = [read_usage(pid) for pid in pids]
-    spent = [
-        Spent(new.pid, (new.cpu_s - old.cpu_s) / passed_s, new.memory_mb)
+    usage = [
+        ProcessUsage(new.pid, (new.cpu_s - old.cpu_s) / elapsed_s, new.memory_mb)
         for old, new in zip(before, after, strict=True)
     ]
-    return figures, spent
+    return stats, usage
 
 
 def parse_target(text: str, headers: dict[str, str]) -> Target:
@@ -68,7 +68,7 @@
     return Target(name, tuple(map(check_address, addresses.split(","))), headers)
 
 
-def read_usage(pid: int) -> Usage:
+def read_usage(pid: int) -> UsageSample:
     """Read what a process has used so far; raise UserError for one that is not there."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
@@ -76,17 +76,17 @@
         raise UserError(f"there is no process {pid}; give the number of a running one") from error
     ticks = int(fields[11]) + int(fields[12])
     memory = int(fields[21]) * os.sysconf("SC_PAGE_SIZE")
-    return Usage(pid, ticks / os.sysconf("SC_CLK_TCK"), memory / 1_000_000)
+    return UsageSample(pid, ticks / os.sysconf("SC_CLK_TCK"), memory / 1_000_000)
 
 
 def make_rows(
-    targets: Sequence[Target], figures: Sequence[Figures], plan: Plan
+    targets: Sequence[Target], stats: Sequence[LoadStats], plan: LoadPlan
 ) -> Iterable[tuple[str, ...]]:
     """Give a row for each target; times are milliseconds."""
-    for target, seen in zip(targets, figures, strict=True):
+    for target, seen in zip(targets, stats, strict=True):
         times = [
-            f"{histogram.get_value_at_percentile(quantile) / MICROSECONDS:.1f}"
-            for histogram in (seen.first, seen.gaps)
+            f"{histogram.get_value_at_percentile(quantile) / US_PER_MS:.1f}"
+            for histogram in (seen.first_token, seen.token_gaps)
             for quantile in QUANTILES
         ]
         outcomes = ", ".join(f"{count} {name}" for name, count in sorted(seen.outcomes.items()))
@@ -94,20 +94,20 @@
 
 
 def as_document(
-    targets: Sequence[Target], figures: Sequence[Figures], spent: Sequence[Spent]
+    targets: Sequence[Target], stats: Sequence[LoadStats], usage: Sequence[ProcessUsage]
 ) -> dict[str, Any]:
     """Give the figures for a script; times are milliseconds."""
     return {
         "targets": {
             target.name: {
-                "first_ms": _list_quantiles(seen.first),
-                "gap_ms": _list_quantiles(seen.gaps),
+                "first_ms": _list_quantiles(seen.first_token),
+                "gap_ms": _list_quantiles(seen.token_gaps),
                 "tokens": seen.tokens,
                 "outcomes": dict(seen.outcomes),
             }
-            for target, seen in zip(targets, figures, strict=True)
+            for target, seen in zip(targets, stats, strict=True)
         },
-        "processes": [each._asdict() for each in spent],
+        "processes": [each._asdict() for each in usage],
     }
 
 
@@ -119,6 +119,6 @@
 
 def _list_quantiles(histogram: Any) -> dict[str, float]:
     return {
-        f"p{quantile}": histogram.get_value_at_percentile(quantile) / MICROSECONDS
+        f"p{quantile}": histogram.get_value_at_percentile(quantile) / US_PER_MS
         for quantile in QUANTILES
     }
--- a/cloverway/commands/call.py
+++ b/cloverway/commands/call.py
@@ -15,7 +15,7 @@
 
 KEY_VARIABLE = "CLOVERWAY_KEY"
 
-OUTCOMES = {
+RAN_TEXTS = {
     Ran.NO: "It was not run.",
     Ran.YES: "It was run.",
     Ran.UNKNOWN: "Nobody can say whether it was run.",
@@ -36,7 +36,7 @@
 """What helps with a refusal that waiting does not mend."""
 
 
-class Choice(NamedTuple):
+class CallOptions(NamedTuple):
     """What the command line asks for."""
 
     message: str = ""
@@ -72,19 +72,19 @@
     )
 
 
-def make_call(choice: Choice) -> Call:
+def make_call(options: CallOptions) -> Call:
     """Make the call; raise UserError when the choice does not fit together."""
-    if choice.service:
-        return _complete(
-            Call.for_service(choice.profile, choice.service, choice.path, _read_data(choice)),
-            choice,
+    if options.service:
+        return _apply_options(
+            Call.for_service(options.profile, options.service, options.path, _read_data(options)),
+            options,
         )
-    if choice.path or choice.data:
+    if options.path or options.data:
         raise UserError("--path and --data belong to a service; name it with --service")
-    if not choice.message:
+    if not options.message:
         raise UserError("give a MESSAGE, or a service with --service NAME --path /x --data JSON")
-    messages = [{"role": "user", "content": choice.message}]
-    return _complete(Call.for_chat(choice.profile, messages, stream=choice.stream), choice)
+    messages = [{"role": "user", "content": options.message}]
+    return _apply_options(Call.for_chat(options.profile, messages, stream=options.stream), options)
 
 
 def print_answer(answer: Answer, write: Callable[[str], Any]) -> None:
@@ -100,14 +100,14 @@
     """Say what failed, whether the call was run, and what to do now."""
     lines = [
         f"{error.kind}: {error.detail}",
-        f"ran: {error.ran}. {OUTCOMES[error.ran]}",
-        _advise_repeat(error),
-        _describe_place(error),
+        f"ran: {error.ran}. {RAN_TEXTS[error.ran]}",
+        _suggest_action(error),
+        _describe_origin(error),
     ]
     return "\n".join(line for line in lines if line)
 
 
-def describe_place(answer: Answer) -> str:
+def describe_origin(answer: Answer) -> str:
     """Say where an answer comes from."""
     places = {
         "host": answer.host,
@@ -118,13 +118,13 @@
     return ", ".join(f"{name} {value}" for name, value in places.items() if value)
 
 
-def _describe_place(error: CallError) -> str:
+def _describe_origin(error: CallError) -> str:
     if error.request_id:
         return f"Request {error.request_id} at {error.host}."
     return f"Is cloverwayd running at {error.host}, and is it a callers' address?"
 
 
-def _advise_repeat(error: CallError) -> str:
+def _suggest_action(error: CallError) -> str:
     """Say what to do now."""
     when = f" in {error.retry_after:.1f} s" if error.retry_after is not None else ""
     if error.kind in ADVICE:
@@ -137,14 +137,14 @@
     return f"Send it again{when}." if when else ""
 
 
-def _read_data(choice: Choice) -> Any:
-    if not choice.path:
+def _read_data(options: CallOptions) -> Any:
+    if not options.path:
         raise UserError("a service call needs its path: --path /x")
     try:
-        return json.loads(choice.data or "{}")
+        return json.loads(options.data or "{}")
     except json.JSONDecodeError as error:
         raise UserError(f"--data is not JSON: {error}") from error
 
 
-def _complete(call: Call, choice: Choice) -> Call:
-    return call._replace(deadline_ms=choice.deadline_ms, key=choice.idempotency_key)
+def _apply_options(call: Call, options: CallOptions) -> Call:
+    return call._replace(deadline_ms=options.deadline_ms, key=options.idempotency_key)
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -30,7 +30,7 @@
 
 def check_directory(directory: Path, against: Path | None = None) -> Report:
     """Validate a published directory, and compare it with an older one where that is given."""
-    old = _load_other(against)
+    old = _load_reference(against)
     with collect_warnings() as warnings:
         try:
             new = load_directory(directory)
@@ -43,7 +43,7 @@
 
 def check_settings(path: Path, published: Path | None = None) -> Report:
     """Validate the settings of a daemon, and compare them with what is published of its host."""
-    deployment = _load_other(published)
+    deployment = _load_reference(published)
     with collect_warnings() as warnings:
         try:
             settings = Settings.from_toml(path)
@@ -111,7 +111,7 @@
     return f"{number} {plural.removesuffix('s') if number == 1 else plural}"
 
 
-def _load_other(directory: Path | None) -> Published | None:
+def _load_reference(directory: Path | None) -> Published | None:
     if directory is None:
         return None
     with collect_warnings():
--- a/cloverway/commands/status.py
+++ b/cloverway/commands/status.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from cloverway.commands.admin import ask_host
+from cloverway.commands.admin import query_json
 from cloverway.config.directory import load_directory
 from cloverway.errors import UserError
 
 PATH = "/v1/status"
-AT_ONE_TIME = 32
-HEAD = (
+MAX_PARALLEL_QUERIES = 32
+COLUMNS = (
     "address",
     "host",
     "region",
@@ -44,10 +44,10 @@
     return found
 
 
-def ask_each(addresses: Sequence[str]) -> list[HostStatus]:
+def query_all(addresses: Sequence[str]) -> list[HostStatus]:
     """Ask every address, several at one time; a host that does not answer is no failure here."""
-    with ThreadPoolExecutor(AT_ONE_TIME) as pool:
-        return list(pool.map(_ask, addresses))
+    with ThreadPoolExecutor(MAX_PARALLEL_QUERIES) as pool:
+        return list(pool.map(_query, addresses))
 
 
 def as_cells(status: HostStatus) -> tuple[Any, ...]:
@@ -55,7 +55,7 @@
     return (status.address, *(status.document.get(name) for name in FIELDS), status.fault)
 
 
-def find_faults(statuses: Sequence[HostStatus]) -> list[str]:
+def find_problems(statuses: Sequence[HostStatus]) -> list[str]:
     """List what a person should look at: silent hosts, hosts that lag, and a stale platform."""
     silent = [status.address for status in statuses if status.fault]
     newest = max((status.document.get("revision", 0) for status in statuses), default=0)
@@ -81,8 +81,8 @@
     return [f"{what}: {', '.join(names)}" for names, what in findings if names]
 
 
-def _ask(address: str) -> HostStatus:
+def _query(address: str) -> HostStatus:
     try:
-        return HostStatus(address, ask_host(address, PATH))
+        return HostStatus(address, query_json(address, PATH))
     except UserError as error:
         return HostStatus(address, {}, str(error).removeprefix(f"{address}: ").partition(";")[0])
--- a/cloverway/commands/trace.py
+++ b/cloverway/commands/trace.py
@@ -10,12 +10,14 @@
 from cloverway.commands.output import format_cell, format_table
 from cloverway.errors import UserError
 
-HEAD = ("time", "host", "event", "what decided it")
-COMMON = frozenset(("time", "level", "logger", "message", "host", "incarnation", "request_id"))
+COLUMNS = ("time", "host", "event", "what decided it")
+COMMON_FIELDS = frozenset(
+    ("time", "level", "logger", "message", "host", "incarnation", "request_id")
+)
 """Fields of a line that are shown in columns of their own, or say nothing of the decision."""
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a host's log."""
 
     time: str
@@ -24,7 +26,7 @@
     inputs: Mapping[str, Any]
 
 
-def trace_request(request_id: str, sources: Sequence[TextIO]) -> list[Line]:
+def trace_request(request_id: str, sources: Sequence[TextIO]) -> list[LogLine]:
     """Give the lines of a request from logs of any hosts; raise UserError when there is none.
 
     Instead of the id of one try it may be the digest that all repeats of a request share.
@@ -46,13 +48,13 @@
         raise UserError(f"{error.filename}: can't be read: {error.strerror}") from error
 
 
-def format_trace(lines: Iterable[Line]) -> str:
+def format_trace(lines: Iterable[LogLine]) -> str:
     """Give the lines as a table."""
     rows = [(line.time, line.host, line.event, _format_inputs(line.inputs)) for line in lines]
-    return format_table(HEAD, rows)
+    return format_table(COLUMNS, rows)
 
 
-def _read_lines(source: TextIO, request_id: str) -> Iterator[Line]:
+def _read_lines(source: TextIO, request_id: str) -> Iterator[LogLine]:
     for text in source:
         # Logs of a fleet are large: only lines that hold the id are decoded.
         if request_id not in text:
@@ -60,10 +62,10 @@
         fields = _decode(text)
         if request_id not in (fields.get("request_id"), fields.get("request_digest")):
             continue
-        inputs = {name: value for name, value in fields.items() if name not in COMMON}
+        inputs = {name: value for name, value in fields.items() if name not in COMMON_FIELDS}
         if fields.get("request_id") != request_id:
             inputs = {"request_id": fields.get("request_id"), **inputs}
-        yield Line(
+        yield LogLine(
             str(fields.get("time", "")),
             str(fields.get("host", "")),
             str(fields.get("message", "")),
--- a/cloverway/commands/watch.py
+++ b/cloverway/commands/watch.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from cloverway.commands.admin import ask_text
+from cloverway.commands.admin import query_text
 
-HEAD = ("histogram", "labels", "count", "p50", "p95", "p99")
+COLUMNS = ("histogram", "labels", "count", "p50", "p95", "p99")
 QUANTILES = (0.5, 0.95, 0.99)
 SAMPLE = re.compile(r"^([a-zA-Z_:][\w:]*)\{(.*)\}\s+(\S+)")
 LABEL = re.compile(r'(\w+)="((?:[^"\\]|\\.)*)"')
@@ -22,7 +22,7 @@
 """Cumulative counts by upper bound."""
 
 
-class Row(NamedTuple):
+class HistogramRow(NamedTuple):
     """One histogram over the time between two readings."""
 
     histogram: str
@@ -33,13 +33,13 @@
 
 def watch(
     address: str, count: int, every_s: float, sleep: Callable[[float], None], by: str = ""
-) -> Iterator[list[Row]]:
+) -> Iterator[list[HistogramRow]]:
     """Read /metrics a number of times and give the rows of each reading."""
-    for histograms in iterate_readings(_read(address, count, every_s, sleep)):
+    for histograms in iterate_readings(_read_metrics(address, count, every_s, sleep)):
         yield summarise(histograms, by)
 
 
-def as_cells(row: Row) -> tuple[str, ...]:
+def as_cells(row: HistogramRow) -> tuple[str, ...]:
     """Give a row as the cells of a table; seconds as milliseconds."""
     scale, unit = (1000.0, " ms") if row.histogram.endswith("_seconds") else (1.0, "")
     cells = (
@@ -86,13 +86,13 @@
     return lower
 
 
-def summarise(histograms: Mapping[Series, Buckets], by: str = "") -> list[Row]:
+def summarise(histograms: Mapping[Series, Buckets], by: str = "") -> list[HistogramRow]:
     """Give a row for each histogram that counted something, in a stable order.
 
     With `by`, only histograms with that label.
     """
     return [
-        Row(
+        HistogramRow(
             name,
             ", ".join(f"{label}={value}" for label, value in labels),
             int(max(buckets.values())),
@@ -114,13 +114,13 @@
         yield subtract(later, earlier)
 
 
-def _read(
+def _read_metrics(
     address: str, count: int, every_s: float, sleep: Callable[[float], None]
 ) -> Iterator[str]:
     for reading in range(count):
         if reading:
             sleep(every_s)
-        yield ask_text(address, "/metrics")
+        yield query_text(address, "/metrics")
 
 
 def _iterate_samples(text: str) -> Iterator[tuple[str, dict[str, str], float]]:
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -43,9 +43,9 @@
 
 INCARNATION_BYTES = 8
 DRAIN_POLL_S = 0.05
-HEARTBEATS_TO_NOTICE = 4
+LEAVING_NOTICE_HEARTBEATS = 4
 """Heartbeat periods that other hosts and callers are given to notice that this host leaves."""
-STACK_BYTES = 256 * 1024
+THREAD_STACK_BYTES = 256 * 1024
 """Stack of each thread; hundreds of them wait for callers."""
 
 
@@ -59,7 +59,7 @@
             View(settings.host, self.incarnation, settings.domain, settings.region)
         )
         self._leaving = threading.Event()
-        self._pause = threading.Event()
+        self._poll_pause = threading.Event()
         self._make_tasks(read_secret(Path(settings.security.peer_secret_file)))
 
     @classmethod
@@ -69,7 +69,7 @@
 
     def start(self) -> None:
         """Start every task, or none; raises OSError when an address can't be bound."""
-        parts = (
+        components = (
             self.metrics,
             self.dispatcher,
             self.keys,
@@ -82,9 +82,9 @@
         # Threads of a part that had started would keep the process there, doing nothing: whatever
         # watches over it would take it for alive and start no other.
         with ExitStack() as undo:
-            for part in parts:
-                part.start()
-                undo.callback(part.stop)
+            for component in components:
+                component.start()
+                undo.callback(component.stop)
             undo.pop_all()
         log.info("started", extra={"version": __version__, "callers": self.callers.address})
 
@@ -99,23 +99,25 @@
         """Wait until a signal or an operator asks the daemon to leave."""
         self._leaving.wait()
 
-    def drain(self, is_cut: Callable[[], bool], now: Callable[[], float] = time.monotonic) -> int:
+    def drain(
+        self, is_interrupted: Callable[[], bool], now: Callable[[], float] = time.monotonic
+    ) -> int:
         """Wait for all requests in progress, and give how many were cut.
 
         Each request ends by its own deadline, so the wait is bounded. Until other hosts and
         callers have noticed, new requests are still answered: refused, with when to come back.
         """
-        noticed_at = now() + HEARTBEATS_TO_NOTICE * self.settings.timing.heartbeat_s
+        notice_ends_at = now() + LEAVING_NOTICE_HEARTBEATS * self.settings.timing.heartbeat_s
         warn_at = now() + self.settings.limits.drain_s
-        while (now() < noticed_at or self._is_needed()) and not is_cut():
+        while (now() < notice_ends_at or self._has_pending_work()) and not is_interrupted():
             if now() >= warn_at:
                 warn_at = now() + self.settings.limits.drain_s
                 count = self.count_in_progress()
                 log.warning("still waiting for requests in progress", extra={"count": count})
-            self._pause.wait(DRAIN_POLL_S)
+            self._poll_pause.wait(DRAIN_POLL_S)
         return self.count_in_progress()
 
-    def _is_needed(self) -> bool:
+    def _has_pending_work(self) -> bool:
         """Tell whether requests are in progress here, or callers hold keys that were issued here.
 
         A key whose issuer is gone can't be used: its caller would be told `ran: unknown` of work
@@ -148,15 +150,15 @@
         reporter = Reporter(self.metrics, holder)
         self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
         # What the dispatcher sees of endpoints that end, the control loop tells to other hosts.
-        ends = CrashTracker(settings.quarantine)
-        self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=ends)
-        self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_hold)
-        self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_hold)
-        self.endpoints = EndpointClient.from_settings(settings.limits, reporter.note_stream)
+        tracker = CrashTracker(settings.quarantine)
+        self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
+        self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_store)
+        self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_store)
+        self.endpoints = EndpointClient.from_settings(settings.limits, reporter.report_stream)
         self.gateway = RequestGateway(
             Ports(holder, self.dispatcher, self.endpoints, self.peer_client, self.claims),
             time.monotonic,
-            reporter.note_end,
+            reporter.report_request,
             settings.limits.recorded_answer_bytes,
         )
         self.control = ControlLoop.from_settings(
@@ -166,7 +168,7 @@
             secret=secret,
             fetch_changes=make_fetch(self.peer_client.changes),
             load=self.dispatcher.load,
-            ends=ends,
+            ends=tracker,
         )
         handler = PeerRequests(self.keys, self.gateway, self.control.changes_after)
         self.peer_server = PeerServer(
@@ -184,20 +186,20 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_refusal=reporter.note_refusal,
-            on_left=self._give_up,
+            on_refusal=reporter.report_refusal,
+            on_left=self._cancel_request,
         )
         operations = Operations(
             list_hosts=self.callers.list_hosts,
-            in_progress=self.count_in_progress,
-            queued=self.dispatcher.queued,
+            count_active=self.count_in_progress,
+            count_queued=self.dispatcher.queued,
             render_metrics=self.metrics.render,
             explain=self._explain,
             begin_leaving=self.begin_leaving,
         )
         self.admin = AdminServer(self.settings, self.holder, operations)
 
-    def _give_up(self, request_id: str) -> None:
+    def _cancel_request(self, request_id: str) -> None:
         """End what is left to do for a caller that left before its answer began."""
         self.dispatcher.cancel(request_id)
         self.endpoints.give_up(request_id)
@@ -210,7 +212,7 @@
         found = published.hosts.get(host) if published else None
         return found.peers if found else None
 
-    def _may_hold(self, team: str, profile: str, host: str) -> bool:
+    def _may_store(self, team: str, profile: str, host: str) -> bool:
         """Tell whether data of a team may be held at a host; unknown counts as no."""
         published = self.holder.current.published
         if published is None or host not in published.hosts:
@@ -229,26 +231,28 @@
     signals = _count_signals(daemon)
     daemon.start()
     daemon.wait_for_leave()
-    cut = daemon.drain(lambda: len(signals) > 1)
-    if cut:
-        log.error("requests in progress are cut by a second signal", extra={"count": cut})
+    interrupted_count = daemon.drain(lambda: len(signals) > 1)
+    if interrupted_count:
+        log.error(
+            "requests in progress are cut by a second signal", extra={"count": interrupted_count}
+        )
     daemon.stop()
     log.info("stopped")
-    return 1 if cut else 0
+    return 1 if interrupted_count else 0
 
 
 def _count_signals(daemon: Daemon) -> list[int]:
     """Leave at the first SIGTERM or SIGINT; the list given grows with each signal."""
     signals: list[int] = []
 
-    def take_signal(number: int, frame: object) -> None:
+    def handle_signal(number: int, frame: object) -> None:
         signals.append(number)
         if len(signals) == 1:
             # The handler interrupts the main thread, which may hold a lock that leaving needs.
             threading.Thread(target=daemon.begin_leaving, name="leave").start()
 
-    signal.signal(signal.SIGTERM, take_signal)
-    signal.signal(signal.SIGINT, take_signal)
+    signal.signal(signal.SIGTERM, handle_signal)
+    signal.signal(signal.SIGINT, handle_signal)
     return signals
 
 
@@ -263,7 +267,7 @@
 
     SIGTERM makes it leave: no request in progress is cut. A second SIGTERM cuts what is left.
     """
-    threading.stack_size(STACK_BYTES)
+    threading.stack_size(THREAD_STACK_BYTES)
     try:
         status = run(settings)
     except UserError as error:
--- a/cloverway/dispatch/admission.py
+++ b/cloverway/dispatch/admission.py
@@ -102,7 +102,7 @@
             self.entries.values(),
             key=lambda entry: (
                 -entry.urgency,
-                entry.request.passed_on,
+                entry.request.is_forwarded,
                 self._usage[entry.request.team],
                 entry.request.deadline,
                 entry.entry_id,
@@ -182,7 +182,7 @@
             key=lambda entry: (
                 entry.urgency in protected,
                 entry.urgency,
-                not entry.request.passed_on,
+                not entry.request.is_forwarded,
                 -queued_cost[entry.urgency, entry.request.team],
                 -entry.request.deadline,
                 -entry.entry_id,
--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -24,7 +24,7 @@
 from cloverway.dispatch.tickets import Ticket, Tickets, list_destinations
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import EndpointState, View
-from cloverway.messages import Away, Outcome, Refused, Request, Verdict
+from cloverway.messages import Outcome, Refused, RemoteRoute, Request, Verdict
 
 CAPACITY_RETRY_AFTER_S = 1.0
 """Retry-After where no endpoint is ready: about the delay of a load report."""
@@ -329,8 +329,8 @@
         context: PlacementContext,
     ) -> Decision:
         request = entry.request
-        away = isinstance(candidate.route, Away)
-        assert not (request.passed_on and away), "a passed-on request is never passed on again"
+        away = isinstance(candidate.route, RemoteRoute)
+        assert not (request.is_forwarded and away), "a passed-on request is never passed on again"
         assert candidate.region in context.list_allowed_regions(request), "run in an allowed region"
         assert candidate.name not in entry.tried, "a retry must use another destination"
         queue.admit(entry)
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -10,7 +10,7 @@
 from cloverway.dispatch.tickets import Ticket
 from cloverway.errors import Kind
 from cloverway.membership.view import EndpointState, View
-from cloverway.messages import Local, Outcome, Refused, Request
+from cloverway.messages import LocalRoute, Outcome, Refused, Request
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
 
     def record_outcome(self, ticket: Ticket, outcome: Outcome, view: View, now: float) -> None:
         """Record the outcome of an attempt at an endpoint of this failure domain."""
-        if not isinstance(ticket.candidate.route, Local):
+        if not isinstance(ticket.candidate.route, LocalRoute):
             return
         endpoint_incarnation = f"{ticket.candidate.name}@{ticket.incarnation}"
         digest = ticket.entry.request.compute_digest()
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -11,7 +11,7 @@
 from cloverway.dispatch.policies import PlacementOptions, Policy, Reach
 from cloverway.dispatch.routing import Candidate, Router, make_domain_key
 from cloverway.errors import Kind
-from cloverway.messages import Away, Request
+from cloverway.messages import RemoteRoute, Request
 
 PROBE_DEADLINE_S = 60.0
 """Assumed time until the deadline of an explained request."""
@@ -166,7 +166,7 @@
 def _make_row(candidate: Candidate, chosen: bool, why: str) -> CandidateRow:
     return CandidateRow(
         place=candidate.name.rpartition("/")[2],
-        away=isinstance(candidate.route, Away),
+        away=isinstance(candidate.route, RemoteRoute),
         region=candidate.region,
         free=candidate.free,
         wait_s=round(candidate.wait_s, 4),
@@ -179,7 +179,7 @@
 def _explain_rejection(candidate: Candidate, adjust: Callable[[Candidate], float]) -> str:
     if not candidate.free:
         return "no slot is free"
-    if isinstance(candidate.route, Away):
+    if isinstance(candidate.route, RemoteRoute):
         return f"costs {adjust(candidate):.3f} s with the weight of being sent away"
     return "a higher predicted cost"
 
--- a/cloverway/dispatch/placement.py
+++ b/cloverway/dispatch/placement.py
@@ -45,7 +45,7 @@
 
 def may_be_passed_on(entry: QueueEntry) -> bool:
     """Return whether a request may be passed on to another failure domain at all."""
-    return not entry.request.passed_on and len(entry.tried) <= MAX_PASSES
+    return not entry.request.is_forwarded and len(entry.tried) <= MAX_PASSES
 
 
 class PlacementContext:
@@ -68,7 +68,7 @@
     def find_refusal(self, request: Request) -> Kind | None:
         """Return why a request must be refused at arrival, or None."""
         allowed = self.list_allowed_regions(request)
-        if not allowed or (request.passed_on and self.router.view.region not in allowed):
+        if not allowed or (request.is_forwarded and self.router.view.region not in allowed):
             return Kind.RESIDENCY
         return Kind.DEADLINE if request.deadline <= self.now else None
 
@@ -139,7 +139,7 @@
             return self._classify_no_endpoint(entry)
         if entry.latest_start <= self.now:
             return Kind.DEADLINE
-        too_long = entry.request.passed_on and home.wait_s > MAX_PASSED_ON_WAIT_S
+        too_long = entry.request.is_forwarded and home.wait_s > MAX_PASSED_ON_WAIT_S
         return queue.classify_shortage(entry) if too_long or not home.in_time else None
 
     def _classify_no_endpoint(self, entry: QueueEntry) -> Kind:
--- a/cloverway/dispatch/routing.py
+++ b/cloverway/dispatch/routing.py
@@ -25,7 +25,7 @@
 )
 from cloverway.dispatch.outliers import OutlierDetector
 from cloverway.membership.view import EndpointState, HostState, Summary, View
-from cloverway.messages import Away, Local, Route
+from cloverway.messages import LocalRoute, RemoteRoute, Route
 
 SLOW_START_S = 10.0
 SLOW_START_FRACTION = 0.25
@@ -215,7 +215,7 @@
         self, entry: QueueEntry, allowed: frozenset[str], random: Random
     ) -> list[Candidate]:
         """Return the candidates among other failure domains in allowed regions."""
-        assert not entry.request.passed_on, "a passed-on request is never passed on again"
+        assert not entry.request.is_forwarded, "a passed-on request is never passed on again"
         return [
             candidate
             for capacity in self.catalogue.list_capacities(entry.target)
@@ -276,7 +276,7 @@
         saved_s = full_prefill_s - prefill_s
         return Candidate(
             name=state.name,
-            route=Local(state.name, self.catalogue.published.endpoints[state.name].url),
+            route=LocalRoute(state.name, self.catalogue.published.endpoints[state.name].url),
             region=self.view.region,
             free=free,
             sendable=free or (wait_s < saved_s and assessment.own < assessment.max_in_flight),
@@ -312,7 +312,7 @@
         load = min(1.0, max(0.0, 1 - free / slots))
         yield Candidate(
             name=name,
-            route=Away(capacity.domain, host, self.catalogue.published.hosts[host].peers),
+            route=RemoteRoute(capacity.domain, host, self.catalogue.published.hosts[host].peers),
             region=capacity.region,
             free=summary is not None and room >= 1,
             sendable=True,
--- a/cloverway/dispatch/tickets.py
+++ b/cloverway/dispatch/tickets.py
@@ -12,7 +12,7 @@
 from cloverway.dispatch.limits import HEADROOM
 from cloverway.dispatch.routing import Candidate, LearnedState, make_domain_key, make_host_key
 from cloverway.membership.view import View
-from cloverway.messages import Admitted, Away, Local, Outcome
+from cloverway.messages import Admitted, LocalRoute, Outcome, RemoteRoute
 
 TOLERATED_QUEUE_S = 0.2
 """Minimum delay of the first token that is treated as queueing at the endpoint; the mean slot time
@@ -115,7 +115,7 @@
             self._learn_success(ticket, now)
         elif outcome is not Outcome.CALLER_LEFT:
             self._learn_failure(ticket, outcome, now)
-        if pause_s is not None and isinstance(ticket.candidate.route, Local):
+        if pause_s is not None and isinstance(ticket.candidate.route, LocalRoute):
             self._learned.outliers.record_requested_pause(ticket.candidate.name, pause_s, now)
         return ticket
 
@@ -130,7 +130,7 @@
         took_s = now - ticket.admitted_at
         for name in list_destinations(candidate):
             self._learned.outliers.record_success(name)
-        if isinstance(candidate.route, Local):
+        if isinstance(candidate.route, LocalRoute):
             served_s = max(0.0, took_s - candidate.wait_s)
             self._learned.estimates.record_service(entry.request.profile, served_s)
             self._learned.estimates.record_slot_time(entry.target, served_s)
@@ -152,6 +152,6 @@
 
     A refusal applies to the entire failure domain, a failure only to the host that was used.
     """
-    if isinstance(candidate.route, Away):
+    if isinstance(candidate.route, RemoteRoute):
         return make_domain_key(candidate.route.domain), make_host_key(candidate.route.host)
     return (candidate.name,)
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -263,7 +263,7 @@
     yield first
     try:
         call.connection.wfile.flush()
-        stream.hand_over(call.connection.socket)
+        stream.relay_to(call.connection.socket)
         call.connection.limit_reading(None)
     except Exception as error:
         _cut(call, error)
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -28,7 +28,7 @@
     format_problem,
     make_request_id,
 )
-from cloverway.errors import ANSWERS, Kind, Ran, RequestError
+from cloverway.errors import ERROR_ANSWERS, Kind, Ran, RequestError
 
 log = logging.getLogger(__name__)
 
@@ -246,7 +246,7 @@
     """Answer a request that no thread takes, without waiting for anything, and close."""
     head = conn.rfile.source.pending
     keyless = HEAD_END in head and KEY_NAME not in head.lower()
-    retry_after = RETRY_S if ANSWERS[kind].come_back else None
+    retry_after = RETRY_S if ERROR_ANSWERS[kind].has_retry_after else None
     ran = Ran.NO if keyless else Ran.UNKNOWN
     error = RequestError(kind, detail, ran=ran, retry_after=retry_after)
     with contextlib.suppress(OSError):
--- a/cloverway/errors.py
+++ b/cloverway/errors.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import NamedTuple, TypedDict
 
-DEFAULT_RETRY_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 """When to come back where nothing better is known."""
 
 
@@ -20,7 +20,7 @@
 RAN_ORDER = (Ran.NO, Ran.UNKNOWN, Ran.YES)
 
 
-def take_worse(first: Ran, second: Ran) -> Ran:
+def combine_ran(first: Ran, second: Ran) -> Ran:
     """Give the claim about a run that covers two attempts."""
     return max(first, second, key=RAN_ORDER.index)
 
@@ -59,48 +59,48 @@
     INTERNAL = "internal"
 
 
-class Answer(NamedTuple):
+class ErrorAnswer(NamedTuple):
     """What a caller is told for one kind of error."""
 
     status: int
     title: str
     ran: Ran
-    come_back: bool
+    has_retry_after: bool
     """Whether the answer carries Retry-After."""
 
 
-ANSWERS: dict[Kind, Answer] = {
-    Kind.MALFORMED: Answer(400, "The request is malformed", Ran.NO, False),
-    Kind.UNAUTHENTICATED: Answer(401, "No valid caller key", Ran.NO, False),
-    Kind.FORBIDDEN: Answer(403, "The team may not use this profile", Ran.NO, False),
-    Kind.RESIDENCY: Answer(403, "The data may not leave its region", Ran.NO, False),
-    Kind.NOT_FOUND: Answer(404, "There is no such resource", Ran.NO, False),
-    Kind.METHOD_NOT_ALLOWED: Answer(405, "The method is not allowed here", Ran.NO, False),
-    Kind.TOO_LARGE: Answer(413, "The request is too large", Ran.NO, False),
-    Kind.TOO_SLOW: Answer(408, "The request arrived too slowly", Ran.NO, False),
-    Kind.KEY_REQUIRED: Answer(428, "An idempotency key is required", Ran.NO, False),
-    Kind.KEY_INVALID: Answer(422, "No host issued this idempotency key", Ran.NO, False),
-    Kind.KEY_MISMATCH: Answer(422, "The key belongs to a different request", Ran.NO, False),
-    Kind.KEY_EXPIRED: Answer(409, "The idempotency key has expired", Ran.UNKNOWN, False),
-    Kind.KEY_IN_USE: Answer(409, "The first request with this key goes on", Ran.UNKNOWN, True),
-    Kind.KEY_OWNER_LOST: Answer(
+ERROR_ANSWERS: dict[Kind, ErrorAnswer] = {
+    Kind.MALFORMED: ErrorAnswer(400, "The request is malformed", Ran.NO, False),
+    Kind.UNAUTHENTICATED: ErrorAnswer(401, "No valid caller key", Ran.NO, False),
+    Kind.FORBIDDEN: ErrorAnswer(403, "The team may not use this profile", Ran.NO, False),
+    Kind.RESIDENCY: ErrorAnswer(403, "The data may not leave its region", Ran.NO, False),
+    Kind.NOT_FOUND: ErrorAnswer(404, "There is no such resource", Ran.NO, False),
+    Kind.METHOD_NOT_ALLOWED: ErrorAnswer(405, "The method is not allowed here", Ran.NO, False),
+    Kind.TOO_LARGE: ErrorAnswer(413, "The request is too large", Ran.NO, False),
+    Kind.TOO_SLOW: ErrorAnswer(408, "The request arrived too slowly", Ran.NO, False),
+    Kind.KEY_REQUIRED: ErrorAnswer(428, "An idempotency key is required", Ran.NO, False),
+    Kind.KEY_INVALID: ErrorAnswer(422, "No host issued this idempotency key", Ran.NO, False),
+    Kind.KEY_MISMATCH: ErrorAnswer(422, "The key belongs to a different request", Ran.NO, False),
+    Kind.KEY_EXPIRED: ErrorAnswer(409, "The idempotency key has expired", Ran.UNKNOWN, False),
+    Kind.KEY_IN_USE: ErrorAnswer(409, "The first request with this key goes on", Ran.UNKNOWN, True),
+    Kind.KEY_OWNER_LOST: ErrorAnswer(
         503, "The host that issued the key can't be asked", Ran.UNKNOWN, True
     ),
-    Kind.KEY_SPENT: Answer(409, "It may have run and is never run again", Ran.UNKNOWN, False),
-    Kind.ANSWER_GONE: Answer(409, "It ran; its answer is no longer held", Ran.YES, False),
-    Kind.OVERLOADED: Answer(429, "There is more work than capacity", Ran.NO, True),
-    Kind.TEAM_LIMIT: Answer(429, "The team is over its fair share", Ran.NO, True),
-    Kind.NO_CAPACITY: Answer(503, "No endpoint is ready for this", Ran.NO, True),
-    Kind.QUARANTINED: Answer(503, "Endpoints ended while they ran this request", Ran.NO, True),
-    Kind.STARTING: Answer(503, "This host has no configuration yet", Ran.NO, True),
-    Kind.LEAVING: Answer(503, "This host is leaving", Ran.NO, True),
-    Kind.DEADLINE: Answer(504, "The deadline can't be met", Ran.NO, True),
-    Kind.TIMED_OUT: Answer(504, "No whole answer came in time", Ran.UNKNOWN, False),
-    Kind.ENDPOINT_REFUSED: Answer(503, "The endpoint did not start the request", Ran.NO, True),
-    Kind.ENDPOINT_FAILED: Answer(502, "The endpoint failed", Ran.UNKNOWN, False),
-    Kind.TRUNCATED: Answer(502, "The answer was cut short", Ran.UNKNOWN, False),
-    Kind.CALLER_LEFT: Answer(499, "The caller left", Ran.UNKNOWN, False),
-    Kind.INTERNAL: Answer(500, "The gateway failed", Ran.UNKNOWN, False),
+    Kind.KEY_SPENT: ErrorAnswer(409, "It may have run and is never run again", Ran.UNKNOWN, False),
+    Kind.ANSWER_GONE: ErrorAnswer(409, "It ran; its answer is no longer held", Ran.YES, False),
+    Kind.OVERLOADED: ErrorAnswer(429, "There is more work than capacity", Ran.NO, True),
+    Kind.TEAM_LIMIT: ErrorAnswer(429, "The team is over its fair share", Ran.NO, True),
+    Kind.NO_CAPACITY: ErrorAnswer(503, "No endpoint is ready for this", Ran.NO, True),
+    Kind.QUARANTINED: ErrorAnswer(503, "Endpoints ended while they ran this request", Ran.NO, True),
+    Kind.STARTING: ErrorAnswer(503, "This host has no configuration yet", Ran.NO, True),
+    Kind.LEAVING: ErrorAnswer(503, "This host is leaving", Ran.NO, True),
+    Kind.DEADLINE: ErrorAnswer(504, "The deadline can't be met", Ran.NO, True),
+    Kind.TIMED_OUT: ErrorAnswer(504, "No whole answer came in time", Ran.UNKNOWN, False),
+    Kind.ENDPOINT_REFUSED: ErrorAnswer(503, "The endpoint did not start the request", Ran.NO, True),
+    Kind.ENDPOINT_FAILED: ErrorAnswer(502, "The endpoint failed", Ran.UNKNOWN, False),
+    Kind.TRUNCATED: ErrorAnswer(502, "The answer was cut short", Ran.UNKNOWN, False),
+    Kind.CALLER_LEFT: ErrorAnswer(499, "The caller left", Ran.UNKNOWN, False),
+    Kind.INTERNAL: ErrorAnswer(500, "The gateway failed", Ran.UNKNOWN, False),
 }
 
 
@@ -159,23 +159,23 @@
         super().__init__(f"{kind}: {detail}")
         self.kind = kind
         self.detail = detail
-        self.ran = ran if ran is not None else ANSWERS[kind].ran
+        self.ran = ran if ran is not None else ERROR_ANSWERS[kind].ran
         # A refusal without a time has callers come back at once or never; each one that promises a
         # time gets it here, so that no place that raises can forget it. Where the outcome is not
         # known, a place may mean it: a replaced issuer never knows more, however late one asks.
-        if retry_after is None and self.ran is Ran.NO and ANSWERS[kind].come_back:
-            retry_after = DEFAULT_RETRY_S
+        if retry_after is None and self.ran is Ran.NO and ERROR_ANSWERS[kind].has_retry_after:
+            retry_after = DEFAULT_RETRY_AFTER_S
         self.retry_after = retry_after
         """Seconds until a new attempt makes sense; None for kinds that name no time."""
 
     @property
     def status(self) -> int:
         """The HTTP status of the answer."""
-        return ANSWERS[self.kind].status
+        return ERROR_ANSWERS[self.kind].status
 
     def as_problem(self, request_id: str) -> Problem:
         """Give the body of the answer."""
-        answer = ANSWERS[self.kind]
+        answer = ERROR_ANSWERS[self.kind]
         problem = Problem(
             type=f"urn:cloverway:error:{self.kind}",
             title=answer.title,
--- a/cloverway/exchange.py
+++ b/cloverway/exchange.py
@@ -20,7 +20,7 @@
         """Give the pieces of the body."""
         ...
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket in chunked framing, without the last chunk.
 
         Returns when the whole body was copied. Raises RequestError when it was cut, and with
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -13,28 +13,30 @@
 from cloverway.config.published import Published
 from cloverway.config.schema import Profile
 from cloverway.dispatch import residency
-from cloverway.errors import EndpointLostError, Kind, Ran, RequestError, take_worse
+from cloverway.errors import EndpointLostError, Kind, Ran, RequestError, combine_ran
 from cloverway.exchange import Reply
 from cloverway.membership.view import ViewHolder
-from cloverway.messages import Admitted, Away, Local, Outcome, Refused, Request, Verdict
+from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
 from cloverway.upstream.streams import RecordedStream, WatchedStream
 
 log = logging.getLogger(__name__)
 
-Check = Callable[[], None]
+PreSendCheck = Callable[[], None]
 
-SETTLED = {Ran.NO: Outcome.NOT_SENT, Ran.UNKNOWN: Outcome.FAILED, Ran.YES: Outcome.DONE}
+SETTLEMENT_OUTCOMES = {Ran.NO: Outcome.NOT_SENT, Ran.UNKNOWN: Outcome.FAILED, Ran.YES: Outcome.DONE}
 """What the issuer of a key is told, by what is known of the run."""
 
-SAFE_KINDS = frozenset({Kind.ENDPOINT_REFUSED, Kind.LEAVING, Kind.STARTING, Kind.NO_CAPACITY})
+NOT_STARTED_KINDS = frozenset(
+    {Kind.ENDPOINT_REFUSED, Kind.LEAVING, Kind.STARTING, Kind.NO_CAPACITY}
+)
 """Refusals before the start, after which another endpoint may be tried for any profile."""
 
-FAILED_KINDS = frozenset({Kind.ENDPOINT_FAILED, Kind.TRUNCATED})
+IDEMPOTENT_RETRY_KINDS = frozenset({Kind.ENDPOINT_FAILED, Kind.TRUNCATED})
 """Failures after the start, after which only an idempotent request is tried again."""
 
 
-class Record(NamedTuple):
+class RequestRecord(NamedTuple):
     """What is logged and measured of one request, when it has ended."""
 
     request: Request
@@ -96,7 +98,7 @@
         idempotent: bool,
         gap_s: float,
         priority: int,
-        check: Check,
+        check: PreSendCheck,
     ) -> Reply:
         """Send and give the answer's head or whole; raise RequestError with `ran` set."""
         ...
@@ -135,29 +137,29 @@
         self,
         ports: Ports,
         clock: Callable[[], float],
-        observe: Callable[[Record], None],
-        recorded_bytes: int,
+        observe: Callable[[RequestRecord], None],
+        max_recorded_bytes: int,
     ) -> None:
         self.ports = ports
         self.clock = clock
         self.observe = observe
-        self.recorded_bytes = recorded_bytes
+        self.max_recorded_bytes = max_recorded_bytes
 
     def run(self, request: Request) -> Reply:
         """Run a request to the head of its answer; raise RequestError with the truth on `ran`."""
-        course = _Course(self, request)
+        request_run = _RequestRun(self, request)
         try:
-            return course.run()
+            return request_run.run()
         except RequestError as error:
-            course.end(error)
+            request_run.end(error)
             raise
         except Exception as error:
             log.exception("a request failed inside the gateway", extra={"request_id": request.id})
-            course.end(RequestError(Kind.INTERNAL))
+            request_run.end(RequestError(Kind.INTERNAL))
             raise RequestError(Kind.INTERNAL) from error
 
 
-class _Course:
+class _RequestRun:
     """The state of one request while its worker runs it."""
 
     def __init__(self, gateway: RequestGateway, request: Request) -> None:
@@ -166,19 +168,19 @@
         self.grant: Granted | None = None
         # An earlier request with the same key may have run: until its issuer was asked, "no" could
         # make the caller do the work again under another key.
-        self.ran = Ran.UNKNOWN if request.key and not request.passed_on else Ran.NO
-        self.record = Record(request)
+        self.ran = Ran.UNKNOWN if request.key and not request.is_forwarded else Ran.NO
+        self.record = RequestRecord(request)
         self.ended = False
 
     def run(self) -> Reply:
         published = self._get_published()
-        if self.request.passed_on:
+        if self.request.is_forwarded:
             residency.check_region_allowed(published, self.request, self._get_region())
         profile = published.profiles.get(self.request.profile)
         if profile is None:
             raise RequestError(Kind.FORBIDDEN, "the profile is not published")
         self.ran = Ran.NO
-        if self.request.key and not profile.idempotent and not self.request.passed_on:
+        if self.request.key and not profile.idempotent and not self.request.is_forwarded:
             claimed = self.gateway.ports.claims.claim(self.request)
             if isinstance(claimed, Replayed):
                 self.end(None)
@@ -186,7 +188,7 @@
             self.grant = claimed
         verdict: Verdict | None = self.gateway.ports.router.submit(self.request)
         while True:
-            admitted = self._take(verdict)
+            admitted = self._accept(verdict)
             try:
                 reply = self._attempt(admitted, profile)
             except RequestError as error:
@@ -206,10 +208,10 @@
             return
         self.ended = True
         if error is not None:
-            error.ran = take_worse(self.ran, error.ran)
+            error.ran = combine_ran(self.ran, error.ran)
         ran = error.ran if error is not None else Ran.YES
         if self.grant is not None:
-            self.gateway.ports.claims.settle(self.grant, SETTLED[ran], reply)
+            self.gateway.ports.claims.settle(self.grant, SETTLEMENT_OUTCOMES[ran], reply)
         total_s = self.gateway.clock() - self.request.arrived_at
         kind = error.kind if error is not None else None
         self.gateway.observe(self.record._replace(total_s=total_s, kind=kind, ran=ran))
@@ -223,7 +225,7 @@
     def _get_region(self) -> str:
         return self.gateway.ports.holder.current.region
 
-    def _take(self, verdict: Verdict | None) -> Admitted:
+    def _accept(self, verdict: Verdict | None) -> Admitted:
         assert verdict is not None
         if isinstance(verdict, Refused):
             raise verdict.as_error()
@@ -232,16 +234,18 @@
         if self.record.attempts == 0:
             self.record = self.record._replace(queue_s=queue_s)
         route = verdict.route
-        endpoint = route.endpoint if isinstance(route, Local) else f"{route.domain}/{route.host}"
+        endpoint = (
+            route.endpoint if isinstance(route, LocalRoute) else f"{route.domain}/{route.host}"
+        )
         self.record = self.record._replace(attempts=attempts, endpoint=endpoint)
         return verdict
 
     def _attempt(self, admitted: Admitted, profile: Profile) -> Reply:
         gateway = self.gateway
         route = admitted.route
-        if isinstance(route, Away):
-            assert not self.request.passed_on, "a passed-on request is never passed on again"
-            self._check(route.domain)
+        if isinstance(route, RemoteRoute):
+            assert not self.request.is_forwarded, "a passed-on request is never passed on again"
+            self._check_before_send(route.domain)
             return gateway.ports.peers.run(
                 route.host,
                 route.address,
@@ -255,10 +259,10 @@
             idempotent=profile.idempotent,
             gap_s=profile.gap_ms / 1000,
             priority=int(profile.priority),
-            check=lambda: self._check(gateway.ports.holder.current.domain),
+            check=lambda: self._check_before_send(gateway.ports.holder.current.domain),
         )
 
-    def _check(self, domain: str) -> None:
+    def _check_before_send(self, domain: str) -> None:
         """Refuse just before the first byte leaves what may no longer be run.
 
         A process that was paused wakes up here: its deadline has passed or its right to use the
@@ -277,9 +281,9 @@
         self, admitted: Admitted, profile: Profile, error: RequestError
     ) -> Verdict | None:
         """Report a failed attempt; give another route, or None when the error is final."""
-        self.ran = take_worse(self.ran, error.ran)
-        not_run = error.ran is Ran.NO and error.kind in SAFE_KINDS
-        failed = profile.idempotent and error.kind in FAILED_KINDS
+        self.ran = combine_ran(self.ran, error.ran)
+        not_run = error.ran is Ran.NO and error.kind in NOT_STARTED_KINDS
+        failed = profile.idempotent and error.kind in IDEMPOTENT_RETRY_KINDS
         outcome = _choose_outcome(error)
         now = self.gateway.clock()
         retry = (not_run or failed) and now < self.request.deadline
@@ -295,19 +299,19 @@
         self.record = self.record._replace(first_byte_s=now - self.request.arrived_at)
         reply = self._add_headers(reply)
         if reply.stream is None:
-            self._finish_whole(admitted, None, reply)
+            self._finish_answer(admitted, None, reply)
             return reply
 
         def end_stream(error: RequestError | None, body: bytes | None = None) -> None:
             whole = reply._replace(stream=None, body=body) if body is not None else None
-            self._finish_whole(admitted, error, whole)
+            self._finish_answer(admitted, error, whole)
 
         if self.grant is not None:
-            recorded = RecordedStream(reply.stream, self.gateway.recorded_bytes, end_stream)
+            recorded = RecordedStream(reply.stream, self.gateway.max_recorded_bytes, end_stream)
             return reply._replace(stream=recorded)
         return reply._replace(stream=WatchedStream(reply.stream, end_stream))
 
-    def _finish_whole(
+    def _finish_answer(
         self, admitted: Admitted, error: RequestError | None, reply: Reply | None
     ) -> None:
         outcome = Outcome.DONE if error is None else _choose_outcome(error, started=True)
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -21,15 +21,15 @@
 from cloverway.errors import RequestError
 from cloverway.upstream.framing import BodyParser, ChunkedBody, EventStream, LengthBody
 
-MICROSECONDS = 1_000_000
-LONGEST_US = 600 * MICROSECONDS
-DIGITS = 3
+US_PER_SECOND = 1_000_000
+MAX_RECORDED_US = 600 * US_PER_SECOND
+SIGNIFICANT_DIGITS = 3
 READ_BYTES = 64 * 1024
 HEAD_END = b"\r\n\r\n"
-WHOLE = "whole"
-CUT = "cut"
-UNREACHED = "unreached"
-LATE = "late"
+COMPLETE = "whole"
+TRUNCATED = "cut"
+UNREACHABLE = "unreached"
+TIMED_OUT = "late"
 
 
 class Target(NamedTuple):
@@ -46,7 +46,7 @@
     headers: Mapping[str, str]
 
 
-class Plan(NamedTuple):
+class LoadPlan(NamedTuple):
     """The size of a load; both its count and its time are bounded."""
 
     streams: int
@@ -65,67 +65,67 @@
         return self.streams / (self.tokens * self.token_s)
 
 
-class Figures:
+class LoadStats:
     """What the callers of one target saw. Times are microseconds."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
-        self.first = HdrHistogram(1, LONGEST_US, DIGITS)
-        self.gaps = HdrHistogram(1, LONGEST_US, DIGITS)
+        self.first_token = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
+        self.token_gaps = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
         self.tokens = 0
 
-    def note_first(self, seconds: float) -> None:
+    def record_first_token(self, seconds: float) -> None:
         """Count the time to a first token."""
-        self.first.record_value(max(1, round(seconds * MICROSECONDS)))
+        self.first_token.record_value(max(1, round(seconds * US_PER_SECOND)))
 
-    def note_gap(self, seconds: float) -> None:
+    def record_token_gap(self, seconds: float) -> None:
         """Count the time between two tokens."""
-        self.gaps.record_value(max(1, round(seconds * MICROSECONDS)))
+        self.token_gaps.record_value(max(1, round(seconds * US_PER_SECOND)))
 
 
-def schedule_arrivals(plan: Plan, targets: int, random: Random) -> Iterator[tuple[float, int]]:
+def schedule_arrivals(plan: LoadPlan, targets: int, random: Random) -> Iterator[tuple[float, int]]:
     """Give (seconds from the start, target) of each arrival, as a Poisson process."""
     rate = plan.arrivals_per_s * targets
     at = 0.0
-    for turn in itertools.cycle(range(targets)):
+    for target_index in itertools.cycle(range(targets)):
         at += random.expovariate(rate)
         if at >= plan.seconds:
             return
-        yield at, turn
+        yield at, target_index
 
 
-def run_load(targets: Sequence[Target], plan: Plan, random: Random) -> list[Figures]:
+def run_load(targets: Sequence[Target], plan: LoadPlan, random: Random) -> list[LoadStats]:
     """Run a load to its end and give the figures of each target."""
     return asyncio.run(_run_all(targets, plan, random))
 
 
-async def _run_all(targets: Sequence[Target], plan: Plan, random: Random) -> list[Figures]:
-    figures = [Figures() for _ in targets]
-    begin = time.monotonic()
+async def _run_all(targets: Sequence[Target], plan: LoadPlan, random: Random) -> list[LoadStats]:
+    stats = [LoadStats() for _ in targets]
+    started_at = time.monotonic()
     addresses = [itertools.cycle(target.addresses) for target in targets]
     running = []
-    for at, turn in schedule_arrivals(plan, len(targets), random):
-        await asyncio.sleep(max(0.0, begin + at - time.monotonic()))
-        call = _Call(next(addresses[turn]), targets[turn].headers)
-        running.append(asyncio.create_task(_run_one(call, plan, figures[turn])))
+    for at, target_index in schedule_arrivals(plan, len(targets), random):
+        await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
+        call = _Call(next(addresses[target_index]), targets[target_index].headers)
+        running.append(asyncio.create_task(_run_one(call, plan, stats[target_index])))
     await asyncio.gather(*running)
-    return figures
+    return stats
 
 
-async def _run_one(call: _Call, plan: Plan, figures: Figures) -> None:
+async def _run_one(call: _Call, plan: LoadPlan, stats: LoadStats) -> None:
     try:
-        outcome = await asyncio.wait_for(_stream(call, plan, figures), plan.timeout_s)
+        outcome = await asyncio.wait_for(_stream(call, plan, stats), plan.timeout_s)
     except TimeoutError:
-        outcome = LATE
+        outcome = TIMED_OUT
     except (OSError, asyncio.IncompleteReadError):
-        outcome = UNREACHED
+        outcome = UNREACHABLE
     except (RequestError, ValueError):
-        outcome = CUT
-    figures.outcomes[outcome] += 1
+        outcome = TRUNCATED
+    stats.outcomes[outcome] += 1
 
 
-async def _stream(call: _Call, plan: Plan, figures: Figures) -> str:
-    begin = time.monotonic()
+async def _stream(call: _Call, plan: LoadPlan, stats: LoadStats) -> str:
+    started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(*split_address(call.address))
     try:
         writer.write(_make_request(call, plan))
@@ -133,35 +133,35 @@
         status = int(head.split(b" ", 2)[1])
         if status != 200:
             return f"status {status}"
-        return await _read_events(reader, _make_parser(head), figures, begin)
+        return await _read_events(reader, _make_parser(head), stats, started_at)
     finally:
         writer.close()
 
 
 async def _read_events(
-    reader: asyncio.StreamReader, body: BodyParser, figures: Figures, begin: float
+    reader: asyncio.StreamReader, body: BodyParser, stats: LoadStats, started_at: float
 ) -> str:
     events = EventStream(body)
-    seen, last = 0, begin
+    seen, last = 0, started_at
     while not events.whole:
         data = await reader.read(READ_BYTES)
         if not data:
-            return CUT
+            return TRUNCATED
         events.feed(data)
         fresh = events.tokens - seen
         if not fresh:
             continue
         now = time.monotonic()
         if seen:
-            figures.note_gap((now - last) / fresh)
+            stats.record_token_gap((now - last) / fresh)
         else:
-            figures.note_first(now - begin)
-        figures.tokens += fresh
+            stats.record_first_token(now - started_at)
+        stats.tokens += fresh
         seen, last = events.tokens, now
-    return WHOLE
+    return COMPLETE
 
 
-def _make_request(call: _Call, plan: Plan) -> bytes:
+def _make_request(call: _Call, plan: LoadPlan) -> bytes:
     messages = [{"role": "user", "content": plan.prompt}]
     document = {"messages": messages, "max_tokens": plan.tokens, "stream": True}
     body = json.dumps({**document, "model": plan.model} if plan.model else document).encode()
--- a/cloverway/logs.py
+++ b/cloverway/logs.py
@@ -8,8 +8,8 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
-RENAMED = {"asctime": "time", "levelname": "level", "name": "logger"}
+LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
+FIELD_NAMES = {"asctime": "time", "levelname": "level", "name": "logger"}
 QUIET_LOGGERS = ("urllib3",)
 
 
@@ -30,8 +30,8 @@
 def make_formatter(host: str, incarnation: str) -> JsonFormatter:
     """Give the formatter of all lines."""
     return JsonFormatter(
-        FIELDS,
-        rename_fields=RENAMED,
+        LOG_FORMAT,
+        rename_fields=FIELD_NAMES,
         static_fields={"host": host, "incarnation": incarnation},
         json_default=repr,
     )
--- a/cloverway/messages.py
+++ b/cloverway/messages.py
@@ -25,7 +25,7 @@
     stream: bool = False
     key: str = ""
     """The idempotency key, or empty."""
-    passed_on: bool = False
+    is_forwarded: bool = False
     """Came from another host: run here or refused, never passed on again."""
     revision: int = 0
     """Configuration revision by which the first host admitted it."""
@@ -36,14 +36,14 @@
         return compute_digest(who, self.body)
 
 
-class Local(NamedTuple):
+class LocalRoute(NamedTuple):
     """Run at an endpoint of this failure domain."""
 
     endpoint: str
     url: str
 
 
-class Away(NamedTuple):
+class RemoteRoute(NamedTuple):
     """Pass on to a host of another failure domain."""
 
     domain: str
@@ -51,7 +51,7 @@
     address: str
 
 
-Route = Local | Away
+Route = LocalRoute | RemoteRoute
 
 
 class Outcome(StrEnum):
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -21,20 +21,20 @@
 from cloverway.membership.view import View, ViewHolder
 from cloverway.operations.metrics import Gauge
 
-METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-BODY_BYTES = 64 * 1024
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+MAX_BODY_BYTES = 64 * 1024
 BODY_TIMEOUT_S = 5.0
-RETRY_S = 1.0
-WAITING = 64
-IDLE = 64
+RETRY_AFTER_S = 1.0
+MAX_WAITING_CONNECTIONS = 64
+MAX_IDLE_CONNECTIONS = 64
 
 
 class Operations(NamedTuple):
     """What the other parts of the daemon offer to operators."""
 
     list_hosts: Callable[[], HostList]
-    in_progress: Callable[[], int]
-    queued: Callable[[], int]
+    count_active: Callable[[], int]
+    count_queued: Callable[[], int]
     """Counts the requests that wait for an endpoint."""
     render_metrics: Callable[[Sequence[Gauge]], bytes]
     explain: Callable[[str, str], Mapping[str, Any]]
@@ -56,16 +56,21 @@
         self._operations = operations
         self._clock = clock
         self._paths: Mapping[str, tuple[str, Callable[[Call], Reply]]] = {
-            "/healthz": ("GET", self._give_health),
-            "/readyz": ("GET", self._give_readiness),
-            "/metrics": ("GET", self._give_metrics),
-            "/v1/hosts": ("GET", self._give_hosts),
-            "/v1/status": ("GET", self._give_status),
+            "/healthz": ("GET", self._answer_health),
+            "/readyz": ("GET", self._answer_readiness),
+            "/metrics": ("GET", self._answer_metrics),
+            "/v1/hosts": ("GET", self._answer_hosts),
+            "/v1/status": ("GET", self._answer_status),
             "/v1/explain": ("POST", self._explain),
             "/v1/drain": ("POST", self._drain),
         }
-        responder = Responder(settings.host, self._handle, BODY_BYTES)
-        bounds = Bounds(settings.limits.admin_threads, WAITING, IDLE, settings.limits.header_bytes)
+        responder = Responder(settings.host, self._handle, MAX_BODY_BYTES)
+        bounds = Bounds(
+            settings.limits.admin_threads,
+            MAX_WAITING_CONNECTIONS,
+            MAX_IDLE_CONNECTIONS,
+            settings.limits.header_bytes,
+        )
         self._listener = Listener(
             settings.listen.admin, responder.make_application(), bounds, "admin"
         )
@@ -86,32 +91,32 @@
     def _handle(self, call: Call) -> Reply:
         if call.path not in self._paths:
             raise RequestError(Kind.NOT_FOUND, f"use one of {', '.join(self._paths)}")
-        method, give = self._paths[call.path]
+        method, answer = self._paths[call.path]
         require_method(call, method)
-        return give(call)
+        return answer(call)
 
-    def _give_health(self, call: Call) -> Reply:
+    def _answer_health(self, call: Call) -> Reply:
         return make_json_reply({"healthy": True})
 
-    def _give_readiness(self, call: Call) -> Reply:
+    def _answer_readiness(self, call: Call) -> Reply:
         view = self._holder.current
         if view.leaving:
             raise RequestError(Kind.LEAVING)
         if not view.ready:
-            raise RequestError(Kind.STARTING, retry_after=RETRY_S)
+            raise RequestError(Kind.STARTING, retry_after=RETRY_AFTER_S)
         return make_json_reply({"ready": True})
 
-    def _give_metrics(self, call: Call) -> Reply:
-        gauges = list(make_gauges(self._holder.current, self._operations.in_progress()))
-        return Reply(200, METRICS_TYPE, self._operations.render_metrics(gauges))
+    def _answer_metrics(self, call: Call) -> Reply:
+        gauges = list(make_gauges(self._holder.current, self._operations.count_active()))
+        return Reply(200, METRICS_CONTENT_TYPE, self._operations.render_metrics(gauges))
 
-    def _give_hosts(self, call: Call) -> Reply:
+    def _answer_hosts(self, call: Call) -> Reply:
         return make_json_reply(self._operations.list_hosts())
 
-    def _give_status(self, call: Call) -> Reply:
+    def _answer_status(self, call: Call) -> Reply:
         view, now = self._holder.current, self._clock()
         operations = self._operations
-        status = describe_status(view, operations.in_progress(), operations.queued(), now)
+        status = describe_status(view, operations.count_active(), operations.count_queued(), now)
         return make_json_reply(status)
 
     def _explain(self, call: Call) -> Reply:
@@ -125,11 +130,11 @@
         self._read_body(call)
         self._operations.begin_leaving()
         return make_json_reply(
-            {"leaving": True, "in_progress": self._operations.in_progress()}, 202
+            {"leaving": True, "in_progress": self._operations.count_active()}, 202
         )
 
     def _read_body(self, call: Call) -> bytes:
-        return call.read_body(BODY_BYTES, BODY_TIMEOUT_S)
+        return call.read_body(MAX_BODY_BYTES, BODY_TIMEOUT_S)
 
 
 def describe_status(view: View, in_progress: int, queued: int, now: float) -> dict[str, Any]:
@@ -145,25 +150,25 @@
         "platform_stale": view.platform_stale,
         "in_progress": in_progress,
         "queued": queued,
-        "hosts": [_describe(host, now) for host in view.hosts.values()],
-        "endpoints": [_describe(endpoint, now) for endpoint in view.endpoints.values()],
-        "summaries": [_describe(summary, now) for summary in view.summaries.values()],
+        "hosts": [_describe_state(host, now) for host in view.hosts.values()],
+        "endpoints": [_describe_state(endpoint, now) for endpoint in view.endpoints.values()],
+        "summaries": [_describe_state(summary, now) for summary in view.summaries.values()],
     }
 
 
-AGES = {"heard_at": "heard_s_ago", "reported_at": "reported_s_ago", "at": "heard_s_ago"}
-AGES["started_at"] = "started_s_ago"
+AGE_FIELDS = {"heard_at": "heard_s_ago", "reported_at": "reported_s_ago", "at": "heard_s_ago"}
+AGE_FIELDS["started_at"] = "started_s_ago"
 
 
-def _describe(state: Any, now: float) -> dict[str, Any]:
+def _describe_state(state: Any, now: float) -> dict[str, Any]:
     return dict(_iterate_fields(state._asdict(), now))
 
 
 def _iterate_fields(fields: Mapping[str, Any], now: float) -> Iterator[tuple[str, Any]]:
     for name, value in fields.items():
-        if name in AGES:
+        if name in AGE_FIELDS:
             # JSON has no infinity, which stands for what was never heard.
-            yield AGES[name], round(now - value, 3) if value > float("-inf") else None
+            yield AGE_FIELDS[name], round(now - value, 3) if value > float("-inf") else None
         else:
             yield name, value
 
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -23,7 +23,7 @@
     *(1.0, 1.5, 2.5, 5.0, 10.0, 20.0, 30.0, 60.0, 300.0),
 )
 """Upper bounds of the buckets of times, in seconds."""
-ENDPOINT_LABELS = 512
+MAX_ENDPOINT_LABELS = 512
 """Endpoints and failure domains with a label of their own; all further ones share one."""
 OTHER_ENDPOINTS = "_other"
 UNKNOWN_CLASS = "_unknown"
@@ -69,15 +69,15 @@
     gauges: Sequence[Gauge]
 
 
-class _Family:
+class _HistogramPair:
     """One histogram by class and the same one by tenant."""
 
     def __init__(
-        self, registry: aioprometheus.Registry, name: str, what: str, bounds: Sequence[float]
+        self, registry: aioprometheus.Registry, name: str, help_text: str, bounds: Sequence[float]
     ) -> None:
         self.bounds = bounds
-        self.by_class = self._make(registry, f"cloverway_class_{name}", f"{what}, by class")
-        self.by_tenant = self._make(registry, f"cloverway_tenant_{name}", f"{what}, by tenant")
+        self.by_class = self._make(registry, f"cloverway_class_{name}", f"{help_text}, by class")
+        self.by_tenant = self._make(registry, f"cloverway_tenant_{name}", f"{help_text}, by tenant")
 
     def observe(self, urgency: str, tenant: str, seconds: float) -> None:
         """Count one time."""
@@ -94,10 +94,12 @@
         self.by_tenant.values.pop({"tenant": tenant}, None)
 
     def _make(
-        self, registry: aioprometheus.Registry, name: str, what: str
+        self, registry: aioprometheus.Registry, name: str, help_text: str
     ) -> aioprometheus.Histogram:
         # Without a registry of our own it would go into the library's global one.
-        return aioprometheus.Histogram(name, what, registry=registry, buckets=list(self.bounds))
+        return aioprometheus.Histogram(
+            name, help_text, registry=registry, buckets=list(self.bounds)
+        )
 
     def _merge(
         self,
@@ -124,7 +126,7 @@
         self._labels = TenantLabels(clock())
         self._endpoints: set[str] = set()
         self._registry = aioprometheus.Registry()
-        self._make_families(gap_bounds_s)
+        self._make_histograms(gap_bounds_s)
         self._make_counters()
         self._gauges: dict[str, aioprometheus.Gauge] = {}
         self._task = Task("metrics", self._handle, self._tick, period_s=1.0)
@@ -137,7 +139,7 @@
         """Stop the task after what was sent to it."""
         self._task.stop()
 
-    def note(self, ended: RequestEnded | StreamEnded) -> None:
+    def record(self, ended: RequestEnded | StreamEnded) -> None:
         """Send an observation; never waits."""
         self._task.send(ended)
 
@@ -146,24 +148,24 @@
         text: bytes = self._task.ask(_Render(gauges), RENDER_TIMEOUT_S)
         return text
 
-    def _make_families(self, gap_bounds_s: Sequence[float]) -> None:
+    def _make_histograms(self, gap_bounds_s: Sequence[float]) -> None:
         registry = self._registry
-        self._first = _Family(
+        self._first = _HistogramPair(
             registry,
             "first_token_seconds",
             "Time from arrival to the first byte of the answer",
             TIME_BOUNDS_S,
         )
-        self._gap = _Family(
+        self._gap = _HistogramPair(
             registry,
             "token_gap_seconds",
             "Time between tokens of a stream",
             gap_bounds_s,
         )
-        self._total = _Family(
+        self._total = _HistogramPair(
             registry, "request_seconds", "Time from arrival to the end", TIME_BOUNDS_S
         )
-        self._queue = _Family(
+        self._queue = _HistogramPair(
             registry, "queue_seconds", "Time from arrival to the first route", TIME_BOUNDS_S
         )
 
@@ -175,26 +177,26 @@
         )
         self._tokens = self._make_counter("tokens_total", "Tokens of streams")
 
-    def _make_counter(self, name: str, what: str) -> aioprometheus.Counter:
-        return aioprometheus.Counter(f"cloverway_{name}", what, registry=self._registry)
+    def _make_counter(self, name: str, help_text: str) -> aioprometheus.Counter:
+        return aioprometheus.Counter(f"cloverway_{name}", help_text, registry=self._registry)
 
     def _handle(self, message: Any, answer: Future[Any]) -> None:
         match message:
             case RequestEnded():
-                self._note_request(message)
+                self._record_request(message)
                 answer.set_result(None)
             case StreamEnded():
-                self._note_stream(message)
+                self._record_stream(message)
                 answer.set_result(None)
             case _Render(gauges):
                 answer.set_result(self._render(gauges))
 
     def _tick(self) -> None:
         for tenant in self._labels.review(self._clock()):
-            for family in (self._first, self._gap, self._total, self._queue):
-                family.drop_tenant(tenant)
+            for pair in (self._first, self._gap, self._total, self._queue):
+                pair.drop_tenant(tenant)
 
-    def _note_request(self, ended: RequestEnded) -> None:
+    def _record_request(self, ended: RequestEnded) -> None:
         kind = str(ended.kind) if ended.kind is not None else SUCCESS
         urgency = ended.urgency or UNKNOWN_CLASS
         self._requests.inc({"class": urgency, "kind": kind, "ran": str(ended.ran)})
@@ -211,7 +213,7 @@
         if ended.first_byte_s is not None:
             self._first.observe(urgency, tenant, ended.first_byte_s)
 
-    def _note_stream(self, ended: StreamEnded) -> None:
+    def _record_stream(self, ended: StreamEnded) -> None:
         urgency = ended.urgency or UNKNOWN_CLASS
         self._tokens.add({"class": urgency}, ended.tokens)
         tenant = self._labels.get(ended.team)
@@ -220,7 +222,7 @@
     def _label_endpoint(self, endpoint: str) -> str:
         """Give the label of an endpoint here, or of the failure domain of one elsewhere."""
         label = endpoint.partition("/")[0] + "/" if "/" in endpoint else endpoint
-        if label not in self._endpoints and len(self._endpoints) >= ENDPOINT_LABELS:
+        if label not in self._endpoints and len(self._endpoints) >= MAX_ENDPOINT_LABELS:
             return OTHER_ENDPOINTS
         self._endpoints.add(label)
         return label
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -17,10 +17,10 @@
 
 log = logging.getLogger(__name__)
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
-class Ended(Protocol):
+class EndedRequest(Protocol):
     """What the gateway knows of a request that has ended. Times are seconds."""
 
     @property
@@ -41,7 +41,7 @@
     def ran(self) -> Ran: ...  # noqa: D102
 
 
-class Gaps(Protocol):
+class EndedStream(Protocol):
     """What the relay knows of a stream that has ended."""
 
     @property
@@ -59,7 +59,7 @@
         self._metrics = metrics
         self._holder = holder
 
-    def note_end(self, ended: Ended) -> None:
+    def report_request(self, ended: EndedRequest) -> None:
         """Report a request that the gateway has run or refused."""
         request = ended.request
         first_ms = _to_ms(ended.first_byte_s) if ended.first_byte_s is not None else None
@@ -77,10 +77,10 @@
                 "total_ms": _to_ms(ended.total_s),
                 "outcome": str(ended.kind or "ok"),
                 "ran": str(ended.ran),
-                "passed_on": request.passed_on,
+                "passed_on": request.is_forwarded,
             },
         )
-        self._metrics.note(
+        self._metrics.record(
             RequestEnded(
                 team=request.team,
                 urgency=self._find_urgency(request.profile),
@@ -94,7 +94,7 @@
             )
         )
 
-    def note_refusal(self, refusal: Refusal) -> None:
+    def report_refusal(self, refusal: Refusal) -> None:
         """Report a request that was refused before the gateway saw it."""
         log.info(
             "request",
@@ -109,7 +109,7 @@
                 "ran": str(refusal.ran),
             },
         )
-        self._metrics.note(
+        self._metrics.record(
             RequestEnded(
                 team=refusal.team,
                 urgency=self._find_urgency(refusal.profile),
@@ -119,10 +119,10 @@
             )
         )
 
-    def note_stream(self, request: Request, gaps: Gaps) -> None:
+    def report_stream(self, request: Request, gaps: EndedStream) -> None:
         """Report the tokens of a stream that has ended."""
         urgency = self._find_urgency(request.profile)
-        self._metrics.note(
+        self._metrics.record(
             StreamEnded(request.team, urgency, gaps.tokens, gaps.gaps, gaps.gap_sum_s)
         )
 
@@ -133,4 +133,4 @@
 
 
 def _to_ms(seconds: float) -> float:
-    return round(seconds * MILLISECONDS, 1)
+    return round(seconds * MS_PER_SECOND, 1)
--- a/cloverway/peers/passed_on.py
+++ b/cloverway/peers/passed_on.py
@@ -74,7 +74,7 @@
             deadline=base + call.left_s,
             stream=call.stream,
             key=call.key,
-            passed_on=True,
+            is_forwarded=True,
             revision=call.revision,
         )
 
--- a/cloverway/peers/peer_stream.py
+++ b/cloverway/peers/peer_stream.py
@@ -46,7 +46,7 @@
                 raise RequestError(Kind.TRUNCATED, "the answer is too large", ran=Ran.UNKNOWN)
         return b"".join(pieces)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller in chunked framing, without the last chunk."""
         watched = not isinstance(caller, ssl.SSLSocket)
         while not self._ended:
--- a/cloverway/serving/requests/course.py
+++ b/cloverway/serving/requests/course.py
@@ -14,7 +14,7 @@
 from cloverway.core.calls import Call
 from cloverway.core.deployment import Route, Service
 from cloverway.core.prediction import RoutedCall
-from cloverway.errors import Kind, Ran, RequestError, take_worse
+from cloverway.errors import Kind, Ran, RequestError, combine_ran
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
 from cloverway.serving.http.client import ResponseError
@@ -161,7 +161,7 @@
         If the time of the route ends while the answer is awaited, a refusal would otherwise say
         "not run" of a request that its endpoint is working on.
         """
-        self.ran = take_worse(self.ran, Ran.UNKNOWN)
+        self.ran = combine_ran(self.ran, Ran.UNKNOWN)
 
     # Answers
 
--- a/cloverway/tests/bench_gateway.py
+++ b/cloverway/tests/bench_gateway.py
@@ -9,7 +9,7 @@
 import sys
 
 from cloverway.commands import bench
-from cloverway.load import Plan, Target
+from cloverway.load import LoadPlan, Target
 from cloverway.tests.standins.fleet import Fleet
 from cloverway.tests.standins.topology import MODEL, Topology, key_of
 
@@ -39,11 +39,11 @@
         direct = tuple(url.removeprefix("http://") for url in engines)
         targets = [Target("gateway", (host.callers,), headers), Target("direct", direct)]
         for streams in sizes:
-            plan = Plan(streams, SECONDS, TOKENS, TOKEN_S, model=MODEL)
-            figures, spent = bench.bench(targets, plan, streams, [pid])
+            plan = LoadPlan(streams, SECONDS, TOKENS, TOKEN_S, model=MODEL)
+            stats, usage = bench.bench(targets, plan, streams, [pid])
             print(f"\n{streams} streams on each target")
-            print(bench.format_markdown(bench.HEAD, bench.make_rows(targets, figures, plan)))
-            print(f"gateway: {spent[0].cores:.2f} cores, {spent[0].memory_mb:.0f} MB")
+            print(bench.format_markdown(bench.COLUMNS, bench.make_rows(targets, stats, plan)))
+            print(f"gateway: {usage[0].cores:.2f} cores, {usage[0].memory_mb:.0f} MB")
 
 
 if __name__ == "__main__":
--- a/cloverway/tests/bench_model.py
+++ b/cloverway/tests/bench_model.py
@@ -17,7 +17,7 @@
 from cloverway.config.settings import Limits, Listen, PlatformSettings, Security, Settings
 from cloverway.dispatch.decisions import DispatchCore
 from cloverway.membership.view import EndpointState, HostState, Summary, View
-from cloverway.messages import Admitted, Away, Outcome, Request
+from cloverway.messages import Admitted, Outcome, RemoteRoute, Request
 
 TICK_S = 0.02
 REPORT_S = 0.5
@@ -152,10 +152,10 @@
                 clock.at(clock.now + self.trip, self.origin.end, Outcome.REFUSED)
             return
         self.ticket = verdict.ticket
-        if isinstance(verdict.route, Away):
+        if isinstance(verdict.route, RemoteRoute):
             self.call.away = True
             other = world.hosts[verdict.route.host]
-            request = self.request._replace(passed_on=True)
+            request = self.request._replace(is_forwarded=True)
             passed = Attempt(world, other, self.call, request, self)
             clock.at(clock.now + self.trip, other.arrive, passed)
             return
--- a/cloverway/tests/bench_relay.py
+++ b/cloverway/tests/bench_relay.py
@@ -122,7 +122,7 @@
                     self.url, request, idempotent=True, gap_s=10, priority=1, check=lambda: None
                 )
                 sock.sendall(HEAD + chunk(next(iter(reply.stream))))
-                reply.stream.hand_over(sock)
+                reply.stream.relay_to(sock)
                 sock.sendall(b"0\r\n\r\n")
 
 
--- a/cloverway/tests/callers_bench.py
+++ b/cloverway/tests/callers_bench.py
@@ -84,7 +84,7 @@
         if self.error is not None:
             raise self.error
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         for piece in self:
             caller.sendall(b"%X\r\n%s\r\n" % (len(piece), piece))
 
--- a/cloverway/tests/copying.py
+++ b/cloverway/tests/copying.py
@@ -65,7 +65,7 @@
 
     def _copy(self, stream: EndpointStream, served: socket.socket) -> None:
         try:
-            stream.hand_over(served)
+            stream.relay_to(served)
             assert served.gettimeout() == 7.0
         finally:
             with suppress(OSError):
--- a/cloverway/tests/matrix/runner.py
+++ b/cloverway/tests/matrix/runner.py
@@ -7,7 +7,7 @@
 import time
 from typing import NamedTuple
 
-from cloverway.errors import ANSWERS, Kind
+from cloverway.errors import ERROR_ANSWERS, Kind
 from cloverway.tests.matrix.bench import ENTRY, SECOND, Bench, Flight, pause_for
 from cloverway.tests.matrix.faults import FAULTS, LASTING
 from cloverway.tests.matrix.steps import STEPS
@@ -129,7 +129,7 @@
         faults.append(f"the caller was told that it did not run, and it ran {runs} times")
     if result.whole and not runs:
         faults.append("a whole answer came, and nothing ran")
-    promised = result.ran == "no" and ANSWERS[Kind(result.kind)].come_back
+    promised = result.ran == "no" and ERROR_ANSWERS[Kind(result.kind)].has_retry_after
     if promised and not _has_retry_after(result):
         faults.append(f"{result.kind} came without Retry-After")
     return faults
--- a/cloverway/tests/matrix/table.py
+++ b/cloverway/tests/matrix/table.py
@@ -128,19 +128,31 @@
     _cell("link cut", "recording", "second", UNKNOWN, ONCE),
 ]
 
-REQUESTS, ANSWERS = "one-way cut: requests lost", "one-way cut: answers lost"
+REQUESTS, ERROR_ANSWERS = "one-way cut: requests lost", "one-way cut: answers lost"
 ONE_WAY = [
     _cell("one-way cut", "lookup", "host", WHOLE, ONCE, fault=REQUESTS),
     _cell("one-way cut", "admit", "host", WHOLE, ONCE, fault=REQUESTS),
-    _cell("one-way cut", "queue", "host", WHOLE, ONCE, fault=ANSWERS),
+    _cell("one-way cut", "queue", "host", WHOLE, ONCE, fault=ERROR_ANSWERS),
     _cell("one-way cut", "choose", "endpoint", UNKNOWN, NEVER, fault=REQUESTS, deadline_ms=1200),
-    _cell("one-way cut", "connect", "endpoint", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
+    _cell(
+        "one-way cut", "connect", "endpoint", UNKNOWN, ONCE, fault=ERROR_ANSWERS, deadline_ms=1200
+    ),
     _cell("one-way cut", "send", "endpoint", UNKNOWN, NEVER, fault=REQUESTS, deadline_ms=1200),
-    _cell("one-way cut", "first byte", "endpoint", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
-    _cell("one-way cut", "mid-stream", "endpoint", BROKEN, ONCE, fault=ANSWERS, quick=True),
-    _cell("one-way cut", "end", "endpoint", BROKEN, ONCE, fault=ANSWERS),
-    _cell("one-way cut", "passing on", "far", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
-    _cell("one-way cut", "recording", "second", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
+    _cell(
+        "one-way cut",
+        "first byte",
+        "endpoint",
+        UNKNOWN,
+        ONCE,
+        fault=ERROR_ANSWERS,
+        deadline_ms=1200,
+    ),
+    _cell("one-way cut", "mid-stream", "endpoint", BROKEN, ONCE, fault=ERROR_ANSWERS, quick=True),
+    _cell("one-way cut", "end", "endpoint", BROKEN, ONCE, fault=ERROR_ANSWERS),
+    _cell("one-way cut", "passing on", "far", UNKNOWN, ONCE, fault=ERROR_ANSWERS, deadline_ms=1200),
+    _cell(
+        "one-way cut", "recording", "second", UNKNOWN, ONCE, fault=ERROR_ANSWERS, deadline_ms=1200
+    ),
 ]
 
 SILENT = [
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -28,8 +28,8 @@
             self.holder,
             Operations(
                 list_hosts=lambda: HostList(hosts=[], lifetime_s=5.0, revision=3),
-                in_progress=lambda: 2,
-                queued=lambda: 1,
+                count_active=lambda: 2,
+                count_queued=lambda: 1,
                 render_metrics=lambda gauges: "\n".join(g.name for g in gauges).encode(),
                 explain=lambda team, profile: {"team": team, "profile": profile},
                 begin_leaving=self.leave,
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cloverway.errors import ANSWERS, Kind, RequestError
+from cloverway.errors import ERROR_ANSWERS, Kind, RequestError
 from cloverway.exchange import Reply
 from cloverway.tests.callers_bench import (
     CHAT,
@@ -198,6 +198,6 @@
         r"^\| `(\w+)` \| (\d+) \| `(\w+)` \| (\w+) \|", page.read_text(), re.MULTILINE
     )
     assert {kind: (int(status), ran, back) for kind, status, ran, back in rows} == {
-        str(kind): (answer.status, str(answer.ran), "yes" if answer.come_back else "no")
-        for kind, answer in ANSWERS.items()
+        str(kind): (answer.status, str(answer.ran), "yes" if answer.has_retry_after else "no")
+        for kind, answer in ERROR_ANSWERS.items()
     }
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -18,7 +18,7 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import Call
 from cloverway.entry.listener import Bounds
-from cloverway.errors import ANSWERS, RequestError
+from cloverway.errors import ERROR_ANSWERS, RequestError
 from cloverway.exchange import Reply
 from cloverway.tests.callers_bench import CHAT, CHAT_BODY, Bench, read_all, wait_until
 
@@ -139,7 +139,7 @@
     try:
         request = bench.server._admit(call, 10.0)
     except RequestError as error:
-        assert error.kind in ANSWERS
+        assert error.kind in ERROR_ANSWERS
         event(error.kind)
         json.dumps(error.as_problem("id"))
         return
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -10,7 +10,7 @@
 from cloverway.dispatch.residency import allowed_regions
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import HostState, Summary
-from cloverway.messages import Admitted, Away, Outcome, Refused
+from cloverway.messages import Admitted, Outcome, Refused, RemoteRoute
 from cloverway.tests.builders import (
     DOMAINS,
     change_endpoint,
@@ -58,27 +58,27 @@
     def check_route(self, request, verdict):
         allowed = allowed_regions(self.view.published, request.team, request.profile)
         route = verdict.route
-        if isinstance(route, Away):
-            assert not request.passed_on
+        if isinstance(route, RemoteRoute):
+            assert not request.is_forwarded
             assert DOMAINS[route.domain] in allowed
             assert route.host in PUBLISHED.hosts_of(route.domain)
         else:
             assert self.view.region in allowed
             state = self.view.endpoints[route.endpoint]
             assert state.ready and not state.leaving
-        place = route.domain if isinstance(route, Away) else route.endpoint
-        assert place not in self.sent.get(request.id, ()) or isinstance(route, Away)
+        place = route.domain if isinstance(route, RemoteRoute) else route.endpoint
+        assert place not in self.sent.get(request.id, ()) or isinstance(route, RemoteRoute)
         self.sent.setdefault(request.id, set()).add(place)
 
     @rule(
         team=st.sampled_from(TEAMS),
         profile=st.sampled_from(PROFILES),
         lasts=st.sampled_from([2.0, 30.0, 0.2, -0.1]),
-        passed_on=st.sampled_from([False, False, True]),
+        is_forwarded=st.sampled_from([False, False, True]),
         blocks=st.integers(0, 3),
         burst=st.integers(1, 6),
     )
-    def arrive(self, *, team, profile, lasts, passed_on, blocks, burst):
+    def arrive(self, *, team, profile, lasts, is_forwarded, blocks, burst):
         for _ in range(burst):
             self.count += 1
             request = make_request(
@@ -88,7 +88,7 @@
                 team=team,
                 profile=profile,
                 body=b"x" * 1024 * blocks,
-                passed_on=passed_on,
+                is_forwarded=is_forwarded,
             )
             self.waiting[self.count] = request
             self.take(self.core.arrive(self.count, request, self.view, self.now, self.random))
--- a/cloverway/tests/test_decisions_ends.py
+++ b/cloverway/tests/test_decisions_ends.py
@@ -6,7 +6,7 @@
 
 from cloverway.dispatch.decisions import DispatchCore
 from cloverway.errors import Kind, Ran
-from cloverway.messages import Admitted, Local, Outcome, Refused
+from cloverway.messages import Admitted, LocalRoute, Outcome, Refused
 from cloverway.tests.builders import (
     change_endpoint,
     make_published,
@@ -51,7 +51,7 @@
 
     def crash(self, verdict):
         """Crash the endpoint that runs an attempt and return the verdict on the next one."""
-        assert isinstance(verdict.route, Local)
+        assert isinstance(verdict.route, LocalRoute)
         self.crashed.append(verdict.route.endpoint)
         verdict = self.finish(verdict, Outcome.LOST, retry=True)
         name = self.crashed[-1]
--- a/cloverway/tests/test_dispatcher.py
+++ b/cloverway/tests/test_dispatcher.py
@@ -10,7 +10,7 @@
 from cloverway.dispatch.dispatcher import Dispatcher
 from cloverway.errors import Kind, Ran
 from cloverway.membership.view import ViewHolder
-from cloverway.messages import Admitted, Local, Outcome, Refused
+from cloverway.messages import Admitted, LocalRoute, Outcome, Refused
 from cloverway.tests.builders import make_published, make_request, make_settings, make_view
 
 STAY = {"home": "curepipe", "bound": True, "profiles": ["stock"]}
@@ -75,7 +75,7 @@
 def test_request_is_admitted_and_finished(dispatcher, clock):
     verdict = submit(dispatcher, 1)
     assert isinstance(verdict, Admitted)
-    assert verdict.route == Local(E0, PUBLISHED.endpoints[E0].url)
+    assert verdict.route == LocalRoute(E0, PUBLISHED.endpoints[E0].url)
     assert dispatcher.in_flight() == 1
     assert dispatcher.count_targets() == {"clover": 1}
     dispatcher.started(verdict.ticket, clock.now)
--- a/cloverway/tests/test_errors.py
+++ b/cloverway/tests/test_errors.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cloverway.errors import ANSWERS, Kind, Ran, RequestError
+from cloverway.errors import ERROR_ANSWERS, Kind, Ran, RequestError
 
 
 def test_every_kind_has_an_answer():
-    assert set(ANSWERS) == set(Kind)
+    assert set(ERROR_ANSWERS) == set(Kind)
 
 
 @pytest.mark.parametrize("kind", Kind)
@@ -19,8 +19,8 @@
     Retry-After. Now the error itself has one, whatever place raises it.
     """
     error = RequestError(kind, ran=Ran.NO)
-    assert (error.retry_after is not None) is ANSWERS[kind].come_back
-    assert ("retry_after_s" in error.as_problem("r")) is ANSWERS[kind].come_back
+    assert (error.retry_after is not None) is ERROR_ANSWERS[kind].has_retry_after
+    assert ("retry_after_s" in error.as_problem("r")) is ERROR_ANSWERS[kind].has_retry_after
 
 
 def test_unknown_outcome_names_no_time_that_it_was_not_given():
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -9,9 +9,9 @@
 from cloverway.config.published import Published
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError
 from cloverway.exchange import Reply
-from cloverway.gateway import Ports, Record, RequestGateway
+from cloverway.gateway import Ports, RequestGateway, RequestRecord
 from cloverway.membership.view import View, ViewHolder
-from cloverway.messages import Admitted, Away, Local, Outcome, Refused, Request, Verdict
+from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
 
 PUBLISHED = Published.from_documents(
@@ -30,9 +30,9 @@
         },
     }
 )
-HERE = Local("stock-1", "http://127.0.0.1:1")
-THERE = Local("stock-2", "http://127.0.0.1:2")
-AWAY = Away("south-a", "s1", "127.0.0.1:3")
+HERE = LocalRoute("stock-1", "http://127.0.0.1:1")
+THERE = LocalRoute("stock-2", "http://127.0.0.1:2")
+AWAY = RemoteRoute("south-a", "s1", "127.0.0.1:3")
 DONE = Reply(200, "application/json", b"{}")
 
 
@@ -104,7 +104,7 @@
         if self.error is not None:
             raise self.error
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         for piece in self:
             caller.sendall(piece)
 
@@ -115,14 +115,14 @@
 class Bench:
     def __init__(self, router: FakeRouter, endpoints: FakeEndpoints, claims: FakeClaims) -> None:
         self.now = 100.0
-        self.records: list[Record] = []
+        self.records: list[RequestRecord] = []
         view = View("n1", "i1", "north-a", "north", published=PUBLISHED)
         self.holder = ViewHolder(view)
         self.gateway = RequestGateway(
             Ports(self.holder, router, endpoints, endpoints, claims),
             lambda: self.now,
             self.records.append,
-            recorded_bytes=64,
+            max_recorded_bytes=64,
         )
 
 
@@ -307,7 +307,7 @@
     """
     bench, router, endpoints, _ = make_bench(DONE)
     with pytest.raises(RequestError) as caught:
-        bench.gateway.run(make_request(team="bound", passed_on=True))
+        bench.gateway.run(make_request(team="bound", is_forwarded=True))
     assert caught.value.kind is Kind.RESIDENCY
     assert caught.value.ran is Ran.NO
     assert endpoints.sent == 0
@@ -344,7 +344,7 @@
     """
     bench, router, endpoints, _ = make_bench(DONE, verdicts=(Admitted(1, AWAY),))
     with pytest.raises(RequestError) as caught:
-        bench.gateway.run(make_request(passed_on=True))
+        bench.gateway.run(make_request(is_forwarded=True))
     assert router.ended == [(1, Outcome.FAILED, False)]
     assert caught.value.kind is Kind.INTERNAL
     assert endpoints.sent == 0
--- a/cloverway/tests/test_load.py
+++ b/cloverway/tests/test_load.py
@@ -6,11 +6,11 @@
 
 from cloverway.commands import bench
 from cloverway.errors import UserError
-from cloverway.load import CUT, WHOLE, Plan, Target, run_load, schedule_arrivals
+from cloverway.load import COMPLETE, TRUNCATED, LoadPlan, Target, run_load, schedule_arrivals
 from cloverway.tests.standins.batching import Timing
 from cloverway.tests.standins.engine import Engine
 
-PLAN = Plan(streams=8, seconds=0.4, tokens=4, token_s=0.01, timeout_s=5.0, model="m")
+PLAN = LoadPlan(streams=8, seconds=0.4, tokens=4, token_s=0.01, timeout_s=5.0, model="m")
 
 ENDING = 1
 """Events of the stand-in that carry no text: the one with the reason for the end."""
@@ -39,9 +39,9 @@
     finally:
         for engine in engines:
             engine.stop()
-    assert set(whole.outcomes) == {WHOLE}
-    assert set(cut.outcomes) == {CUT}
-    assert whole.tokens == (PLAN.tokens + ENDING) * whole.outcomes[WHOLE]
+    assert set(whole.outcomes) == {COMPLETE}
+    assert set(cut.outcomes) == {TRUNCATED}
+    assert whole.tokens == (PLAN.tokens + ENDING) * whole.outcomes[COMPLETE]
 
 
 def test_targets_need_a_name_and_an_ip_number() -> None:
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -8,7 +8,7 @@
 
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.exchange import Reply
-from cloverway.gateway import Record
+from cloverway.gateway import RequestRecord
 from cloverway.logs import make_formatter
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
@@ -64,9 +64,9 @@
             assert b"400" in read_all(sock)
         reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
         for refusal in bench.refusals:
-            reporter.note_refusal(refusal)
+            reporter.report_refusal(refusal)
         for request in bench.gateway.requests:
-            reporter.note_end(Record(request, "e-1", 1, 0.1, 0.0, 0.2, None, Ran.YES))
+            reporter.report_request(RequestRecord(request, "e-1", 1, 0.1, 0.0, 0.2, None, Ran.YES))
     logged = json.dumps(lines())
     assert len(bench.gateway.requests) == 5
     assert [refusal.kind for refusal in bench.refusals] == [
@@ -84,7 +84,9 @@
         bench.call("POST", "/v1/chat/completions", b'{"messages": [1]}', CHAT)
         reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
         [request] = bench.gateway.requests
-        reporter.note_end(Record(request, "e-1", 2, 0.1234, 0.01, 0.2, Kind.TRUNCATED, Ran.UNKNOWN))
+        reporter.report_request(
+            RequestRecord(request, "e-1", 2, 0.1234, 0.01, 0.2, Kind.TRUNCATED, Ran.UNKNOWN)
+        )
     [line] = [line for line in lines() if line["message"] == "request"]
     assert line.pop("time")
     assert line == {
--- a/cloverway/tests/test_metrics.py
+++ b/cloverway/tests/test_metrics.py
@@ -6,7 +6,13 @@
 
 from cloverway.commands.watch import parse_histograms
 from cloverway.errors import Kind, Ran
-from cloverway.operations.metrics import ENDPOINT_LABELS, Gauge, Metrics, RequestEnded, StreamEnded
+from cloverway.operations.metrics import (
+    MAX_ENDPOINT_LABELS,
+    Gauge,
+    Metrics,
+    RequestEnded,
+    StreamEnded,
+)
 
 GAP_BOUNDS_S = (0.01, 0.1)
 
@@ -27,7 +33,7 @@
 
 def test_times_by_class_and_tenant(metrics):
     for _ in range(10):
-        metrics.note(
+        metrics.record(
             ended(endpoint="e-1", attempts=1, first_byte_s=0.03, total_s=0.2, queue_s=0.001)
         )
     histograms = parse_histograms(metrics.render().decode())
@@ -37,8 +43,8 @@
 
 
 def test_gaps_are_merged_by_bucket(metrics):
-    metrics.note(StreamEnded("pharmacy", "urgent", 8, (3, 2, 1), 0.9))
-    metrics.note(StreamEnded("pharmacy", "urgent", 4, (1, 0, 2), 0.8))
+    metrics.record(StreamEnded("pharmacy", "urgent", 8, (3, 2, 1), 0.9))
+    metrics.record(StreamEnded("pharmacy", "urgent", 4, (1, 0, 2), 0.8))
     text = metrics.render().decode()
     gaps = parse_histograms(text)["cloverway_class_token_gap_seconds", (("class", "urgent"),)]
     assert gaps == {0.01: 4, 0.1: 6, float("inf"): 9}
@@ -47,9 +53,9 @@
 
 
 def test_outcomes_are_counted(metrics):
-    metrics.note(ended(endpoint="e-1", attempts=2, kind=Kind.TRUNCATED, ran=Ran.UNKNOWN))
-    metrics.note(ended(endpoint="far/e-1", attempts=1))
-    metrics.note(ended(team="", urgency="", kind=Kind.UNAUTHENTICATED, ran=Ran.NO))
+    metrics.record(ended(endpoint="e-1", attempts=2, kind=Kind.TRUNCATED, ran=Ran.UNKNOWN))
+    metrics.record(ended(endpoint="far/e-1", attempts=1))
+    metrics.record(ended(team="", urgency="", kind=Kind.UNAUTHENTICATED, ran=Ran.NO))
     text = metrics.render([Gauge("revision", "Revision", 7)]).decode()
     assert 'cloverway_requests_total{class="urgent",kind="truncated",ran="unknown"} 1' in text
     assert 'cloverway_endpoint_requests_total{endpoint="far/",kind="ok"} 1' in text
@@ -58,16 +64,16 @@
 
 
 def test_labels_stay_bounded(metrics):
-    for number in range(ENDPOINT_LABELS * 2):
-        metrics.note(ended(team=f"team-{number}", endpoint=f"e-{number}"))
+    for number in range(MAX_ENDPOINT_LABELS * 2):
+        metrics.record(ended(team=f"team-{number}", endpoint=f"e-{number}"))
     lines = metrics.render().decode().splitlines()
     outcomes = [line for line in lines if line.startswith("cloverway_endpoint_requests_total{")]
-    assert len(outcomes) == ENDPOINT_LABELS + 1
+    assert len(outcomes) == MAX_ENDPOINT_LABELS + 1
 
 
 def test_observations_of_many_threads_are_all_counted(metrics):
     threads = [
-        threading.Thread(target=lambda: [metrics.note(ended()) for _ in range(200)])
+        threading.Thread(target=lambda: [metrics.record(ended()) for _ in range(200)])
         for _ in range(8)
     ]
     for thread in threads:
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -257,7 +257,7 @@
 
     def hand_over():
         try:
-            reply.stream.hand_over(ours)
+            reply.stream.relay_to(ours)
         except RequestError as error:
             results.append(error.kind)
 
@@ -278,7 +278,7 @@
     reply = client.run("h2", server.address, make_request())
     caller, ours = socket.socketpair()
     caller.send(b"GET /next")
-    reply.stream.hand_over(ours)
+    reply.stream.relay_to(ours)
     ours.close()
     assert caller.recv(100) == b"3\r\none\r\n3\r\ntwo\r\n"
     caller.close()
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -74,9 +74,11 @@
     reply = client.run("h2", server.address, request)
     assert reply == handler.reply
     (seen,) = handler.requests
-    assert seen.passed_on
+    assert seen.is_forwarded
     assert seen.deadline <= request.deadline
-    expected = request._replace(passed_on=True, arrived_at=seen.arrived_at, deadline=seen.deadline)
+    expected = request._replace(
+        is_forwarded=True, arrived_at=seen.arrived_at, deadline=seen.deadline
+    )
     assert seen == expected
 
 
--- a/cloverway/tests/test_residency.py
+++ b/cloverway/tests/test_residency.py
@@ -65,7 +65,7 @@
         content_type="application/json",
         arrived_at=0.0,
         deadline=1.0,
-        passed_on=True,
+        is_forwarded=True,
         revision=revision,
     )
 
--- a/cloverway/tests/test_routing.py
+++ b/cloverway/tests/test_routing.py
@@ -13,7 +13,7 @@
 from cloverway.dispatch.routing import SLOW_START_S
 from cloverway.errors import Kind
 from cloverway.membership.view import HostState
-from cloverway.messages import Admitted, Away, Local, Outcome, Refused
+from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute
 from cloverway.tests.builders import (
     change_endpoint,
     make_published,
@@ -118,7 +118,7 @@
     for _ in range(5):
         host.finish(host.arrive(), Outcome.NOT_SENT)
         host.now += 0.01
-    assert host.place() == Local(E0, host.published.endpoints[E0].url)
+    assert host.place() == LocalRoute(E0, host.published.endpoints[E0].url)
 
 
 @pytest.mark.parametrize("endpoints", [1, 2])
@@ -189,7 +189,7 @@
 
 
 def is_away(verdict):
-    return isinstance(verdict, Admitted) and isinstance(verdict.route, Away)
+    return isinstance(verdict, Admitted) and isinstance(verdict.route, RemoteRoute)
 
 
 def fill(host, **more):
@@ -214,7 +214,7 @@
 
 def test_requests_stay_at_home_while_it_has_free_slots():
     host = Host(free=8)
-    assert all(isinstance(host.place(), Local) for _ in range(8))
+    assert all(isinstance(host.place(), LocalRoute) for _ in range(8))
 
 
 def test_unreachable_domain_is_not_a_candidate():
@@ -251,16 +251,16 @@
 def test_bound_team_is_served_in_its_region_or_refused():
     host = Host(free=8)
     route = host.place(team="bound")
-    assert isinstance(route, Away) and route.domain == "ro-1"
-    refused = host.arrive(team="bound", passed_on=True)
+    assert isinstance(route, RemoteRoute) and route.domain == "ro-1"
+    refused = host.arrive(team="bound", is_forwarded=True)
     assert refused == Refused(Kind.RESIDENCY)
 
 
 def test_passed_on_request_is_never_passed_on_again():
     """Guard against two full regions that pass a request back and forth until its deadline."""
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
-    verdicts = [host.arrive(passed_on=True, lasts=60.0) for _ in range(12)]
-    assert all(isinstance(v.route, Local) for v in verdicts[:8])
+    verdicts = [host.arrive(is_forwarded=True, lasts=60.0) for _ in range(12)]
+    assert all(isinstance(v.route, LocalRoute) for v in verdicts[:8])
     assert all(v is None or v.kind is Kind.OVERLOADED for v in verdicts[8:])
     assert isinstance(verdicts[-1], Refused)
 
@@ -279,9 +279,9 @@
     host = Host(policy=policy, free=8)
     host.view = change_endpoint(host.view, E0, leaving=True)
     routes = [host.place() for _ in range(4)]
-    assert {route.endpoint for route in routes if isinstance(route, Local)} <= {E1}
+    assert {route.endpoint for route in routes if isinstance(route, LocalRoute)} <= {E1}
     bound = host.place(team="bound")
-    assert isinstance(bound, Away) and bound.domain == "ro-1"
+    assert isinstance(bound, RemoteRoute) and bound.domain == "ro-1"
 
 
 def test_global_least_loaded_leaves_home_for_a_less_loaded_region():
--- a/cloverway/tests/test_watch.py
+++ b/cloverway/tests/test_watch.py
@@ -22,7 +22,7 @@
     metrics.start()
     try:
         for one in ended:
-            metrics.note(one)
+            metrics.record(one)
         view = View("h1", "i1", "a", "r", endpoints={"e1": EndpointState("e1")})
         return metrics.render(list(make_gauges(view, 0))).decode()
     finally:
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -60,7 +60,7 @@
         """
         return iter(self._read_piece, None)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller in chunked framing, without the last chunk.
 
         A caller that vanished without a sign leaves the kernel to send in vain for a quarter of
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -26,10 +26,10 @@
             raise
         self._end(None)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket; raise RequestError when it is cut."""
         try:
-            self._stream.hand_over(caller)
+            self._stream.relay_to(caller)
         except RequestError as error:
             self._end(error)
             raise
@@ -70,7 +70,7 @@
         """Give the pieces of the body; raise RequestError when it is cut."""
         return self._pieces
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket; reads on to the end when the caller has left."""
         left = False
         for piece in self._pieces:
