--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -19,7 +19,7 @@
 )
 from cloverway.entry.listener import CONNECTION_KEY, REQUEST_KEY
 from cloverway.errors import Kind, Ran, RequestError
-from cloverway.exchange import Reply, Stream
+from cloverway.replies import Reply, Stream
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -27,9 +27,9 @@
 from cloverway.entry.directory import Freshness, HostList, list_hosts
 from cloverway.entry.listener import Bounds, Listener
 from cloverway.errors import Kind, Ran, RequestError
-from cloverway.exchange import Gateway, Reply
 from cloverway.membership.view import ViewHolder
 from cloverway.messages import Request
+from cloverway.replies import Gateway, Reply
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -14,10 +14,10 @@
 from cloverway.config.schema import Profile
 from cloverway.dispatch import residency
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError, combine_ran
-from cloverway.exchange import Reply
 from cloverway.membership.view import ViewHolder
 from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
+from cloverway.replies import Reply
 from cloverway.upstream.streams import RecordedStream, WatchedStream
 
 log = logging.getLogger(__name__)
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -13,7 +13,6 @@
 
 from cloverway.config.settings import Settings
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Outcome, Refused, Request
 from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
@@ -29,6 +28,7 @@
     compute_digest,
 )
 from cloverway.once.settlements import IssuerClient, SettlementSender
+from cloverway.replies import Reply
 from cloverway.task import Task
 
 log = logging.getLogger(__name__)
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -17,9 +17,9 @@
 from cloverway.entry.directory import HostList
 from cloverway.entry.listener import Bounds, Listener
 from cloverway.errors import Kind, RequestError
-from cloverway.exchange import Reply
 from cloverway.membership.view import View, ViewHolder
 from cloverway.operations.metrics import Gauge
+from cloverway.replies import Reply
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 MAX_BODY_BYTES = 64 * 1024
--- a/cloverway/peers/handlers.py
+++ b/cloverway/peers/handlers.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from cloverway.errors import PeerError
-from cloverway.exchange import Gateway, Reply
 from cloverway.messages import Request
 from cloverway.once.claims import LedgerTask
 from cloverway.once.keys import ClaimCall, ClaimResult, SettleCall
 from cloverway.peers import peering, wire
+from cloverway.replies import Gateway, Reply
 from cloverway.sources.port import Changes, Document
 
 ChangesAfter = Callable[[int], Changes]
--- a/cloverway/peers/passed_on.py
+++ b/cloverway/peers/passed_on.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Refused, Request
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind
 from cloverway.peers.peering import PeerBounds, PeerHandler
+from cloverway.replies import Reply
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/peers/peer_client.py
+++ b/cloverway/peers/peer_client.py
@@ -9,13 +9,13 @@
 from typing import NamedTuple
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Refused, Request
 from cloverway.once.keys import ClaimCall, ClaimResult, Grant, Recorded, SettleCall
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind, Identity
 from cloverway.peers.peer_stream import PeerStream
 from cloverway.peers.peering import Changes, PeerBounds
+from cloverway.replies import Reply
 
 log = logging.getLogger(__name__)
 
--- a/cloverway/peers/peering.py
+++ b/cloverway/peers/peering.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple, Protocol
 
 from cloverway.config.settings import Limits
-from cloverway.exchange import Reply
 from cloverway.messages import Request
 from cloverway.once.keys import ClaimCall, ClaimResult, SettleCall
 from cloverway.peers.wire import Change
+from cloverway.replies import Reply
 
 
 class Changes(NamedTuple):
--- a/cloverway/tests/callers_bench.py
+++ b/cloverway/tests/callers_bench.py
@@ -16,9 +16,9 @@
 from cloverway.entry.authentication import hash_key
 from cloverway.entry.callers import CallerServer
 from cloverway.entry.listener import Bounds
-from cloverway.exchange import Reply
 from cloverway.membership.view import View, ViewHolder
 from cloverway.messages import Request
+from cloverway.replies import Reply
 
 BEARER = "secret-of-pharmacy"
 DOCUMENTS: dict[str, Any] = {
--- a/cloverway/tests/measure_callers.py
+++ b/cloverway/tests/measure_callers.py
@@ -14,8 +14,8 @@
 from cloverway.config.published import Published
 from cloverway.entry.authentication import KeyIndex, hash_key
 from cloverway.errors import Ran
-from cloverway.exchange import Reply
 from cloverway.operations.metrics import Metrics, RequestEnded, StreamEnded
+from cloverway.replies import Reply
 from cloverway.tests.callers_bench import CHAT, CHAT_BODY, DOCUMENTS, Bench
 
 REQUESTS = 2000
--- a/cloverway/tests/peers.py
+++ b/cloverway/tests/peers.py
@@ -7,13 +7,13 @@
 import threading
 import time
 
-from cloverway.exchange import Reply
 from cloverway.messages import Request
 from cloverway.once.keys import ClaimCall, Grant
 from cloverway.peers import wire
 from cloverway.peers.channel import HEADER, Channel, Identity
 from cloverway.peers.peer_server import PeerServer
 from cloverway.peers.peering import Changes, PeerBounds
+from cloverway.replies import Reply
 
 SECRET = b"s" * 32
 PATIENCE_S = 10.0
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cloverway.errors import ERROR_ANSWERS, Kind, RequestError
-from cloverway.exchange import Reply
+from cloverway.replies import Reply
 from cloverway.tests.callers_bench import (
     CHAT,
     CHAT_BODY,
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -19,7 +19,7 @@
 from cloverway.entry.application import Call
 from cloverway.entry.listener import Bounds
 from cloverway.errors import ERROR_ANSWERS, RequestError
-from cloverway.exchange import Reply
+from cloverway.replies import Reply
 from cloverway.tests.callers_bench import CHAT, CHAT_BODY, Bench, read_all, wait_until
 
 COUNT = int(os.environ.get("CLOVERWAY_FUZZ", "100"))
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -5,10 +5,10 @@
 import pytest
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Outcome, Request
 from cloverway.once.claims import Claims, LedgerTask, Replayed
 from cloverway.once.keys import Bounds, Ledger
+from cloverway.replies import Reply
 
 BOUNDS = Bounds(keys=100, lifetime_s=100.0, recorded_bytes=10_000, recorded_answer_bytes=1_000)
 TIMEOUT_S = 10.0
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -9,8 +9,8 @@
 
 from cloverway.config.settings import Limits
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Request
+from cloverway.replies import Reply
 from cloverway.tests.raw_endpoint import (
     PATIENCE_S,
     Conversation,
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -8,11 +8,11 @@
 
 from cloverway.config.published import Published
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.gateway import Ports, RequestGateway, RequestRecord
 from cloverway.membership.view import View, ViewHolder
 from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
+from cloverway.replies import Reply
 
 PUBLISHED = Published.from_documents(
     {
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -15,7 +15,7 @@
 from cloverway.entry import caller_connection
 from cloverway.entry.listener import Bounds
 from cloverway.errors import Kind, RequestError
-from cloverway.exchange import Reply
+from cloverway.replies import Reply
 from cloverway.tests.callers_bench import (
     BEARER,
     CHAT,
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -7,11 +7,11 @@
 import pytest
 
 from cloverway.errors import Kind, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.gateway import RequestRecord
 from cloverway.logs import make_formatter
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
+from cloverway.replies import Reply
 from cloverway.tests.callers_bench import BEARER, CHAT, HEADERS, Bench, FakeStream, read_all
 
 BODY_SECRET = "insulin-for-ward-nine"
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -8,11 +8,11 @@
 import pytest
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.once.keys import Grant
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind, Identity
 from cloverway.peers.peer_client import PeerClient
+from cloverway.replies import Reply
 from cloverway.tests.peers import (
     BOUNDS,
     CLAIM,
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -9,12 +9,12 @@
 import pytest
 
 from cloverway.errors import Kind, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Outcome
 from cloverway.once.claims import Claims, Granted, LedgerTask, Replayed
 from cloverway.once.keys import Bounds, Ledger
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
+from cloverway.replies import Reply
 from cloverway.tests.peers import (
     BOUNDS,
     PATIENCE_S,
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -3,13 +3,13 @@
 import pytest
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.once.keys import Grant, SettleCall, Settlement
 from cloverway.peers import wire
 from cloverway.peers.channel import HEADER, FrameKind
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import split_pages
 from cloverway.peers.peering import Changes
+from cloverway.replies import Reply
 from cloverway.tests.peers import (
     BOUNDS,
     CLAIM,
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -16,8 +16,8 @@
 from cloverway.addresses import split_url
 from cloverway.config.settings import Limits
 from cloverway.errors import CloverwayError, EndpointLostError, Kind, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Request
+from cloverway.replies import Reply
 from cloverway.upstream.cancels import Canceller
 from cloverway.upstream.connections import (
     CALL_FAULTS,
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 
 from cloverway.errors import Kind, RequestError
-from cloverway.exchange import Stream
+from cloverway.replies import Stream
 
 
 class WatchedStream:
