--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -12,11 +12,11 @@
 from cloverway.core.documents import DocumentTable
 from cloverway.core.members import Members, Peer
 from cloverway.errors import PeerError
-from cloverway.serving.clock import count_to_tick, read_clock
+from cloverway.serving.clock import compute_tick_delay, read_clock
 from cloverway.serving.documents.catalogue import Catalogue
 from cloverway.serving.hosts.messages import CODEC, StoredDocument, StoredSnapshot
 from cloverway.serving.http.client import ConnectError, ConnectionPool, ResponseError, fetch
-from cloverway.serving.telemetry import tell
+from cloverway.serving.telemetry import log_event
 
 STALE_S = 1.6
 """Age of its documents above which a host fetches them from any host with newer ones, also from a
@@ -54,7 +54,7 @@
         """Fetch documents whenever another host has newer ones, forever."""
         while True:
             try:
-                async with asyncio.timeout(count_to_tick(POLL_PERIOD_S)):
+                async with asyncio.timeout(compute_tick_delay(POLL_PERIOD_S)):
                     await self._newer_available.wait()
             except TimeoutError:
                 pass
@@ -104,11 +104,11 @@
                 self._apply(snapshot)
         except (ConnectError, ResponseError, PeerError) as error:
             peer.backoff_until = read_clock() + FETCH_TIMEOUT_S
-            tell("documents_not_fetched", peer=peer.member.name, why=str(error))
+            log_event("documents_not_fetched", peer=peer.member.name, why=str(error))
             return
         read_at = sent_at - peer.store_read_age_s - ONE_WAY_LATENCY_S
         self._catalogue.read_at = max(self._catalogue.read_at, read_at)
-        tell(
+        log_event(
             "documents_fetched",
             peer=peer.member.name,
             revision=snapshot.revision,
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -9,7 +9,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, CrashReport, EndpointCrash
-from cloverway.serving.telemetry import Figures, tell
+from cloverway.serving.telemetry import Metrics, log_event
 
 REBROADCAST_S = 6.0
 """How long a crash is rebroadcast after it happened."""
@@ -35,10 +35,10 @@
     message = CrashReport
     is_regional = False
 
-    def __init__(self, own_name: str, quarantine: Quarantine, figures: Figures) -> None:
+    def __init__(self, own_name: str, quarantine: Quarantine, metrics: Metrics) -> None:
         self._own_name = own_name
         self._quarantine = quarantine
-        self._figures = figures
+        self._metrics = metrics
         self._detected: defaultdict[str, list[Crash]] = defaultdict(list)
         """Crashes that this host detected and has not broadcast yet, by endpoint incarnation."""
         self._served: list[int] = []
@@ -72,7 +72,7 @@
         recorded = [new for crash in received if (new := self._quarantine.note_crash(crash))]
         for crash in recorded:
             requests = len(crash.digests)
-            tell("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
+            log_event("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
             self._log_blocked_requests(crash, now)
         if is_remote:
             self._forwarded.extend(recorded)
@@ -88,7 +88,7 @@
             [],
         )
         for crash in detected.crashes:
-            tell("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
+            log_event("endpoint_ended", life=crash.incarnation, requests=len(crash.digests))
         messages = self._encode(detected, now)
         return UpdateBatch([*messages, *self._encode(forwarded, now)], messages)
 
@@ -108,14 +108,14 @@
     def _log_blocked_requests(self, crash: Crash, now: float) -> None:
         """Log the requests that are blocked from now on."""
         for digest in crash.digests:
-            hold = self._quarantine.get_block(digest, now)
-            if hold is not None:
-                self._figures.note_event("request_held")
-                tell(
+            block = self._quarantine.get_block(digest, now)
+            if block is not None:
+                self._metrics.note_event("request_held")
+                log_event(
                     "request_held",
                     request_digest=f"{digest:016x}",
-                    ends=hold.crashes,
-                    hold_s=round(hold.remaining_s, 1),
+                    ends=block.crashes,
+                    hold_s=round(block.remaining_s, 1),
                     life=crash.incarnation,
                 )
 
@@ -131,16 +131,16 @@
     for first in range(0, len(updates.served), MAX_DIGESTS):
         yield CrashUpdate((), updates.served[first : first + MAX_DIGESTS])
     batch: list[Crash] = []
-    room = MAX_DIGESTS
+    space = MAX_DIGESTS
     for crash in updates.crashes:
         for first in range(0, len(crash.digests), MAX_DIGESTS):
             piece = crash._replace(digests=crash.digests[first : first + MAX_DIGESTS])
             size = len(piece.digests) + INCARNATION_SIZE
-            if batch and size > room:
+            if batch and size > space:
                 yield CrashUpdate(tuple(batch), ())
-                batch, room = [], MAX_DIGESTS
+                batch, space = [], MAX_DIGESTS
             batch.append(piece)
-            room -= size
+            space -= size
     if batch:
         yield CrashUpdate(tuple(batch), ())
 
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -13,7 +13,7 @@
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBroadcaster
 from cloverway.serving.hosts.crashes import MAX_DIGESTS, REBROADCAST_S, CrashExchange
 from cloverway.serving.hosts.messages import CODEC
-from cloverway.serving.telemetry import Figures
+from cloverway.serving.telemetry import Metrics
 
 PACKET_BYTES = 1_472
 """Payload of one datagram over Ethernet without fragmentation."""
@@ -26,7 +26,7 @@
     def __init__(self, net, name, region):
         self.members = Members(Member(name, 1, region, region, name, name, True))
         self.quarantine = Quarantine(QuarantineTerms())
-        self.exchange = CrashExchange(name, self.quarantine, Figures())
+        self.exchange = CrashExchange(name, self.quarantine, Metrics())
         self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
         self.broadcaster.send = lambda to, data: net.send(name, to, data)
 
