--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -19,7 +19,7 @@
 )
 from cloverway.entry.listener import CONNECTION_KEY, REQUEST_KEY
 from cloverway.errors import Kind, Ran, RequestError
-from cloverway.exchange import Reply, Stream
+from cloverway.replies import Reply, Stream
 
 log = logging.getLogger(__name__)
 
@@ -267,7 +267,7 @@
     yield first
     try:
         call.connection.wfile.flush()
-        stream.hand_over(call.connection.socket)
+        stream.relay_to(call.connection.socket)
         call.connection.limit_reading(None)
     except Exception as error:
         _abort_response(call, error)
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -28,7 +28,7 @@
     format_problem,
     make_request_id,
 )
-from cloverway.errors import ANSWERS, Kind, Ran, RequestError
+from cloverway.errors import ERROR_ANSWERS, Kind, Ran, RequestError
 
 log = logging.getLogger(__name__)
 
@@ -252,7 +252,7 @@
     """Answer a request without using a thread and without blocking, and close its connection."""
     head = conn.rfile.source.prefetched
     keyless = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
-    retry_after = RETRY_AFTER_S if ANSWERS[kind].come_back else None
+    retry_after = RETRY_AFTER_S if ERROR_ANSWERS[kind].has_retry_after else None
     ran = Ran.NO if keyless else Ran.UNKNOWN
     error = RequestError(kind, detail, ran=ran, retry_after=retry_after)
     with contextlib.suppress(OSError):
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -14,7 +14,7 @@
 from cloverway.core.calls import Call
 from cloverway.core.deployment import Route, Service
 from cloverway.core.prediction import RoutedCall
-from cloverway.errors import Kind, Ran, RequestError, take_worse
+from cloverway.errors import Kind, Ran, RequestError, combine_ran
 from cloverway.serving.clock import read_clock
 from cloverway.serving.context import Context
 from cloverway.serving.http.client import ResponseError
@@ -166,7 +166,7 @@
         Otherwise, if the route's timeout expired before the response, the refusal would say "not
         run" while the endpoint is still working on the request.
         """
-        self.ran = take_worse(self.ran, Ran.UNKNOWN)
+        self.ran = combine_ran(self.ran, Ran.UNKNOWN)
 
     # Responses
 
--- a/cloverway/tests/caller_harness.py
+++ b/cloverway/tests/caller_harness.py
@@ -16,9 +16,9 @@
 from cloverway.entry.authentication import hash_key
 from cloverway.entry.callers import CallerServer
 from cloverway.entry.listener import ListenerLimits
-from cloverway.exchange import Reply
 from cloverway.membership.view import View, ViewHolder
 from cloverway.messages import Request
+from cloverway.replies import Reply
 
 BEARER = "secret-of-pharmacy"
 DOCUMENTS: dict[str, Any] = {
@@ -84,7 +84,7 @@
         if self.error is not None:
             raise self.error
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         for piece in self:
             caller.sendall(b"%X\r\n%s\r\n" % (len(piece), piece))
 
--- a/cloverway/tests/measure_callers.py
+++ b/cloverway/tests/measure_callers.py
@@ -14,8 +14,8 @@
 from cloverway.config.published import Published
 from cloverway.entry.authentication import KeyIndex, hash_key
 from cloverway.errors import Ran
-from cloverway.exchange import Reply
 from cloverway.operations.metrics import Metrics, RequestEnded, StreamEnded
+from cloverway.replies import Reply
 from cloverway.tests.caller_harness import CHAT, CHAT_BODY, DOCUMENTS, CallerServerHarness
 
 REQUESTS = 2000
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -66,7 +66,7 @@
         """
         return iter(self._read_or_none, None)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller in chunked framing, without the last chunk.
 
         If a caller vanishes without closing its connection, the kernel retransmits for about a
