--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -69,7 +69,7 @@
             settings.limits.admin_threads,
             MAX_WAITING_CONNECTIONS,
             MAX_IDLE_CONNECTIONS,
-            settings.limits.header_bytes
+            settings.limits.header_bytes,
         )
         self._listener = Listener(
             settings.listen.admin, responder.make_application(), bounds, "admin"
