--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -57,7 +57,7 @@
         self.statements = StatementExchange(own_name, directory, metrics)
         suspects = SuspectTracker(own_name, self.quarantine)
         self.target_selector = TargetSelector(settings, directory, members, suspects)
-        self.news = UpdateBroadcaster(members, (self.crashes, self.statements, suspects))
+        self.broadcaster = UpdateBroadcaster(members, (self.crashes, self.statements, suspects))
         self.incarnations = IncarnationCheck(self.quarantine, self.pool, dialect, metrics)
         self._budgets: dict[str, RetryBudget] = {}
         self._started_at = read_clock()
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -87,23 +87,23 @@
             self.catalogue,
             self.sync,
             self.metrics,
-            broadcaster=self.context.news,
+            broadcaster=self.context.broadcaster,
             seeds=settings.peers.seeds,
         )
         self.catalogue.on_documents_changed = self.gossip.announce_documents
-        self.gossip.get_queued_work_s = self.context.target_selector.sum_waiting
+        self.gossip.get_queued_work_s = self.context.target_selector.sum_queued_work
         self.gossip.on_first_contact = self._note_synced
         self.context.incarnations.on_restarted = self.catalogue.note_restart
         self.context.target_selector.on_large_prompt = self.gossip.endpoint_loads.broadcast_at_once
         self.started_at = read_clock()
         self.leaving_at: float | None = None
-        terms = ServerOptions(self._get_limits, self._is_leaving, self._format_refusal)
-        self.caller_server = Server(self._handle_call, terms)
-        self.peer_server = Server(self._handle_inner, terms)
-        brief = terms._replace(is_short_lived=True)
-        self.lookup_server = Server(self._handle_lookup, brief)
-        self.readiness_server = Server(self._handle_readiness, brief)
-        self.metrics_server = Server(self._handle_metrics, brief)
+        options = ServerOptions(self._get_limits, self._is_leaving, self._format_refusal)
+        self.caller_server = Server(self._handle_call, options)
+        self.peer_server = Server(self._handle_passed_on, options)
+        short_lived = options._replace(is_short_lived=True)
+        self.lookup_server = Server(self._handle_lookup, short_lived)
+        self.readiness_server = Server(self._handle_readiness, short_lived)
+        self.metrics_server = Server(self._handle_metrics, short_lived)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, early: EarlySockets = NO_EARLY_SOCKETS) -> None:
@@ -122,7 +122,7 @@
         runs = (
             self.gossip.run,
             self.gossip.endpoint_loads.run,
-            self.context.news.run,
+            self.context.broadcaster.run,
             self.sync.run,
             self.catalogue.run,
             self.catalogue.forget,
@@ -193,7 +193,7 @@
         self.members.note_arrival(read_clock())
         await self.forwarder.handle(exchange)
 
-    async def _handle_inner(self, exchange: Exchange) -> None:
+    async def _handle_passed_on(self, exchange: Exchange) -> None:
         documents = export_snapshot(self.catalogue.table, exchange.target)
         if documents is not None:
             await exchange.answer(200, [], documents)
--- a/cloverway/serving/requests/limit_shares.py
+++ b/cloverway/serving/requests/limit_shares.py
@@ -42,10 +42,10 @@
             self._get_bucket(endpoint, now).take(share, now)
 
     def _get_bucket(self, endpoint: Endpoint, now: float) -> TokenBucket:
-        incarnation = endpoint.entry.incarnation
-        bucket = self._buckets.get(incarnation)
+        key = endpoint.entry.incarnation
+        bucket = self._buckets.get(key)
         if bucket is None:
-            bucket = self._buckets[incarnation] = TokenBucket(now)
+            bucket = self._buckets[key] = TokenBucket(now)
         return bucket
 
     def _get_share(self, endpoint: Endpoint, now: float) -> LimitShare | None:
--- a/cloverway/serving/requests/target_selector.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -108,7 +108,7 @@
         """Return the queue of the requests for a service."""
         return self._queues.setdefault(service, RequestQueue())
 
-    def sum_waiting(self, service: str) -> float:
+    def sum_queued_work(self, service: str) -> float:
         """Return the seconds of work of the requests that are queued here for a service."""
         return self.get_queue(service).sum_work()
 
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -74,7 +74,7 @@
     def send_late(address, data):
         loop.call_later(seconds, send, address, data)
 
-    host.gossip._send = host.context.news.send = send_late
+    host.gossip._send = host.context.broadcaster.send = send_late
 
 
 def test_a_joining_host_serves_no_request_before_it_received_the_state_of_the_others():
