--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -245,11 +245,11 @@
         async with run_crashing_fleet() as crashing:
             local, partitioned = crashing.fleet.hosts
             local.gossip.broadcaster.rebroadcast = lambda now: None
-            hear = partitioned.gossip.broadcaster.receive
+            receive = partitioned.gossip.broadcaster.receive
             partitioned.gossip.broadcaster.receive = lambda message, now: True
             await quarantine_request(crashing, local)
             await asyncio.sleep(0.5)
-            partitioned.gossip.broadcaster.receive = hear
+            partitioned.gossip.broadcaster.receive = receive
             del local.members.peers[partitioned.members.own.name]
             await wait_for(
                 lambda: partitioned.context.quarantine.count_blocked(read_clock()) == 1, 2.0
