--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -32,12 +32,12 @@
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
 from cloverway.peers.channel import Identity
-from cloverway.peers.handlers import PeerRequests, make_fetch
+from cloverway.peers.handlers import PeerRequestHandler, make_fetch_changes
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import PeerServer
-from cloverway.peers.peering import PeerBounds
+from cloverway.peers.peering import PeerLimits
 from cloverway.upstream.endpoints import EndpointClient
-from cloverway.upstream.meters import GAP_BOUNDS_S
+from cloverway.upstream.stream_stats import GAP_BOUNDS_S
 
 log = logging.getLogger(__name__)
 
@@ -143,7 +143,7 @@
 
     def _make_tasks(self, secret: bytes) -> None:
         settings, holder = self.settings, self.holder
-        bounds = PeerBounds.from_limits(settings.limits)
+        bounds = PeerLimits.from_limits(settings.limits)
         self.metrics = Metrics(time.monotonic, GAP_BOUNDS_S)
         reporter = Reporter(self.metrics, holder)
         self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
@@ -164,11 +164,11 @@
             holder,
             store=ConfigurationStore(),
             secret=secret,
-            fetch_changes=make_fetch(self.peer_client.changes),
+            fetch_changes=make_fetch_changes(self.peer_client.fetch_changes),
             load=self.dispatcher.load,
-            ends=ends,
+            crash_tracker=ends,
         )
-        handler = PeerRequests(self.keys, self.gateway, self.control.changes_after)
+        handler = PeerRequestHandler(self.keys, self.gateway, self.control.changes_after)
         self.peer_server = PeerServer(
             settings.listen.peers,
             Identity(settings.host, self.incarnation),
@@ -184,8 +184,8 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_refusal=reporter.note_refusal,
-            on_left=self._give_up,
+            on_rejection=reporter.note_refusal,
+            on_disconnect=self._give_up,
         )
         operations = Operations(
             list_hosts=self.callers.list_hosts,
@@ -200,7 +200,7 @@
     def _give_up(self, request_id: str) -> None:
         """End what is left to do for a caller that left before its answer began."""
         self.dispatcher.cancel(request_id)
-        self.endpoints.give_up(request_id)
+        self.endpoints.abort(request_id)
 
     def _explain(self, team: str, profile: str) -> Any:
         return self.dispatcher.explain(team, profile, time.monotonic())
--- a/cloverway/upstream/cancels.py
+++ b/cloverway/upstream/cancels.py
@@ -1,4 +1,4 @@
-"""Tell engines that nobody waits for a request any more, off the path of every caller."""
+"""Cancel abandoned requests at engines, in a background thread that no caller waits for."""
 
 from __future__ import annotations
 
@@ -9,59 +9,59 @@
 from typing import NamedTuple
 
 from cloverway.task import Task
-from cloverway.upstream.connections import CALL_FAULTS, Connection
+from cloverway.upstream.connections import EXCHANGE_ERRORS, EndpointConnection
 
 log = logging.getLogger(__name__)
 
 CANCEL_PATH = "/v1/cancel"
 TIMEOUT_S = 1.0
-LATEST_S = 10.0
-"""Cancels that waited longer than this are dropped, which bounds the inbox.
+MAX_DELAY_S = 10.0
+"""Cancels that were queued for longer than this are dropped, which bounds the inbox.
 
-The connection was closed at once, so this only matters for an engine that does not notice.
+The connection was closed at once, so a cancel only matters for engines that ignore a disconnect.
 """
 
 
-class Cancel(NamedTuple):
-    """A request that was given up, when, and at which endpoint."""
+class CancelRequest(NamedTuple):
+    """A request to cancel, at which endpoint, and when this was requested (monotonic seconds)."""
 
     address: tuple[str, int]
     request_id: str
-    at: float
+    requested_at: float
 
 
 class Canceller:
-    """A task that posts cancels one after the other."""
+    """Task that sends cancels one at a time."""
 
     def __init__(self) -> None:
         self._task = Task("cancels", self._handle)
 
     @classmethod
     def start(cls) -> Canceller:
-        """Make a canceller and start its thread."""
+        """Create a canceller and start its thread."""
         canceller = cls()
         canceller._task.start()
         return canceller
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._task.stop()
 
     def cancel(self, address: tuple[str, int], request_id: str) -> None:
-        """Ask for a cancel and return at once."""
-        self._task.send(Cancel(address, request_id, time.monotonic()))
+        """Queue a cancel and return at once."""
+        self._task.send(CancelRequest(address, request_id, time.monotonic()))
 
-    def _handle(self, cancel: Cancel, answer: Future[None]) -> None:
-        if time.monotonic() - cancel.at < LATEST_S:
+    def _handle(self, cancel: CancelRequest, answer: Future[None]) -> None:
+        if time.monotonic() - cancel.requested_at < MAX_DELAY_S:
             _post(cancel)
         answer.set_result(None)
 
 
-def _post(cancel: Cancel) -> None:
-    connection = Connection.from_address(cancel.address, TIMEOUT_S)
+def _post(cancel: CancelRequest) -> None:
+    connection = EndpointConnection.from_address(cancel.address, TIMEOUT_S)
     try:
         connection.connect()
-        connection.timed.begin(time.monotonic() + TIMEOUT_S)
+        connection.timed_socket.begin(time.monotonic() + TIMEOUT_S)
         connection.request(
             "POST",
             CANCEL_PATH,
@@ -69,7 +69,9 @@
             headers={"Content-Type": "application/json", "X-Request-Id": cancel.request_id},
         )
         connection.read_head()
-    except CALL_FAULTS:
-        log.info("a cancel did not arrive", extra={"request_id": cancel.request_id})
+    except EXCHANGE_ERRORS:
+        log.info(
+            "cancel could not be delivered to the endpoint", extra={"request_id": cancel.request_id}
+        )
     finally:
         connection.close()
