--- a/cloverway/peer.thrift
+++ b/cloverway/peer.thrift
@@ -1,5 +1,5 @@
-// What hosts say to each other over TCP. Each struct has the name and the fields of the NamedTuple
-// that it carries; `Message` holds exactly one of them. Fields are only ever added, never changed.
+// The messages between hosts over TCP. Each struct has the name and the fields of the NamedTuple
+// that it encodes; `Message` contains exactly one of them. Fields may be added, but never changed.
 
 struct Hello {
   1: i32 version
--- a/cloverway/peers/__init__.py
+++ b/cloverway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that hosts pass on to each other."""
+"""The protocol by which hosts forward requests, settle idempotency keys and fetch documents."""
--- a/cloverway/peers/channel.py
+++ b/cloverway/peers/channel.py
@@ -1,8 +1,8 @@
-"""Authenticated frames over one TCP connection between two hosts.
+"""Authenticated frames over a TCP connection between two hosts.
 
-Both ends prove that they know the shared secret by answering with the other's random nonce. Every
-later frame carries a MAC over a counter and its bytes, under a key of this connection and this
-direction: a frame that was changed, left out, replayed or sent back does not pass.
+In the handshake, each end proves that it knows the shared secret by a MAC over the random nonces of
+both. Each later frame carries a MAC over its bytes and a counter, under a key that is derived for
+this connection and direction. So a changed, dropped, replayed or reflected frame is rejected.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 MAC_BYTES = 16
 NONCE_BYTES = 16
 MAX_HANDSHAKE_BYTES = 1024
-"""Longest frame before the other end has proved who it is."""
+"""Maximum size of a frame before the other end is authenticated."""
 MAX_FRAME_BYTES = 17 * 1024 * 1024
-"""Longest frame after that: the largest recorded answer and what goes with it."""
+"""Maximum size of a frame after the handshake: the largest recorded response and its metadata."""
 RECEIVE_BYTES = 64 * 1024
 
 
@@ -38,33 +38,33 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame holds."""
+    """The content of a frame."""
 
     MESSAGE = 0
     DATA = 1
-    """Bytes of a body."""
+    """A part of a body."""
     PING = 2
-    """Nothing: the sender is alive and still at work."""
+    """No content: the sender is alive and still working on the request."""
 
 
 class Frame(NamedTuple):
-    """One frame that passed its MAC."""
+    """A frame whose MAC is valid."""
 
     kind: FrameKind
     payload: bytes
 
 
 class Identity(NamedTuple):
-    """One process of one host."""
+    """The process of a host: its name and incarnation."""
 
     host: str
     incarnation: str
 
 
 class Channel:
-    """One connection after, or during, its handshake.
+    """A connection to another host.
 
-    Frames may be sent by several threads; one thread at a time may receive.
+    Several threads may send frames; only one thread at a time may receive.
     """
 
     def __init__(self, connection: socket.socket) -> None:
@@ -74,7 +74,7 @@
         self.socket = connection
         self.peer = Identity("", "")
         self.challenge_sent_at = float("-inf")
-        """When this end sent its nonce; what the peer sends later was made later."""
+        """When the accepting end sent its nonce; each frame of the peer was made after that."""
         self.last_sent_at = time.monotonic()
         self._send_lock = threading.Lock()
         self._buffer = bytearray()
@@ -85,17 +85,17 @@
 
     @classmethod
     def connect(
-        cls, address: str, local: Identity, wanted: str, secret: bytes, timeout_s: float
+        cls, address: str, local: Identity, expected_host: str, secret: bytes, timeout_s: float
     ) -> Channel:
-        """Open a connection to a host and authenticate it; raise PeerError within the time."""
+        """Connect to a host and authenticate it; raise PeerError when that fails or times out."""
         deadline = time.monotonic() + timeout_s
         try:
             connection = socket.create_connection(split_address(address), timeout_s)
         except OSError as error:
-            raise PeerError(f"{wanted} can't be reached") from error
+            raise PeerError(f"can't connect to {expected_host}") from error
         channel = cls(connection)
         try:
-            channel._start_handshake(local, wanted, secret, deadline)
+            channel._start_handshake(local, expected_host, secret, deadline)
         except BaseException:
             channel.close()
             raise
@@ -105,7 +105,7 @@
     def accept(
         cls, connection: socket.socket, local: Identity, secret: bytes, timeout_s: float
     ) -> Channel:
-        """Authenticate a host that connected; raise PeerError within the time."""
+        """Authenticate a host that connected; raise PeerError when that fails or times out."""
         channel = cls(connection)
         try:
             channel._accept_handshake(local, secret, time.monotonic() + timeout_s)
@@ -115,19 +115,19 @@
         return channel
 
     def send_message(self, message: wire.Message, deadline: float) -> None:
-        """Send a message; raise PeerError when it can't be sent by the deadline."""
+        """Send a message; raise PeerError when it is not sent by the deadline."""
         self.send(FrameKind.MESSAGE, wire.encode(message), deadline)
 
     def send(self, kind: FrameKind, payload: bytes, deadline: float) -> None:
-        """Send a frame; raise PeerError when it can't be sent by the deadline."""
+        """Send a frame; raise PeerError when it is not sent by the deadline."""
         if len(payload) > MAX_FRAME_BYTES:
-            raise PeerError("the frame is too large")
+            raise PeerError("a frame to send is too large")
         with self._send_lock:
             frame = self._make_frame(kind, payload)
             self._write(frame, deadline)
 
     def ping(self) -> None:
-        """Show that this end is alive, unless a frame is being sent or the socket is full."""
+        """Send a ping, unless a frame is being sent or the send buffer is full."""
         if not self._send_lock.acquire(blocking=False):
             return
         try:
@@ -137,38 +137,41 @@
             self._send_lock.release()
 
     def receive(self, deadline: float) -> Frame:
-        """Give the next frame; raise PeerError when it is not whole and true by the deadline."""
+        """Return the next frame.
+
+        Raise PeerError when the frame is invalid or is not complete by the deadline.
+        """
         length, kind = HEADER.unpack(self._read(HEADER.size, deadline))
         if length > MAX_FRAME_BYTES:
-            raise PeerError("a frame is too large")
+            raise PeerError("a received frame is too large")
         payload = self._read(length, deadline)
         mac = self._read(MAC_BYTES, deadline)
         expected = _compute_mac(self._receive_key, self._received_frames, kind, payload)
         if not hmac.compare_digest(mac, expected):
-            raise PeerError("a frame is not from the peer")
+            raise PeerError("a frame has an invalid MAC")
         self._received_frames += 1
         try:
             return Frame(FrameKind(kind), payload)
         except ValueError as error:
-            raise PeerError("a frame is of an unknown kind") from error
+            raise PeerError("a frame has an unknown kind") from error
 
     def receive_message(self, deadline: float) -> wire.Message:
-        """Give the next message, past pings; raise PeerError when none comes by the deadline."""
+        """Return the next message, skipping pings; raise PeerError at the deadline."""
         while True:
             frame = self.receive(deadline)
             if frame.kind is FrameKind.MESSAGE:
                 return wire.decode(frame.payload)
             if frame.kind is FrameKind.DATA:
-                raise PeerError("a body came where a message was due")
+                raise PeerError("received a data frame instead of a message")
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes were read that no frame has taken yet."""
+        """Whether bytes were received that don't belong to a frame that was returned."""
         return bool(self._buffer)
 
     @property
     def broken(self) -> bool:
-        """Whether the other end has closed, or the connection has failed."""
+        """Whether the other end has closed the connection, or it has failed."""
         try:
             return not self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -177,7 +180,7 @@
             return True
 
     def shut_down(self) -> None:
-        """End the connection from another thread: the owner's calls fail."""
+        """Shut the connection down from another thread, so that the owner's calls fail."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
 
@@ -186,18 +189,22 @@
         self.socket.close()
 
     def _start_handshake(
-        self, local: Identity, wanted: str, secret: bytes, deadline: float
+        self, local: Identity, expected_host: str, secret: bytes, deadline: float
     ) -> None:
         hello = wire.Hello(
-            wire.VERSION, local.host, local.incarnation, wanted, secrets.token_bytes(NONCE_BYTES)
+            wire.VERSION,
+            local.host,
+            local.incarnation,
+            expected_host,
+            secrets.token_bytes(NONCE_BYTES),
         )
         self._send_handshake(hello, deadline)
         challenge = self._receive_handshake(wire.Challenge, deadline)
         session = _derive_session(secret, hello, challenge)
         if not hmac.compare_digest(challenge.mac, _derive_key(session, "accepting")):
-            raise PeerError(f"{wanted} does not know the secret")
-        if challenge.host != wanted:
-            raise PeerError(f"{wanted} is not at this address")
+            raise PeerError(f"{expected_host} does not know the shared secret")
+        if challenge.host != expected_host:
+            raise PeerError(f"another host than {expected_host} is at this address")
         self._send_handshake(wire.Proof(_derive_key(session, "connecting")), deadline)
         self.peer = Identity(challenge.host, challenge.incarnation)
         self._send_key = _derive_key(session, "to accepting")
@@ -206,30 +213,30 @@
     def _accept_handshake(self, local: Identity, secret: bytes, deadline: float) -> None:
         hello = self._receive_handshake(wire.Hello, deadline)
         if hello.version != wire.VERSION or len(hello.nonce) != NONCE_BYTES:
-            raise PeerError("the greeting is of another version")
+            raise PeerError("the handshake has an unsupported version")
         challenge = wire.Challenge(*local, secrets.token_bytes(NONCE_BYTES), b"")
         session = _derive_session(secret, hello, challenge)
         self.challenge_sent_at = time.monotonic()
         self._send_handshake(challenge._replace(mac=_derive_key(session, "accepting")), deadline)
         proof = self._receive_handshake(wire.Proof, deadline)
         if not hmac.compare_digest(proof.mac, _derive_key(session, "connecting")):
-            raise PeerError("the connecting host does not know the secret")
+            raise PeerError("the connecting host does not know the shared secret")
         self.peer = Identity(hello.host, hello.incarnation)
         self._send_key = _derive_key(session, "to connecting")
         self._receive_key = _derive_key(session, "to accepting")
 
     def _send_handshake(self, message: wire.Message, deadline: float) -> None:
-        """Send a message of the handshake; its MAC, if it needs one, is a field of its own."""
+        """Send a handshake message without a MAC of the frame; some have a field for a MAC."""
         payload = wire.encode(message)
         self._write(HEADER.pack(len(payload), FrameKind.MESSAGE) + payload, deadline)
 
     def _receive_handshake(self, kind: type[M], deadline: float) -> M:
         length, _ = HEADER.unpack(self._read(HEADER.size, deadline))
         if length > MAX_HANDSHAKE_BYTES:
-            raise PeerError("a greeting is too large")
+            raise PeerError("a handshake message is too large")
         message = wire.decode(self._read(length, deadline))
         if not isinstance(message, kind):
-            raise PeerError("the peer does not keep to the handshake")
+            raise PeerError("received an unexpected message in the handshake")
         return message
 
     def _make_frame(self, kind: FrameKind, payload: bytes) -> bytes:
@@ -252,7 +259,7 @@
             raise PeerError("the connection failed") from error
         finally:
             if view:
-                # The rest of a frame can't follow later: the other end would misread it.
+                # The rest of a frame can't be sent later: the other end would misinterpret it.
                 self.shut_down()
         self.last_sent_at = time.monotonic()
 
@@ -275,7 +282,7 @@
     def _wait(self, event: int, deadline: float) -> None:
         remaining_s = deadline - time.monotonic()
         if remaining_s <= 0 or not self._poll(event, remaining_s):
-            raise PeerError("the peer is silent")
+            raise PeerError("the peer did not respond in time")
 
     def _poll(self, event: int, timeout_s: float) -> bool:
         poll = select.poll()
@@ -287,7 +294,7 @@
 
 
 def _derive_session(secret: bytes, hello: wire.Hello, challenge: wire.Challenge) -> bytes:
-    """Derive the secret of one connection from all that both ends have said."""
+    """Derive the secret of one connection from the handshake messages of both ends."""
     digest = hashlib.sha256()
     for part in (wire.encode(hello), wire.encode(challenge._replace(mac=b""))):
         digest.update(MAC_PREFIX.pack(len(part), 0))
--- a/cloverway/peers/handlers.py
+++ b/cloverway/peers/handlers.py
@@ -1,4 +1,4 @@
-"""What this host does for its peers, and how documents travel between hosts."""
+"""The calls that this host serves for other hosts, and the encoding of published documents."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerRequestHandler:
-    """Hands each call of a peer to the part of the daemon that answers it."""
+    """Dispatches the calls of other hosts to the components that serve them."""
 
     def __init__(self, keys: LedgerTask, gateway: Gateway, changes_after: GetChangesAfter) -> None:
         self._keys = keys
@@ -30,20 +30,20 @@
         return self._keys.claim(call)
 
     def settle(self, call: SettleCall) -> None:
-        """Note how a run ended."""
+        """Record the outcome of a run."""
         self._keys.settle(call)
 
     def run(self, request: Request) -> Reply:
-        """Run a passed-on request here, or refuse it."""
+        """Run a forwarded request on this host, or refuse it."""
         return self._gateway.run(request)
 
     def get_changes(self, after: int) -> peering.EncodedChanges:
-        """Give the documents that changed after a revision."""
+        """Return the documents that changed after a revision."""
         return encode_changes(self._changes_after(after))
 
 
 def encode_changes(changes: Changes) -> peering.EncodedChanges:
-    """Give changes in the form that travels between hosts."""
+    """Encode changes for another host."""
     documents = tuple(
         wire.Change(document.key, document.revision, _encode_value(document))
         for document in changes.documents
@@ -52,13 +52,13 @@
 
 
 def decode_changes(changes: peering.EncodedChanges) -> Changes:
-    """Read changes that came from a peer; raise PeerError for any other form."""
+    """Decode changes from another host; raise PeerError when a document is malformed."""
     documents = tuple(_decode_change(change) for change in changes.changes)
     return Changes(changes.top, changes.after, documents, changes.digest)
 
 
 def make_fetch_changes(fetch: FetchEncodedChanges) -> Callable[[str, str, int], Changes]:
-    """Make a call that asks a host at an address for the changes after a revision."""
+    """Return a function that fetches the changes after a revision from a host at an address."""
 
     def fetch_decoded_changes(host: str, address: str, after: int) -> Changes:
         return decode_changes(fetch(host, address, after))
@@ -80,5 +80,5 @@
     except (ValueError, RecursionError) as error:
         raise PeerError(f"the value of {change.key[:80]!r} is not JSON") from error
     if not isinstance(value, dict):
-        raise PeerError(f"the value of {change.key[:80]!r} is not a table")
+        raise PeerError(f"the value of {change.key[:80]!r} is not a JSON object")
     return Document(change.key, change.revision, value)
--- a/cloverway/peers/peer_client.py
+++ b/cloverway/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls other hosts over TCP; every wait is bounded."""
+"""Client for the calls to other hosts over TCP; every wait has a timeout."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 
 class _IdleConnection(NamedTuple):
-    """A connection that is open and not used."""
+    """An open connection that is not in use."""
 
     channel: Channel
     since: float
 
 
 class _LostConnection(NamedTuple):
-    """The connection failed before the head of an answer came."""
+    """The result of a request whose connection failed before the head of the response."""
 
     ran: Ran
     detail: str
 
 
 class PeerClient:
-    """Calls of one host to all others; safe to use from many threads."""
+    """Makes the calls of one host to all others, over pooled connections; thread-safe."""
 
     def __init__(self, local: Identity, secret: bytes, limits: PeerLimits) -> None:
         self._local = local
@@ -51,18 +51,18 @@
         self._backoff_until: dict[str, float] = {}
 
     def claim(self, host: str, address: str, call: ClaimCall) -> ClaimResult:
-        """Claim a key that another host issued; raise PeerError when it can't be asked."""
-        answer = self._call_with_retry(host, address, call, call.left_s)
-        if isinstance(answer, Grant | Recorded | Refused):
-            return answer
-        raise PeerError("the peer does not keep to the protocol")
+        """Claim a key that another host issued; raise PeerError when the call fails."""
+        response = self._call_with_retry(host, address, call, call.left_s)
+        if isinstance(response, Grant | Recorded | Refused):
+            return response
+        raise PeerError("received an unexpected message from the peer")
 
     def settle(self, host: str, address: str, call: SettleCall) -> None:
-        """Settle a key that another host issued; raise PeerError when it can't be told."""
+        """Settle a key that another host issued; raise PeerError when the call fails."""
         self._call_with_retry(host, address, call)
 
     def fetch_changes(self, host: str, address: str, after: int) -> EncodedChanges:
-        """Ask for the documents that changed after a revision; raise PeerError on failure."""
+        """Fetch the documents that changed after a revision; raise PeerError on failure."""
         deadline = time.monotonic() + CHANGES_TIMEOUT_S
         channel = self._connect(host, address)
         try:
@@ -83,31 +83,31 @@
         idempotent: bool = False,
         start_by: float | None = None,
     ) -> Reply:
-        """Pass a request on; raise RequestError, with ran "no" only when that is certain.
+        """Forward a request; raise RequestError, with `ran` "no" only when that is certain.
 
-        A request that is not idempotent goes on a new connection: on a stale one nobody could
-        tell whether it arrived. `start_by` is the end of its key's grant.
+        A request that is not idempotent is sent on a new connection, because on a stale one it
+        would be unknown whether it arrived. `start_by` is the end of its key's grant.
         """
         channel = self._take_idle(address) if idempotent else None
         first_failure = None
         if channel is not None:
-            answer = self._exchange(
+            response = self._exchange(
                 channel, request, start_by, self._limits.reused_response_timeout_s
             )
-            if not isinstance(answer, _LostConnection):
-                return self._make_reply(channel, address, answer, request)
-            first_failure = answer
-            log.debug("a pooled connection was lost", extra={"peer": host})
+            if not isinstance(response, _LostConnection):
+                return self._make_reply(channel, address, response, request)
+            first_failure = response
+            log.debug("a pooled connection failed", extra={"peer": host})
         try:
             return self._run_on_new_connection(host, address, request, start_by)
         except RequestError as error:
             if first_failure is not None and error.ran is Ran.NO:
-                # The second attempt did not run, but the lost one may have.
+                # The second attempt did not run, but the first one may have.
                 error.ran = first_failure.ran
             raise
 
     def close(self) -> None:
-        """Close the connections that are not used."""
+        """Close all idle connections."""
         with self._lock:
             idle = [each.channel for pool in self._idle.values() for each in pool]
             self._idle.clear()
@@ -121,27 +121,27 @@
             channel = self._connect(host, address, request.deadline - time.monotonic())
         except PeerError as error:
             raise RequestError(Kind.ENDPOINT_REFUSED, str(error), ran=Ran.NO) from error
-        answer = self._exchange(channel, request, start_by, self._limits.silence_timeout_s)
-        if not isinstance(answer, _LostConnection):
-            return self._make_reply(channel, address, answer, request)
-        if answer.ran is Ran.NO:
-            raise RequestError(Kind.ENDPOINT_REFUSED, answer.detail, ran=Ran.NO)
+        response = self._exchange(channel, request, start_by, self._limits.silence_timeout_s)
+        if not isinstance(response, _LostConnection):
+            return self._make_reply(channel, address, response, request)
+        if response.ran is Ran.NO:
+            raise RequestError(Kind.ENDPOINT_REFUSED, response.detail, ran=Ran.NO)
         late = time.monotonic() >= request.deadline
         kind = Kind.TIMED_OUT if late else Kind.ENDPOINT_FAILED
-        raise RequestError(kind, answer.detail, ran=Ran.UNKNOWN)
+        raise RequestError(kind, response.detail, ran=Ran.UNKNOWN)
 
     def _exchange(
         self, channel: Channel, request: Request, start_by: float | None, head_timeout_s: float
     ) -> wire.ReplyHead | Refused | _LostConnection:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
         sent = False
         try:
             frames = _make_frames(request)
             send_deadline = min(request.deadline, time.monotonic() + self._limits.send_timeout_s)
             for kind, payload in frames[:-1]:
                 channel.send(kind, payload, send_deadline)
-            # A process that slept wakes up here. The other host can run nothing until it has
-            # the last frame, so up to now it is certain that the request did not run.
+            # This process may have been paused until here. The other host runs nothing before it
+            # has the last frame, so it is certain that the request has not run yet.
             if time.monotonic() >= _get_start_deadline(request, start_by):
                 channel.close()
                 return Refused(Kind.DEADLINE)
@@ -168,24 +168,29 @@
                 message = wire.decode(frame.payload)
                 if isinstance(message, wire.ReplyHead | Refused):
                     return message
-            raise PeerError("the peer does not keep to the protocol")
+            raise PeerError("received an unexpected message from the peer")
 
     def _make_reply(
-        self, channel: Channel, address: str, answer: wire.ReplyHead | Refused, request: Request
+        self, channel: Channel, address: str, response: wire.ReplyHead | Refused, request: Request
     ) -> Reply:
-        if isinstance(answer, Refused):
+        if isinstance(response, Refused):
             self._release(address, channel)
-            raise answer.as_error()
+            raise response.as_error()
         stream = PeerStream(channel, self._limits, lambda whole: self._release(address, whole))
-        if answer.streamed:
-            return Reply(answer.status, answer.content_type, stream=stream, headers=answer.headers)
+        if response.streamed:
+            return Reply(
+                response.status, response.content_type, stream=stream, headers=response.headers
+            )
         body = stream.read_all(request.deadline)
-        return Reply(answer.status, answer.content_type, body, headers=answer.headers)
+        return Reply(response.status, response.content_type, body, headers=response.headers)
 
     def _call_with_retry(
         self, host: str, address: str, message: wire.Message, left_s: float = math.inf
     ) -> wire.Message:
-        """Make a small call that does no harm when it is made twice, within some seconds in all."""
+        """Make a small idempotent call, within a total time.
+
+        It is repeated on a new connection when a pooled one fails.
+        """
         end = time.monotonic() + left_s
         channel = self._take_idle(address)
         if channel is not None:
@@ -194,7 +199,7 @@
                     channel, address, message, min(left_s, self._limits.reused_response_timeout_s)
                 )
             except PeerError:
-                log.debug("a pooled connection was lost", extra={"peer": host})
+                log.debug("a pooled connection failed", extra={"peer": host})
         channel = self._connect(host, address, end - time.monotonic())
         answer_s = min(end - time.monotonic(), self._limits.response_timeout_s)
         return self._call(channel, address, message, answer_s)
@@ -205,12 +210,12 @@
         deadline = time.monotonic() + timeout_s
         try:
             channel.send_message(message, deadline)
-            answer = channel.receive_message(deadline)
+            response = channel.receive_message(deadline)
         except BaseException:
             channel.close()
             raise
         self._release(address, channel)
-        return answer
+        return response
 
     def _receive_changes(self, channel: Channel, deadline: float) -> EncodedChanges:
         changes: list[wire.Change] = []
@@ -218,23 +223,23 @@
         while True:
             page = channel.receive_message(deadline)
             if not isinstance(page, wire.ChangesPage):
-                raise PeerError("the peer does not keep to the protocol")
+                raise PeerError("received an unexpected message from the peer")
             changes += page.changes
             size += sum(len(change.value or "") for change in page.changes)
             if size > MAX_CHANGES_BYTES:
-                raise PeerError("the peer sends too many changes")
+                raise PeerError("the changes of the peer are too large")
             if not page.more:
                 return EncodedChanges(page.top, tuple(changes), page.after, page.digest)
 
     def _connect(self, host: str, address: str, left_s: float = math.inf) -> Channel:
-        """Open a connection, unless a new one to this address has failed a moment ago.
+        """Open a connection, unless connecting to this address failed a moment ago.
 
-        Without that pause each caller's thread would wait out the timeout of a dead host.
+        Without this backoff each caller's thread would wait for the timeout of a dead host.
         """
         if time.monotonic() < self._backoff_until.get(address, 0.0):
-            raise PeerError(f"{host} could not be reached a moment ago")
+            raise PeerError(f"connecting to {host} failed a moment ago")
         if left_s <= 0:
-            raise PeerError("there is no time left to connect")
+            raise PeerError("no time is left to connect")
         timeout_s = min(self._limits.connect_timeout_s, left_s)
         try:
             channel = Channel.connect(address, self._local, host, self._secret, timeout_s)
@@ -254,7 +259,7 @@
             self._backoff_until[address] = now + self._limits.backoff_s
 
     def _take_idle(self, address: str) -> Channel | None:
-        """Give a connection that is not used, the latest first; stale ones are closed."""
+        """Return the most recently used idle connection, or None; close stale ones."""
         with self._lock:
             pool = self._idle.pop(address, [])
         oldest = time.monotonic() - self._limits.idle_timeout_s
@@ -283,7 +288,7 @@
             channel.close()
 
     def _close_expired(self) -> None:
-        """Close what was not used for long, of all hosts: some are never called again."""
+        """Close expired connections to all hosts, since some hosts are never called again."""
         oldest = time.monotonic() - self._limits.idle_timeout_s
         with self._lock:
             old = [each for pool in self._idle.values() for each in pool if each.since <= oldest]
--- a/cloverway/peers/peer_server.py
+++ b/cloverway/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers the calls of other hosts over TCP."""
+"""Server for the calls of other hosts over TCP."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 MAX_PAGE_BYTES = 512 * 1024
 ACCEPT_RETRY_DELAY_S = 0.2
 IDLE_MARGIN_S = 5.0
-"""The accepting end keeps an idle connection longer, so that it is the opening end that drops it
-and no call meets a connection that is about to close."""
+"""The accepting end keeps an idle connection longer by this time. So the connecting end closes it,
+and no call is sent on a connection that is being closed."""
 
 
 class _Connection:
-    """One accepted connection and what its thread is doing."""
+    """An accepted connection and the state of its thread."""
 
     def __init__(self, raw: socket.socket) -> None:
         self.raw = raw
         self.channel: Channel | None = None
         self.idle_since: float | None = time.monotonic()
-        """None while a call is served."""
+        """Since when it has been idle; None while a call is served."""
         self.calls = 0
         self.running = False
 
     def shut_down(self) -> None:
-        """End the connection from another thread."""
+        """Shut the connection down from another thread."""
         shut_down(self.raw)
 
 
 class PeerServer:
-    """Listens for other hosts; one thread for each connection, and a bound on connections."""
+    """Serves other hosts with one thread per connection and a limit on connections."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         except OSError as error:
             raise UserError(f"{address}: can't listen for hosts: {error.strerror}") from error
         self.address = format_address(self._listener.getsockname())
-        """Where it listens, by IP number and port."""
+        """Address that it listens at: IP address and port."""
         self._threads = [
             threading.Thread(target=self._accept_connections, name="peers", daemon=True),
             threading.Thread(target=self._ping_running, name="peer-pings", daemon=True),
@@ -76,16 +76,16 @@
 
     @property
     def connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start accepting connections."""
         for thread in self._threads:
             thread.start()
 
     def stop(self, timeout_s: float = 0.0) -> None:
-        """Accept no more, drop idle connections, and give busy ones some time to end."""
+        """Stop accepting, close idle connections, and give busy ones some time to finish."""
         deadline = time.monotonic() + timeout_s
         self._stopping.set()
         shut_down(self._listener)
@@ -111,7 +111,7 @@
             except OSError:
                 if self._stopping.is_set():
                     return
-                log.exception("a connection could not be accepted")
+                log.exception("can't accept a connection")
                 self._stopping.wait(ACCEPT_RETRY_DELAY_S)
                 continue
             self._admit(raw)
@@ -128,16 +128,16 @@
         if evicted is not None:
             evicted.shut_down()
         if full:
-            log.warning("too many peers are served at one time")
+            log.warning("rejected a peer: all connections are busy")
             raw.close()
             return
         threading.Thread(target=self._serve, args=(connection,), name="peer", daemon=True).start()
 
     def _choose_evicted(self) -> _Connection | None:
-        """Choose the connection that makes room for a new one: the one idle for longest.
+        """Return the connection to evict for a new one: the one that has been idle the longest.
 
-        Were the new one refused instead, its host would take this one for dead for a while, and
-        tell its caller that the outcome is unknown.
+        If the new one were rejected instead, its host would treat this host as dead for a while
+        and tell its caller that the outcome is unknown.
         """
         if len(self._connections) < self._limits.max_connections:
             return None
@@ -170,9 +170,9 @@
             while not self._stopping.is_set():
                 self._serve_call(connection, channel)
         except PeerError as error:
-            log.debug("a peer's connection ended", extra={"reason": str(error)})
+            log.debug("the connection of a peer ended", extra={"reason": str(error)})
         except Exception:
-            log.exception("a peer's call failed")
+            log.exception("a call of a peer failed")
         finally:
             with self._lock:
                 self._connections.discard(connection)
@@ -191,10 +191,10 @@
             self._send_changes(channel, first)
         else:
             if isinstance(first, ClaimCall) and channel.broken:
-                # This process slept, and the claimant has given up: a grant would go to nobody,
-                # and the caller's repeat would find the key taken.
-                raise PeerError("the claimant has given the claim up")
-            channel.send_message(self._answer(first), self._get_send_deadline())
+                # The claimant has given up, for example because this process was paused. A grant
+                # would reach nobody, and the caller's retry would find the key in use.
+                raise PeerError("the claimant closed the connection before its claim was decided")
+            channel.send_message(self._handle_call(first), self._make_deadline())
 
     def _run(self, connection: _Connection, channel: Channel, call: wire.RunCall) -> None:
         connection.running = True
@@ -204,7 +204,7 @@
         finally:
             connection.running = False
 
-    def _answer(self, message: wire.Message) -> wire.Message:
+    def _handle_call(self, message: wire.Message) -> wire.Message:
         try:
             if isinstance(message, ClaimCall):
                 return self._handler.claim(message)
@@ -213,7 +213,7 @@
                 return wire.Settled()
         except RequestError as error:
             return make_refusal(error)
-        raise PeerError("the peer does not keep to the protocol")
+        raise PeerError("received an unexpected message from the peer")
 
     def _send_changes(self, channel: Channel, call: wire.ChangesCall) -> None:
         changes = self._handler.get_changes(call.after)
@@ -221,20 +221,20 @@
         for number, page in enumerate(pages, start=1):
             more = number < len(pages)
             message = wire.ChangesPage(changes.top, page, more, changes.after, changes.digest)
-            channel.send_message(message, self._get_send_deadline())
+            channel.send_message(message, self._make_deadline())
 
-    def _get_send_deadline(self) -> float:
+    def _make_deadline(self) -> float:
         return time.monotonic() + self._limits.send_timeout_s
 
 
 def shut_down(raw: socket.socket) -> None:
-    """End a socket's use by another thread; harmless when it has ended."""
+    """Shut down a socket that another thread uses; do nothing when it is closed already."""
     with contextlib.suppress(OSError):
         raw.shutdown(socket.SHUT_RDWR)
 
 
 def split_pages(changes: Sequence[wire.Change]) -> Iterator[tuple[wire.Change, ...]]:
-    """Split changes into pages of bounded size; there is one page at least."""
+    """Split changes into pages of bounded size; yield at least one page."""
     page: list[wire.Change] = []
     size = 0
     for change in changes:
--- a/cloverway/peers/peer_stream.py
+++ b/cloverway/peers/peer_stream.py
@@ -1,4 +1,4 @@
-"""The body of an answer that another host sends."""
+"""The response body of a request that was forwarded to another host."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerStream:
-    """Reads data frames up to the one that says that the answer is whole."""
+    """Reads data frames up to the message that marks the response as complete."""
 
     def __init__(
         self, channel: Channel, limits: PeerLimits, release: Callable[[Channel], None]
@@ -30,24 +30,24 @@
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise RequestError when it is cut."""
+        """Yield the pieces of the body; raise RequestError when it is truncated."""
         while not self._ended:
             piece = self._receive_piece()
             if piece:
                 yield piece
 
     def read_all(self, deadline: float) -> bytes:
-        """Give the whole body; raise RequestError when it is cut, late or too large."""
+        """Return the complete body; raise RequestError when it is truncated, late or too large."""
         pieces = []
         while not self._ended:
             pieces.append(self._receive_piece(deadline))
             if self._received > self._limits.max_response_bytes:
                 self.close()
-                raise RequestError(Kind.TRUNCATED, "the answer is too large", ran=Ran.UNKNOWN)
+                raise RequestError(Kind.TRUNCATED, "the response is too large", ran=Ran.UNKNOWN)
         return b"".join(pieces)
 
     def hand_over(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller in chunked framing, without the last chunk."""
+        """Copy the rest of the body to the caller in chunked encoding, without the last chunk."""
         watched = not isinstance(caller, ssl.SSLSocket)
         while not self._ended:
             if watched and not self._channel.has_input:
@@ -57,13 +57,13 @@
                 self._send_chunk(caller, piece)
 
     def close(self) -> None:
-        """Give the answer up: the other host finds the connection closed and cancels."""
+        """Abandon the response: the other host sees the connection closed and cancels the run."""
         if not self._ended:
             self._ended = True
             self._channel.close()
 
     def _receive_piece(self, deadline: float | None = None) -> bytes:
-        """Give the next piece, which is empty at the end and when the host only lives."""
+        """Return the next piece, which is empty for a ping and at the end."""
         try:
             limit = time.monotonic() + self._limits.silence_timeout_s
             frame = self._channel.receive(limit if deadline is None else min(limit, deadline))
@@ -87,13 +87,16 @@
             return b""
         if isinstance(message, Refused):
             self.close()
-            # Its head has come, so it was run at least in part.
+            # The head of the response has arrived, so the request ran at least in part.
             ran = Ran.UNKNOWN if message.ran is Ran.NO else message.ran
             raise RequestError(message.kind, message.detail, ran=ran)
-        raise PeerError("the peer does not keep to the protocol")
+        raise PeerError("received an unexpected message from the peer")
 
     def _wait_for_input(self, caller: socket.socket) -> bool:
-        """Wait for the host or the caller; give whether the caller need be watched further."""
+        """Wait for input from the host or the caller.
+
+        Return whether the caller has to be watched further. Raise RequestError when it has left.
+        """
         poll = select.poll()
         poll.register(self._channel.socket, select.POLLIN)
         poll.register(caller, DISCONNECT_EVENTS)
@@ -109,7 +112,8 @@
         if left:
             self.close()
             raise RequestError(Kind.CALLER_LEFT)
-        # It has sent its next request early; from now on only a failed send tells.
+        # The caller has sent its next request early. From now on only a failed send shows that it
+        # has left.
         return False
 
     def _send_chunk(self, caller: socket.socket, piece: bytes) -> None:
--- a/cloverway/peers/peering.py
+++ b/cloverway/peers/peering.py
@@ -1,4 +1,4 @@
-"""What hosts offer to each other over TCP, and the bounds on it."""
+"""The interface that hosts offer to each other over TCP, and its limits."""
 
 from __future__ import annotations
 
@@ -12,66 +12,66 @@
 
 
 class EncodedChanges(NamedTuple):
-    """Published documents that a host knows."""
+    """Published documents, encoded for another host."""
 
     top: int
-    """The highest revision that it knows."""
+    """The highest revision that the sender knows."""
     changes: tuple[Change, ...] = ()
     after: int = 0
-    """The revision that the changes start from; 0 when they are all documents."""
+    """The revision that the changes start from; 0 when they contain all documents."""
     digest: str = ""
-    """Digest of all documents at `top`: tells a peer of another history."""
+    """Digest of all documents at `top`, by which a peer detects a diverged history."""
 
 
 class PeerHandler(Protocol):
-    """What a host does for its peers; raises RequestError for what it refuses."""
+    """The calls that a host serves for other hosts; refusals raise RequestError."""
 
     def claim(self, call: ClaimCall) -> ClaimResult:
         """Decide a claim of a key that this host issued."""
         ...
 
     def settle(self, call: SettleCall) -> None:
-        """Note how a run ended."""
+        """Record the outcome of a run."""
         ...
 
     def run(self, request: Request) -> Reply:
-        """Run a passed-on request here, or refuse it; never pass it on."""
+        """Run a forwarded request on this host, or refuse it; never forward it again."""
         ...
 
     def get_changes(self, after: int) -> EncodedChanges:
-        """Give the documents that changed after a revision."""
+        """Return the documents that changed after a revision."""
         ...
 
 
 class PeerLimits(NamedTuple):
-    """Bounds on connections between hosts. Times are in seconds."""
+    """Limits of connections between hosts. Times are in seconds."""
 
     connect_timeout_s: float = 1.0
-    """Connecting and authenticating, at either end."""
+    """Timeout of connecting and authenticating, at either end."""
     response_timeout_s: float = 1.5
-    """Waiting for a small call's answer on a new connection."""
+    """Timeout of the response to a small call on a new connection."""
     reused_response_timeout_s: float = 0.8
-    """The same on a re-used connection, which may be silent; a new one is tried after that."""
+    """The same on a reused connection, which may have gone silent; then a new one is tried."""
     send_timeout_s: float = 10.0
-    """Until the other end has room for a frame."""
+    """Timeout of sending a frame."""
     ping_interval_s: float = 1.0
-    """How often a host that works on a request shows that it is alive."""
+    """Interval of the pings from a host that works on a request."""
     silence_timeout_s: float = 4.0
-    """Without any frame from a host that works on a request, until it is given up."""
+    """Time without any frame after which a host that works on a request counts as failed."""
     backoff_s: float = 1.0
-    """After a host could not be reached, until it is tried again."""
+    """Delay before the next attempt to connect to a host that could not be reached."""
     idle_timeout_s: float = 5.0
-    """Until a connection that is not used is dropped by the end that opened it."""
+    """Time after which the connecting end closes an idle connection."""
     max_connections: int = 256
-    """Accepted at one time."""
+    """Maximum number of accepted connections."""
     max_pooled: int = 64
-    """Open and not used, to all hosts together."""
+    """Maximum number of idle connections in the pool, over all hosts."""
     max_body_bytes: int = 4 * 1024 * 1024
     max_response_bytes: int = 64 * 1024 * 1024
 
     @classmethod
     def from_limits(cls, limits: Limits) -> PeerLimits:
-        """Take what the settings of a daemon bound."""
+        """Create the limits from the settings of a daemon."""
         return cls(
             connect_timeout_s=limits.connect_timeout_s,
             max_body_bytes=limits.body_bytes,
--- a/cloverway/peers/wire.py
+++ b/cloverway/peers/wire.py
@@ -1,4 +1,4 @@
-"""The codec between hosts: typed messages to bytes and back, by thrift's binary protocol."""
+"""The messages between hosts and their codec, in thrift's binary protocol."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class Hello(NamedTuple):
-    """The connecting host's first words."""
+    """The first message of the connecting host."""
 
     version: int
     host: str
     incarnation: str
     wanted: str
-    """The host that it means to reach."""
+    """The host that it intends to reach."""
     nonce: bytes
 
 
 class Challenge(NamedTuple):
-    """The accepting host's answer, which proves that it knows the secret."""
+    """The accepting host's reply, which proves that it knows the shared secret."""
 
     host: str
     incarnation: str
@@ -32,7 +32,7 @@
 
 
 class Proof(NamedTuple):
-    """Proves that the connecting host knows the secret."""
+    """Proves that the connecting host knows the shared secret."""
 
     mac: bytes
 
@@ -54,12 +54,12 @@
     key: str
     revision: int
     left_s: float
-    """Time until the deadline; clocks of two hosts are never compared."""
+    """Time until the deadline, since the clocks of two hosts are not comparable."""
     body_bytes: int
 
 
 class ReplyHead(NamedTuple):
-    """The head of an answer; its body follows in data frames."""
+    """The head of a response; its body follows in data frames."""
 
     status: int
     content_type: str
@@ -68,13 +68,13 @@
 
 
 class End(NamedTuple):
-    """The answer is whole; without this frame it is cut."""
+    """Marks the end of a complete response; without this message it is truncated."""
 
     body_bytes: int
 
 
 class ChangesCall(NamedTuple):
-    """Ask for the published documents that changed after a revision."""
+    """Request the published documents that changed after a revision."""
 
     after: int
 
@@ -89,14 +89,14 @@
 
 
 class ChangesPage(NamedTuple):
-    """Some of the changes; more pages may follow."""
+    """A page of the changes; more pages may follow."""
 
     top: int
     """The highest revision that the host knows."""
     changes: tuple[Change, ...]
     more: bool
     after: int = 0
-    """The revision that the changes start from; 0 when they are all documents."""
+    """The revision that the changes start from; 0 when they contain all documents."""
     digest: str = ""
     """Digest of all documents at `top`."""
 
@@ -122,10 +122,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """Give the bytes of a message; raise PeerError for text that UTF-8 can't hold."""
+    """Encode a message; raise PeerError for text that can't be encoded as UTF-8."""
     return MESSAGE_CODEC.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Read a message; raise PeerError for bytes that are not one whole message."""
+    """Decode a message; raise PeerError for bytes that are not exactly one complete message."""
     return cast(Message, MESSAGE_CODEC.decode(data))
