--- a/cloverway/peers/peer_client.py
+++ b/cloverway/peers/peer_client.py
@@ -201,8 +201,8 @@
             except PeerError:
                 log.debug("a pooled connection failed", extra={"peer": host})
         channel = self._connect(host, address, end - time.monotonic())
-        answer_s = min(end - time.monotonic(), self._limits.response_timeout_s)
-        return self._call(channel, address, message, answer_s)
+        timeout_s = min(end - time.monotonic(), self._limits.response_timeout_s)
+        return self._call(channel, address, message, timeout_s)
 
     def _call(
         self, channel: Channel, address: str, message: wire.Message, timeout_s: float
