--- a/cloverway/tests/bench_membership.py
+++ b/cloverway/tests/bench_membership.py
@@ -1,7 +1,7 @@
-"""Measure what membership costs: bytes, processor time, memory, detection. Prints Markdown.
+"""Benchmark of membership: traffic, processor time, memory, detection time. Prints Markdown.
 
 Run: python -m cloverway.tests.bench_membership [slopes|large|detection|loop]
-The core and the codec are the real ones; network and clock are virtual, but for `loop`.
+The protocol and the codec are the real ones; network and clock are virtual, except in `loop`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Cost(NamedTuple):
-    """Of one host and second, on average."""
+    """Average cost per host and second."""
 
     datagrams: float
     sent: float
@@ -64,7 +64,7 @@
 
 
 def fit(points: Iterable[tuple[float, float]]) -> tuple[float, float, float]:
-    """Give intercept, slope and the largest residual as a part of its value."""
+    """Return the intercept, the slope and the largest relative residual."""
     pairs = list(points)
     mean_x = sum(x for x, _ in pairs) / len(pairs)
     mean_y = sum(y for _, y in pairs) / len(pairs)
@@ -188,7 +188,7 @@
 
 
 def run_loop() -> None:
-    """Run one real control loop against four services, and read its threads' clocks."""
+    """Run a real control loop against four services, and measure the CPU time of its threads."""
     cluster = Cluster()
     with cluster.stack:
         for number in range(4):
--- a/cloverway/tests/fake_host.py
+++ b/cloverway/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""A host that gives prepared answers, byte for byte, and notes what it was sent."""
+"""A fake host that sends prepared responses and records the requests it receives."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeHost:
-    """Answers each request by the next prepared answer for its path; the last one stays."""
+    """Sends the next prepared response for the path of a request; the last one is repeated."""
 
     def __init__(self) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
@@ -75,7 +75,7 @@
 
 
 def make_stream(*texts: str, done: bool = True, last_chunk: bool = True) -> bytes:
-    """Give a chunked stream of completion events."""
+    """Return a response with a chunked stream of completion events."""
     events = [json.dumps({"choices": [{"delta": {"content": text}}]}) for text in texts]
     events += ["[DONE]"] if done else []
     chunks = [f"data: {event}\n\n".encode() for event in events]
--- a/cloverway/tests/peer_fakes.py
+++ b/cloverway/tests/peer_fakes.py
@@ -34,12 +34,12 @@
     deadline = time.monotonic() + TIMEOUT_S
     step = threading.Event()
     while not condition():
-        assert time.monotonic() < deadline, "it did not come"
+        assert time.monotonic() < deadline, "the condition was not met in time"
         step.wait(0.005)
 
 
 class FakeStream:
-    """Pieces of an answer; an item that is an error is raised, an event is waited for."""
+    """The pieces of a response; an exception among them is raised, an event is waited for."""
 
     def __init__(self, *items):
         self.items = items
@@ -90,7 +90,7 @@
 
 
 class TcpProxy:
-    """A link whose connections a test can make silent: what is read is kept back."""
+    """A TCP proxy whose connections a test can make silent: it drops what it receives."""
 
     def __init__(self, target):
         self.target = target
@@ -150,7 +150,7 @@
 
 
 class RawConnection:
-    """A raw connection that keeps to no protocol but the test's."""
+    """A raw connection, on which a test can send arbitrary bytes."""
 
     def __init__(self, address):
         number, port = address.split(":")
@@ -194,7 +194,7 @@
 
 
 def make_channels():
-    """Give the two ends of one TCP connection."""
+    """Return the two ends of one TCP connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         near = socket.create_connection(listener.getsockname())
         far, _ = listener.accept()
--- a/cloverway/tests/test_control.py
+++ b/cloverway/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control loops of several hosts in one process, with real sockets on the loopback."""
+"""Tests of the control loop: several hosts in one process, with real sockets on the loopback."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FakePlatform:
-    """Published documents in memory; hosts are cut off from it one by one."""
+    """A platform with its published documents in memory."""
 
     def __init__(self) -> None:
         self.documents: dict[str, Document] = {}
@@ -53,8 +53,8 @@
         return self.states
 
 
-class CutOff(FakePlatform):
-    """A platform that one host can't reach."""
+class UnreachablePlatform(FakePlatform):
+    """A platform that a host can't reach."""
 
     def read(self, after, wait_s):
         threading.Event().wait(0.02)
@@ -62,7 +62,7 @@
 
 
 class Cluster:
-    """Hosts that fetch from each other directly, by address."""
+    """Hosts that fetch documents from each other by direct calls."""
 
     def __init__(self) -> None:
         self.platform = FakePlatform()
@@ -161,15 +161,15 @@
     wait_until(lambda: all(len(cluster.view(name).hosts) == 2 for name in cluster.loops))
 
 
-def test_hosts_find_each_other_and_a_change_reaches_the_one_that_is_cut_off(cluster):
-    """A host that can't reach the platform still has each change within seconds.
+def test_a_change_reaches_a_host_that_is_cut_off_from_the_platform(cluster):
+    """Failure: a host that can't reach the platform misses configuration changes.
 
-    It starts with nothing; its siblings know its address from what is published, and tell it
-    their revision. It fetches the documents from them, at its start and after each change.
+    It starts without documents. Its siblings know its address from the configuration and send it
+    their revision, so it fetches the documents from them, at its start and after each change.
     """
     cluster.add("a-h1", "a-1", 1)
     cluster.add("a-h2", "a-1", 2)
-    cluster.add("a-h3", "a-1", 3, platform=CutOff())
+    cluster.add("a-h3", "a-1", 3, platform=UnreachablePlatform())
     cluster.publish()
     wait_until(lambda: all(cluster.view(name).published for name in cluster.loops))
     wait_until(lambda: all(len(cluster.view(name).hosts) == 2 for name in cluster.loops))
@@ -177,18 +177,18 @@
     wait_until(lambda: "chat" in cluster.view("a-h3").published.profiles)
 
 
-def test_a_starting_host_shows_no_configuration_before_it_asked(cluster):
-    loop = cluster.add("a-h1", "a-1", 1, platform=CutOff())
+def test_a_starting_host_has_no_configuration_before_it_fetched_one(cluster):
+    loop = cluster.add("a-h1", "a-1", 1, platform=UnreachablePlatform())
     assert cluster.view("a-h1").published is None
     assert not cluster.view("a-h1").ready
     assert loop.status()["revision"] == 0
 
 
-def test_a_starting_host_takes_no_work_before_it_heard_of_its_endpoints(cluster):
-    """The first callers of a host that was just replaced are refused, though endpoints are free.
+def test_a_starting_host_is_not_ready_before_the_first_load_reports(cluster):
+    """Failure: a host that just started refuses its first requests, though endpoints are free.
 
-    The host has its configuration and says that it is ready; the first load report comes a moment
-    later. Until then no endpoint counts as ready, and each request gets `no_capacity`.
+    It has its configuration and is ready, but the first load report arrives a moment later. Until
+    then no endpoint counts as ready, and each request gets `no_capacity`.
     """
     cluster.serve("a-s1", "a-1")
     cluster.publish()
@@ -205,14 +205,14 @@
     assert first.endpoints["a-s1"].ready
 
 
-def test_an_endpoint_that_never_answers_keeps_no_host_from_starting(cluster):
+def test_an_endpoint_that_never_answers_does_not_prevent_a_host_from_starting(cluster):
     cluster.serve("a-s1", "a-1").stop()
     cluster.publish()
     cluster.add("a-h1", "a-1", 1)
     wait_until(lambda: cluster.view("a-h1").ready)
 
 
-def test_a_leaving_host_is_seen_as_such_by_all(cluster):
+def test_a_leaving_host_is_known_to_all_hosts(cluster):
     start_three(cluster)
     cluster.loops["a-h1"].begin_leaving()
     assert cluster.view("a-h1").leaving
@@ -220,11 +220,11 @@
     wait_until(lambda: cluster.view("a-h3").hosts["a-h1"].leaving)
 
 
-def test_a_dead_host_leaves_the_view_and_its_replacement_enters(cluster):
-    """Callers are sent to a host that died, or never to the one that took its place.
+def test_a_dead_host_is_removed_from_the_view_and_its_replacement_added(cluster):
+    """Failure: callers are sent to a dead host, or never to its replacement.
 
-    The process is gone without a word; another one starts with the same name and address, and
-    another incarnation.
+    The process ends without notice; another one starts with the same name and address, and a new
+    incarnation.
     """
     start_three(cluster)
     address = cluster.loops["a-h1"].address
@@ -235,7 +235,7 @@
     assert cluster.view("a-h2").hosts["a-h1"].incarnation == f"{99:016x}"
 
 
-def test_two_failure_domains_tell_each_other_what_they_offer(cluster):
+def test_two_failure_domains_exchange_their_capacity(cluster):
     cluster.serve("a-s1", "a-1")
     cluster.add("a-h1", "a-1", 1)
     cluster.add("b-h1", "b-1", 2)
@@ -248,10 +248,10 @@
     assert cluster.view("b-h2").endpoints == {}
 
 
-def test_an_endpoint_that_leaves_is_known_to_every_host(cluster):
-    """An endpoint that is leaving gets new work from the hosts that do not read its load.
+def test_a_leaving_endpoint_is_known_to_every_host(cluster):
+    """Failure: a leaving endpoint gets new requests from the hosts that do not read its load.
 
-    Two of the three hosts read it; the third one learns of it from them only.
+    Two of the three hosts read it; the third one learns its state only from them.
     """
     service = cluster.serve("a-s1", "a-1")
     start_three(cluster)
@@ -263,8 +263,8 @@
     assert all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops)
 
 
-def test_the_platforms_list_counts_once_and_its_lag_takes_nothing_back(cluster):
-    """An endpoint gets new work again because a stale list names it as live.
+def test_a_stale_member_list_does_not_reset_leaving(cluster):
+    """Failure: a leaving endpoint gets new requests because a stale list names it as live.
 
     The list says once that it is leaving, then an older copy of the list is served.
     """
@@ -282,14 +282,14 @@
     assert all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops)
 
 
-def test_bytes_from_strangers_end_nothing(cluster):
+def test_datagrams_of_unknown_senders_do_not_stop_the_loop(cluster):
     start_three(cluster)
     loop = cluster.loops["a-h1"]
     host, port = loop.address.split(":")
     before = loop.status()["refused"]
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for data in (b"", b"x", b"\1" * 100, b"\0" * 1400, b"y" * 3000):
-            stranger.sendto(data, (host, int(port)))
+            sender.sendto(data, (host, int(port)))
     wait_until(lambda: loop.status()["refused"] >= before + 5)
     sequence = loop.gossip._sequence
     wait_until(lambda: loop.gossip._sequence > sequence)
--- a/cloverway/tests/test_handlers.py
+++ b/cloverway/tests/test_handlers.py
@@ -9,11 +9,11 @@
 
 
 @pytest.mark.parametrize("after", [0, 3])
-def test_changes_survive_the_way_between_hosts(after: int) -> None:
-    """A peer that was far behind asks for a few changes and is given the whole.
+def test_changes_round_trip_between_hosts(after: int) -> None:
+    """Failure: a host keeps documents that operators have deleted.
 
-    Were the start of the changes lost on the way, it would merge a whole as if it were a delta,
-    and keep documents that operators have deleted.
+    A peer that is far behind requests changes and gets all documents instead. If `after` were lost
+    in the encoding, it would merge the full set as a delta.
     """
     documents = (Document("teams/t", 4, {"home": "north"}), Document("hosts/h", 5, None))
     changes = Changes(5, after, documents)
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("value", ["", "{", "[]", "1", "[" * 100_000])
-def test_a_peer_s_malformed_document_is_refused(value: str) -> None:
+def test_a_malformed_document_of_a_peer_is_rejected(value: str) -> None:
     changes = peering.EncodedChanges(5, (wire.Change("teams/t", 4, value),))
     with pytest.raises(PeerError):
         decode_changes(changes)
--- a/cloverway/tests/test_heartbeats.py
+++ b/cloverway/tests/test_heartbeats.py
@@ -54,10 +54,10 @@
         tuple
     ),
 )
-END_AGES = st.integers(0, 2**31 - 1).map(lambda steps: steps * heartbeats.AGE_STEP_S)
+CRASH_AGES = st.integers(0, 2**31 - 1).map(lambda steps: steps * heartbeats.AGE_STEP_S)
 DIGESTS = st.lists(st.integers(0, 2**63 - 1), max_size=3).map(tuple)
-ENDS = st.builds(CrashRow, NAMES, DIGESTS, END_AGES)
-BEATS = st.builds(
+CRASHES = st.builds(CrashRow, NAMES, DIGESTS, CRASH_AGES)
+HEARTBEATS = st.builds(
     Heartbeat,
     host=NAMES,
     incarnation=st.integers(-(2**63), 2**63 - 1),
@@ -73,38 +73,38 @@
     wanted=st.lists(I32, max_size=3).map(tuple),
     summaries=st.lists(SUMMARIES, max_size=2).map(tuple),
     retired=st.integers(-(2**63), 2**63 - 1),
-    ends=st.lists(ENDS, max_size=2).map(tuple),
+    ends=st.lists(CRASHES, max_size=2).map(tuple),
     served=DIGESTS,
 )
 AUTHENTICATOR = DatagramAuthenticator.from_secret(b"k" * 32)
 
 
-@given(BEATS)
+@given(HEARTBEATS)
 @settings(max_examples=60)
-def test_a_heartbeat_survives_its_wire_form(beat):
-    assert decode(encode(beat)) == beat
+def test_a_heartbeat_round_trips_through_its_encoding(heartbeat):
+    assert decode(encode(heartbeat)) == heartbeat
 
 
 @given(st.binary(max_size=MAX_DATAGRAM_BYTES))
 @settings(max_examples=200)
-def test_any_bytes_are_read_or_refused(body):
+def test_arbitrary_bytes_are_decoded_or_rejected(body):
     with pytest.raises(PeerError):
         AUTHENTICATOR.verify(body)
     with contextlib.suppress(PeerError):
         decode(body)
 
 
-@given(BEATS, st.data())
+@given(HEARTBEATS, st.data())
 @settings(max_examples=100)
-def test_a_damaged_heartbeat_is_read_or_refused(beat, data):
-    body = bytearray(encode(beat))
+def test_a_corrupted_heartbeat_is_decoded_or_rejected(heartbeat, data):
+    body = bytearray(encode(heartbeat))
     for _ in range(data.draw(st.integers(1, 4))):
         body[data.draw(st.integers(0, len(body) - 1))] = data.draw(st.integers(0, 255))
     with contextlib.suppress(PeerError):
         encode(decode(bytes(body)))
 
 
-def test_numbers_out_of_range_are_cut():
+def test_numbers_out_of_range_are_clamped():
     row = LoadRow(1, 2, 1e9, 10**9, -5)
     assert decode(encode(Heartbeat("a", 1, 1, load=50.0, loads=(row,)))).loads == (
         LoadRow(1, 2, heartbeats.MAX_I16 * heartbeats.AGE_STEP_S, heartbeats.MAX_I16, 0),
@@ -112,15 +112,15 @@
 
 
 @given(COUNTS)
-def test_a_summary_tells_no_more_than_there_is(count):
+def test_counts_in_a_summary_are_rounded_down(count):
     row = TargetLevel(1, count, count, count)
-    beat = Heartbeat("a", 1, 1, summaries=(DomainSummary("d", 0.0, 1, targets=(row,)),))
-    told = decode(encode(beat))
-    assert 0.9 * count - 1 <= told.summaries[0].targets[0].free <= count
-    assert decode(encode(told)) == told
+    heartbeat = Heartbeat("a", 1, 1, summaries=(DomainSummary("d", 0.0, 1, targets=(row,)),))
+    decoded = decode(encode(heartbeat))
+    assert 0.9 * count - 1 <= decoded.summaries[0].targets[0].free <= count
+    assert decode(encode(decoded)) == decoded
 
 
-def test_columns_of_unequal_length_are_refused():
+def test_columns_of_unequal_length_are_rejected():
     message = heartbeats.wire.Heartbeat(
         host="a", incarnation=1, sequence=1, heard=[1, 2], heard_sequences=[1]
     )
@@ -128,17 +128,17 @@
         decode(heartbeats.serialize(message, heartbeats._PROTOCOL))
 
 
-def test_an_incarnation_keeps_its_digits():
+def test_an_incarnation_round_trips_through_its_number():
     for text in ("0000000000000001", "ffffffffffffffff", "8000000000000000"):
         assert heartbeats.format_incarnation(heartbeats.parse_incarnation(text)) == text
 
 
 @pytest.mark.parametrize("at", [0, 1, 5, OVERHEAD_BYTES, -1])
-def test_a_changed_datagram_is_refused(at):
-    """A host that does not hold the secret says that another one is leaving.
+def test_a_changed_datagram_is_rejected(at):
+    """Failure: a sender without the secret makes hosts believe that another host is leaving.
 
-    It changes a byte of a true datagram: of the version, of whom it is meant for, of the seal or
-    of the body. The seal covers them all.
+    It changes one byte of a valid datagram: of the version, the recipient's tag, the MAC or the
+    body. The MAC covers all of them.
     """
     datagram = bytearray(AUTHENTICATOR.sign(b"body", 7))
     assert AUTHENTICATOR.verify(bytes(datagram)) == (7, b"body")
@@ -147,7 +147,7 @@
         AUTHENTICATOR.verify(bytes(datagram))
 
 
-def test_another_secret_makes_another_seal():
+def test_a_datagram_with_another_secret_is_rejected():
     with pytest.raises(PeerError):
         AUTHENTICATOR.verify(DatagramAuthenticator.from_secret(b"z" * 32).sign(b"body", 7))
     with pytest.raises(ValueError, match="32 bytes"):
--- a/cloverway/tests/test_membership.py
+++ b/cloverway/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Hosts that gossip in virtual time: who is there, what endpoints are, what datagrams cost."""
+"""Tests of gossip between simulated hosts: failure detection, endpoint states, datagram size."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     return simulation
 
 
-def test_a_dead_host_is_found_and_no_live_one_is_lost_at_a_fifth_of_loss():
-    """A live host is taken for dead, its endpoints are read anew, and callers lose it.
+def test_a_dead_host_is_detected_and_no_live_one_suspected_at_20_percent_loss():
+    """Failure: a live host is declared dead, its endpoints are reassigned, and callers lose it.
 
-    Every fifth datagram is lost. With direct hearing only, four heartbeats lost in a row happen
-    every few minutes; siblings that did hear the host say so when they are asked.
+    Every fifth datagram is lost. Four lost heartbeats in a row happen every few minutes, so direct
+    heartbeats are not enough; siblings that did hear the host confirm it when they are asked.
     """
     simulation = make_simulation(hosts=6, loss=0.2, seed=5)
     lost = 0
@@ -41,11 +41,11 @@
     assert took < 2 * simulation.timing.suspect_s
 
 
-def test_a_one_way_cut_hides_a_host_from_nobody():
-    """One host takes another for dead, though callers and all siblings reach it.
+def test_a_one_way_partition_does_not_make_a_host_look_dead():
+    """Failure: a host declares another one dead, though callers and all siblings reach it.
 
     Datagrams from the first to the second are lost, those of the other direction arrive. The
-    other siblings hear both, and say so.
+    other siblings hear both and confirm them.
     """
     simulation = make_simulation()
     first, second, *_ = simulation.hosts
@@ -55,8 +55,8 @@
         assert simulation.sees_all()
 
 
-def test_a_host_that_is_cut_off_keeps_its_own_endpoints():
-    """A host that hears no sibling reads all endpoints itself, and goes on serving."""
+def test_an_isolated_host_keeps_its_own_endpoints():
+    """A host that hears no sibling reads all endpoints itself and continues to serve."""
     simulation = make_simulation()
     alone, *rest = simulation.hosts
     simulation.cuts |= {(alone, other) for other in rest} | {(other, alone) for other in rest}
@@ -69,11 +69,12 @@
 
 
 @pytest.mark.parametrize("seconds", [1.5, 30.0])
-def test_a_paused_host_wakes_without_calling_the_others_dead(seconds):
-    """A host that was stopped and woken sees nobody, and takes over all of their work.
+def test_a_resumed_host_does_not_declare_the_others_dead(seconds):
+    """Failure: a host that was paused and resumed sees no other host and takes over all work.
 
-    All are silent for as long as it slept. What lies in its socket was sent at an unknown time
-    and proves nothing of the present: a host that died meanwhile is found dead in due time.
+    It heard nobody for the length of the pause. The datagrams in its socket buffer were sent at an
+    unknown time and don't prove that their senders are alive now: a host that died meanwhile is
+    still detected.
     """
     simulation = make_simulation()
     paused, dies, *rest = simulation.hosts
@@ -95,11 +96,11 @@
     assert dies not in host.view(simulation.now)
 
 
-def test_recorded_datagrams_revive_no_one():
-    """A dead host is named to callers, since somebody sends its old datagrams again.
+def test_replayed_datagrams_do_not_revive_a_host():
+    """Failure: a dead host is listed as alive because its old datagrams are replayed.
 
-    To those who knew it, the sequence gives them away. A host that has started since knows no
-    sequence; but they name an incarnation of its own that is no more.
+    Hosts that knew it reject them by their sequence numbers. A host that has started since knows
+    no sequence number, but the datagrams are addressed to its previous incarnation.
     """
     simulation = make_simulation()
     dead, restarts, *rest = simulation.hosts
@@ -118,11 +119,11 @@
         )
 
 
-def test_a_replaced_host_that_wakes_is_told_and_ends():
-    """Two processes use one name; callers meet the old one, which thinks that nothing happened.
+def test_a_replaced_host_that_resumes_is_notified_and_leaves():
+    """Failure: two processes use one name, and callers still reach the replaced one.
 
-    It was paused, declared dead and replaced at the same address. It wakes and sends; siblings
-    refuse it, and tell it so.
+    It was paused, declared dead and replaced at the same address. When it resumes and sends,
+    siblings reject it and notify it.
     """
     simulation = make_simulation()
     name, *rest = simulation.hosts
@@ -147,10 +148,10 @@
 
 
 def test_a_leaving_endpoint_is_known_to_all_within_three_seconds_at_loss():
-    """An endpoint gets new work from a host that was not told that it is leaving.
+    """Failure: a leaving endpoint gets new requests from a host that did not learn of it.
 
-    One reader sees the sign once; then the endpoint answers no more, and every fifth datagram
-    is lost. Stale details say that it stays.
+    One reader gets a single report that it is leaving; then the endpoint answers no more, and every
+    fifth datagram is lost. Stale details that arrive later say that it is not leaving.
     """
     for seed in range(5):
         simulation = make_simulation(hosts=6, loss=0.2, seed=seed)
@@ -175,9 +176,9 @@
 
 
 def test_an_endpoint_without_reports_is_unknown_and_neither_leaving_nor_idle():
-    """Orders turn an endpoint off, or callers pile on it, since nobody reported any load.
+    """Failure: an endpoint without reports counts as leaving, or as idle and is overloaded.
 
-    The endpoint was busy when it was last read; then it could be read no more.
+    It was busy at its last report, and can't be read any more since.
     """
     simulation = make_simulation()
     simulation.reports[ENGINE] = simulation.reports[ENGINE]._replace(running=7, waiting=3)
@@ -191,7 +192,7 @@
         assert simulation.now - state.reported_at > 15.0
 
 
-def test_a_restarted_endpoint_is_new_for_all_and_late_words_do_not_bring_the_old_one_back():
+def test_a_restarted_endpoint_is_new_for_all_and_late_details_do_not_restore_the_old_one():
     simulation = make_simulation()
     simulation.reports[ENGINE] = simulation.reports[ENGINE]._replace(leaving=True)
     simulation.run(5.0)
@@ -210,10 +211,10 @@
         assert (state.incarnation, state.leaving, state.ready) == ("next", False, True)
 
 
-def test_a_lagging_list_does_not_shut_out_a_restarted_endpoint_for_good():
-    """A restarted endpoint is never used again, at night, with nobody watching.
+def test_a_lagging_list_does_not_exclude_a_restarted_endpoint_for_good():
+    """Failure: a restarted endpoint is never used again.
 
-    The list tells of the leaving of the incarnation before, after the new one is known.
+    The list says that the previous incarnation is leaving, after the new one is known.
     """
     table = EndpointTable(4.0)
     table.adopt(["e"])
@@ -229,7 +230,7 @@
     assert table.get_states(112.0)["e"].leaving
 
 
-def test_a_dead_reader_is_replaced_by_the_hash():
+def test_endpoints_of_a_dead_reader_are_reassigned():
     simulation = make_simulation(hosts=5, endpoints=10)
     dead, *rest = simulation.hosts
     simulation.kill(dead)
@@ -249,8 +250,8 @@
     )
 
 
-def test_a_cut_failure_domain_keeps_its_own_view_and_leaves_that_of_the_others():
-    """Hosts of a cut domain lose their own endpoints, or others send work into the cut."""
+def test_a_partitioned_domain_keeps_its_endpoints_and_leaves_the_view_of_the_others():
+    """Failure: a partitioned domain loses its own endpoints, or others send requests to it."""
     simulation = GossipSimulation(Shape(domains=3, hosts=2, endpoints=2, regions=3))
     simulation.run(8.0)
     first, *others = simulation.published.domains
@@ -282,7 +283,7 @@
     )
 
 
-def test_a_leaving_host_reads_and_speaks_for_nobody():
+def test_a_leaving_host_reads_no_endpoints_and_sends_no_summaries():
     simulation = make_simulation()
     leaving, *rest = simulation.hosts
     simulation.hosts[leaving].gossip.local_state = LocalState(leaving=True, revision=1)
@@ -309,12 +310,12 @@
     )
 
 
-def test_a_heartbeat_for_another_incarnation_is_not_believed():
-    core = Membership("me", 77, SUSPECT_S)
-    core.adopt(["me", "h1"])
-    assert core.merge(Heartbeat("h1", 1, 5), 0, 1.0) is Merged.UNPROVEN
-    assert core.merge(Heartbeat("h1", 1, 5), get_incarnation_tag(78), 1.0) is Merged.UNPROVEN
-    assert core.merge(Heartbeat("h1", 1, 5), get_incarnation_tag(77), 1.0) is Merged.NEWS
-    assert core.merge(Heartbeat("me", 1, 5), get_incarnation_tag(77), 1.0) is Merged.OWN_NAME
-    assert core.merge(Heartbeat("who", 1, 5), get_incarnation_tag(77), 1.0) is Merged.STRANGER
+def test_a_heartbeat_for_another_incarnation_is_rejected():
+    membership = Membership("me", 77, SUSPECT_S)
+    membership.adopt(["me", "h1"])
+    assert membership.merge(Heartbeat("h1", 1, 5), 0, 1.0) is Merged.UNPROVEN
+    assert membership.merge(Heartbeat("h1", 1, 5), get_incarnation_tag(78), 1.0) is Merged.UNPROVEN
+    assert membership.merge(Heartbeat("h1", 1, 5), get_incarnation_tag(77), 1.0) is Merged.NEWS
+    assert membership.merge(Heartbeat("me", 1, 5), get_incarnation_tag(77), 1.0) is Merged.OWN_NAME
+    assert membership.merge(Heartbeat("who", 1, 5), get_incarnation_tag(77), 1.0) is Merged.STRANGER
     assert AUTHENTICATOR.verify(AUTHENTICATOR.sign(b"", 7)).recipient_tag == 7
--- a/cloverway/tests/test_membership_stateful.py
+++ b/cloverway/tests/test_membership_stateful.py
@@ -1,4 +1,4 @@
-"""Membership and readings under drawn histories."""
+"""Stateful tests of membership and the endpoint table under generated histories."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """True hosts send; a network delivers their heartbeats late, twice or never."""
+    """Hosts send heartbeats, which the network delays, duplicates or drops."""
 
     def __init__(self):
         super().__init__()
         self.now = 100.0
-        self.core = Membership("me", 77, SUSPECT_S)
-        self.core.adopt(["me", *NAMES])
-        self.truth = {name: Heartbeat(name, 1, 1) for name in NAMES}
+        self.membership = Membership("me", 77, SUSPECT_S)
+        self.membership.adopt(["me", *NAMES])
+        self.current = {name: Heartbeat(name, 1, 1) for name in NAMES}
         self.sent: list[Heartbeat] = []
         self.left: set[tuple[str, int]] = set()
         self.seen_left: set[tuple[str, int]] = set()
@@ -33,32 +33,34 @@
 
     @rule(name=st.sampled_from(NAMES), leave=st.booleans())
     def send(self, name, leave):
-        beat = self.truth[name]
-        beat = beat._replace(sequence=beat.sequence + 1, leaving=beat.leaving or leave)
-        self.truth[name] = beat
-        self.sent.append(beat)
+        heartbeat = self.current[name]
+        heartbeat = heartbeat._replace(
+            sequence=heartbeat.sequence + 1, leaving=heartbeat.leaving or leave
+        )
+        self.current[name] = heartbeat
+        self.sent.append(heartbeat)
 
     @rule(name=st.sampled_from(NAMES))
     def replace(self, name):
-        self.truth[name] = Heartbeat(name, self.truth[name].incarnation + 1, 1)
+        self.current[name] = Heartbeat(name, self.current[name].incarnation + 1, 1)
 
     @rule(pick=st.integers(0, 200), to=st.sampled_from([77, 77, 77, 76, 0]))
     def deliver(self, pick, to):
         if not self.sent:
             return
-        beat = self.sent[pick % len(self.sent)]
-        key = (beat.host, beat.incarnation)
-        before = self.core._members[beat.host]
-        merged = self.core.merge(beat, to, self.now)
+        heartbeat = self.sent[pick % len(self.sent)]
+        key = (heartbeat.host, heartbeat.incarnation)
+        before = self.membership._members[heartbeat.host]
+        merged = self.membership.merge(heartbeat, to, self.now)
         if merged not in (Merged.NEWS, Merged.KNOWN):
-            assert self.core._members[beat.host] == before
+            assert self.membership._members[heartbeat.host] == before
             return
         assert to == 77
-        if before and before.incarnation == beat.incarnation:
-            assert beat.sequence > self.highest.get(key, 0)
-        self.highest[key] = max(beat.sequence, self.highest.get(key, 0))
-        self.taken_at[beat.host] = self.now
-        if beat.leaving:
+        if before and before.incarnation == heartbeat.incarnation:
+            assert heartbeat.sequence > self.highest.get(key, 0)
+        self.highest[key] = max(heartbeat.sequence, self.highest.get(key, 0))
+        self.taken_at[heartbeat.host] = self.now
+        if heartbeat.leaving:
             self.seen_left.add(key)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 3.0, RETIREMENT_S + 1]))
@@ -67,24 +69,24 @@
 
     @rule(seconds=st.sampled_from([1.0, 10.0]))
     def pause(self, seconds):
-        live = set(self.core.list_live(self.now))
-        self.core.resume(self.now, self.now + seconds)
+        live = set(self.membership.list_live(self.now))
+        self.membership.resume(self.now, self.now + seconds)
         self.now += seconds
-        assert set(self.core.list_live(self.now)) == live
+        assert set(self.membership.list_live(self.now)) == live
 
     @invariant()
-    def leaving_is_never_taken_back(self):
-        for name, state in self.core.get_states("d", self.now).items():
+    def leaving_is_never_reset(self):
+        for name, state in self.membership.get_states("d", self.now).items():
             key = (name, int(state.incarnation, 16))
             assert state.leaving or key not in self.seen_left
 
     @invariant()
-    def nothing_is_live_that_was_never_heard(self):
-        assert set(self.core.list_live(self.now)) <= set(self.taken_at)
+    def only_hosts_that_were_heard_are_live(self):
+        assert set(self.membership.list_live(self.now)) <= set(self.taken_at)
 
     @invariant()
     def memory_is_bounded(self):
-        assert all(len(retired) <= 16 for retired in self.core._retired.values())
+        assert all(len(retired) <= 16 for retired in self.membership._retired.values())
 
 
 MembershipMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
@@ -93,7 +95,7 @@
 TestMembership = MembershipMachine.TestCase
 
 
-class ReadingsMachine(RuleBasedStateMachine):
+class EndpointTableMachine(RuleBasedStateMachine):
     """Two hosts read one endpoint that restarts and leaves; details arrive in any order."""
 
     def __init__(self):
@@ -103,25 +105,25 @@
         for table in self.tables:
             table.adopt(["e"])
         self.number = 1
-        self.truth = LoadReport("i1", True, False, 0, 0, 8, ("m",))
+        self.current = LoadReport("i1", True, False, 0, 0, 8, ("m",))
         self.details: list = []
         self.known_left: list[set[str]] = [set(), set()]
 
     @rule()
     def leave(self):
-        self.truth = self.truth._replace(leaving=True)
+        self.current = self.current._replace(leaving=True)
 
     @rule()
     def restart(self):
         self.number += 1
-        self.truth = LoadReport(f"i{self.number}", True, False, 0, 0, 8, ("m",))
+        self.current = LoadReport(f"i{self.number}", True, False, 0, 0, 8, ("m",))
 
     @rule(reader=st.integers(0, 1))
     def read(self, reader):
-        self.tables[reader].apply_report("e", self.truth, self.now)
+        self.tables[reader].apply_report("e", self.current, self.now)
         state = self.tables[reader].get_states(self.now)["e"]
-        assert state.incarnation == self.truth.incarnation
-        assert state.leaving >= self.truth.leaving
+        assert state.incarnation == self.current.incarnation
+        assert state.leaving >= self.current.leaving
 
     @rule(reader=st.integers(0, 1))
     def send(self, reader):
@@ -134,7 +136,7 @@
             self.tables[1 - sender].apply_details(details, self.now)
 
     @rule(reader=st.integers(0, 1), leaving=st.booleans())
-    def list_says(self, reader, leaving):
+    def apply_list(self, reader, leaving):
         self.tables[reader].apply_member_list({"e": leaving}, self.now)
 
     @rule(seconds=st.sampled_from([0.5, 3.0, MAX_LIST_LAG_S]))
@@ -142,7 +144,7 @@
         self.now += seconds
 
     @invariant()
-    def leaving_is_never_taken_back(self):
+    def leaving_is_never_reset(self):
         for table, left in zip(self.tables, self.known_left, strict=True):
             known = table._records["e"]
             if known.leaving_confirmed:
@@ -151,7 +153,7 @@
                 assert known.state.incarnation not in left
 
 
-ReadingsMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30)
+EndpointTableMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30)
 
 
-TestReadings = ReadingsMachine.TestCase
+TestEndpointTable = EndpointTableMachine.TestCase
--- a/cloverway/tests/test_peer_answers.py
+++ b/cloverway/tests/test_peer_answers.py
@@ -1,4 +1,4 @@
-"""Answers between hosts that are cut, out of order or too large, sent by a script."""
+"""Tests of responses from another host that are truncated, out of order or too large."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ScriptedHost:
-    """The accepting end of one connection, which sends what a test tells it to."""
+    """The accepting end of one connection, which sends the frames of a test."""
 
     def __init__(self, *frames):
         self.frames = frames
@@ -65,7 +65,7 @@
         pytest.param((HEAD, b"one", HEAD), id="a second head"),
     ],
 )
-def test_answer_that_is_not_whole(client, frames):
+def test_incomplete_response(client, frames):
     host = ScriptedHost(*frames)
     request = make_request(body=b"")
     assert run_refused(client, host.address, request) == (Kind.TRUNCATED, Ran.UNKNOWN)
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("frames", [(), (wire.Settled(),), (b"data before a head",)])
 def test_no_head(client, frames):
-    """The host dies, or talks nonsense, after the request was sent: nobody knows what it did."""
+    """The host dies or sends an unexpected frame after the request: whether it ran is unknown."""
     host = ScriptedHost(*frames)
     request = make_request(body=b"")
     assert run_refused(client, host.address, request) == (Kind.ENDPOINT_FAILED, Ran.UNKNOWN)
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("streamed", [False, True])
 def test_refusal_after_the_head(client, streamed):
-    """The other host says "not run" in the middle of an answer; that can't be believed."""
+    """The other host refuses with `ran` "no" in the middle of a response, which can't be true."""
     host = ScriptedHost(HEAD._replace(streamed=streamed), b"one", Refused(Kind.NO_CAPACITY))
     with pytest.raises(RequestError) as error:
         reply = client.run("h2", host.address, make_request(body=b""))
@@ -89,7 +89,7 @@
     assert (error.value.kind, error.value.ran) == (Kind.NO_CAPACITY, Ran.UNKNOWN)
 
 
-def test_answer_that_is_too_large():
+def test_response_that_is_too_large():
     client = PeerClient(ME, SECRET, LIMITS._replace(max_response_bytes=10))
     host = ScriptedHost(HEAD, b"x" * 11, wire.End(11))
     request = make_request(body=b"")
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -31,7 +31,7 @@
 )
 
 SHORT_S = 0.1
-"""A timeout that a test waits out; nothing that must succeed depends on it."""
+"""A timeout that expires in a test; nothing that must succeed depends on it."""
 
 
 @pytest.fixture
@@ -54,10 +54,10 @@
 
 
 @pytest.fixture
-def link(server):
-    link = TcpProxy(server.address)
-    yield link
-    link.close()
+def proxy(server):
+    proxy = TcpProxy(server.address)
+    yield proxy
+    proxy.close()
 
 
 def run_refused(client, address, request=None, **more):
@@ -66,23 +66,24 @@
     return error.value.kind, error.value.ran
 
 
-def test_pooled_connection_gone_silent(server, handler, link):
-    """A firewall has forgotten the pooled connection: what is sent on it vanishes.
+def test_pooled_connection_gone_silent(server, handler, proxy):
+    """Failure: the issuer of a key counts as dead because a pooled connection went silent.
 
-    The claim is asked again on a new connection, before the issuer is called dead.
+    A firewall dropped the state of the connection, and what is sent on it is lost. The claim is
+    repeated on a new connection.
     """
     client = PeerClient(ME, SECRET, LIMITS._replace(reused_response_timeout_s=SHORT_S))
-    client.claim("h2", link.address, CLAIM)
-    link.silence()
-    assert client.claim("h2", link.address, CLAIM) == Grant(10.0)
+    client.claim("h2", proxy.address, CLAIM)
+    proxy.silence()
+    assert client.claim("h2", proxy.address, CLAIM) == Grant(10.0)
     client.close()
 
 
-def test_claim_ends_with_the_time_of_its_request(server, link):
-    """The issuer of a key is paused, and a caller with little time asks another host.
+def test_claim_ends_at_the_deadline_of_its_request(server, proxy):
+    """Failure: a caller gets its response after its deadline.
 
-    The claim on the pooled connection and the one on a new connection each took their own timeout,
-    whatever the request had left: the caller got its answer after its deadline.
+    The issuer of the key is paused. The claim on the pooled connection and the one on a new
+    connection each took their full timeout, however little time the request had left.
     """
     slow = LIMITS._replace(
         connect_timeout_s=TIMEOUT_S,
@@ -91,44 +92,44 @@
         backoff_s=TIMEOUT_S,
     )
     client = PeerClient(ME, SECRET, slow)
-    client.claim("h2", link.address, CLAIM)
-    link.silence()
-    link.silent = True
+    client.claim("h2", proxy.address, CLAIM)
+    proxy.silence()
+    proxy.silent = True
     began = time.monotonic()
     with pytest.raises(PeerError):
-        client.claim("h2", link.address, CLAIM._replace(left_s=SHORT_S))
+        client.claim("h2", proxy.address, CLAIM._replace(left_s=SHORT_S))
     assert time.monotonic() - began < TIMEOUT_S
     client.close()
 
 
-def test_dead_host_is_not_waited_for_by_every_caller(server, handler, link):
-    """The link is cut; one caller waits out the timeout, those right behind it do not."""
+def test_dead_host_delays_only_one_caller(server, handler, proxy):
+    """The link is cut; the first caller waits for the timeout, those right behind it do not."""
     client = PeerClient(ME, SECRET, LIMITS._replace(connect_timeout_s=SHORT_S, backoff_s=TIMEOUT_S))
-    link.silent = True
+    proxy.silent = True
     for _ in range(3):
         with pytest.raises(PeerError):
-            client.claim("h2", link.address, CLAIM)
-    assert run_refused(client, link.address) == (Kind.ENDPOINT_REFUSED, Ran.NO)
-    wait_until(lambda: link.connections)
-    assert len(link.connections) == 2
+            client.claim("h2", proxy.address, CLAIM)
+    assert run_refused(client, proxy.address) == (Kind.ENDPOINT_REFUSED, Ran.NO)
+    wait_until(lambda: proxy.connections)
+    assert len(proxy.connections) == 2
     assert not handler.claims
 
 
-def test_connection_gone_silent_after_the_request(server, handler, link):
-    """The request arrived, then the link goes silent for good.
+def test_connection_gone_silent_after_the_request(server, handler, proxy):
+    """The link goes silent for good after the request arrived.
 
-    The origin gives up within the silence limit, not at the deadline, and says "unknown".
+    The origin gives up after the silence timeout, not at the deadline, with `ran` "unknown".
     """
     client = PeerClient(ME, SECRET, LIMITS._replace(silence_timeout_s=SHORT_S))
     handler.gate = threading.Event()
-    threading.Thread(target=lambda: (wait_until(lambda: handler.requests), link.silence())).start()
+    threading.Thread(target=lambda: (wait_until(lambda: handler.requests), proxy.silence())).start()
     request = make_request(left_s=1_000.0)
-    assert run_refused(client, link.address, request) == (Kind.ENDPOINT_FAILED, Ran.UNKNOWN)
+    assert run_refused(client, proxy.address, request) == (Kind.ENDPOINT_FAILED, Ran.UNKNOWN)
     handler.gate.set()
 
 
-def test_pings_while_the_endpoint_thinks(server, handler):
-    """A long prompt is silent for longer than the limit; pings keep the connection alive."""
+def test_pings_during_a_long_prefill(server, handler):
+    """A long prefill takes longer than the silence timeout; pings keep the connection alive."""
     handler.gate = threading.Event()
     channel = connect(server)
     channel.send_message(make_call(), make_deadline())
@@ -139,10 +140,10 @@
 
 
 @pytest.mark.parametrize("ran", list(Ran))
-def test_stream_cut_at_the_endpoint(server, handler, client, ran):
-    """The endpoint fails mid-stream: the caller never takes a part for the whole answer.
+def test_stream_truncated_at_the_endpoint(server, handler, client, ran):
+    """Failure: the endpoint fails mid-stream, and the caller accepts a part as the full response.
 
-    The head has come, so "no" can't be true any more, whatever the other host says.
+    The head has arrived, so `ran` "no" can't be true any more, whatever the other host reports.
     """
     error = RequestError(Kind.TRUNCATED, "cut", ran=ran)
     handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", error))
@@ -154,15 +155,15 @@
     assert caught.value.ran is (Ran.UNKNOWN if ran is Ran.NO else ran)
 
 
-def test_whole_body_cut_between_hosts(server, handler, client, link):
-    """The host dies after the head of a JSON answer; the part that came is not given out."""
+def test_body_truncated_between_hosts(server, handler, client, proxy):
+    """The host dies after the head of the response; the part that arrived is not accepted."""
     gate = threading.Event()
     handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", gate, b"two"))
-    reply = client.run("h2", link.address, make_request())
+    reply = client.run("h2", proxy.address, make_request())
     pieces = iter(reply.stream)
     assert next(pieces) == b"one"
-    for each in link.connections:
-        # The link's own threads close the other side as soon as one is shut.
+    for each in proxy.connections:
+        # The threads of the proxy close the other side as soon as one side is shut down.
         with contextlib.suppress(OSError):
             each.shutdown(socket.SHUT_RDWR)
     with pytest.raises(RequestError) as error:
@@ -171,8 +172,8 @@
     gate.set()
 
 
-def test_request_that_is_not_idempotent_goes_on_a_new_connection(server, client):
-    """A connection from the pool may be stale, and then nobody can tell what arrived."""
+def test_request_that_is_not_idempotent_uses_a_new_connection(server, client):
+    """A pooled connection may be stale, and then it is unknown whether the request arrived."""
     client.claim("h2", server.address, CLAIM)
     assert server.connections == 1
     client.run("h2", server.address, make_request())
@@ -181,32 +182,33 @@
     assert server.connections == 2
 
 
-def test_idempotent_request_on_a_stale_connection(server, handler, link, client):
-    """The other host was replaced; the pooled connection leads to the process that is gone."""
-    client.claim("h2", link.address, CLAIM)
+def test_idempotent_request_on_a_stale_connection(server, handler, proxy, client):
+    """The other host was replaced; the pooled connection leads to its previous process."""
+    client.claim("h2", proxy.address, CLAIM)
     new = start_server(handler, Identity("h2", "i3"))
-    link.target = new.address
+    proxy.target = new.address
     server.stop()
-    reply = client.run("h2", link.address, make_request(), idempotent=True)
+    reply = client.run("h2", proxy.address, make_request(), idempotent=True)
     assert reply == handler.reply
     new.stop()
 
 
-def test_refusal_after_a_lost_attempt(server, handler, link):
-    """An idempotent request vanishes on a pooled connection, where it may have been run.
+def test_refusal_after_a_lost_attempt(server, handler, proxy):
+    """Failure: `ran` is "no" for a request that may have run.
 
-    The second attempt is refused. "No" is true for it, and false for the request.
+    The request is lost on a pooled connection after it may have run. The second attempt is refused
+    with "no", which is true of that attempt only.
     """
     client = PeerClient(ME, SECRET, LIMITS._replace(reused_response_timeout_s=SHORT_S))
-    client.claim("h2", link.address, CLAIM)
-    link.silence()
+    client.claim("h2", proxy.address, CLAIM)
+    proxy.silence()
     handler.error = RequestError(Kind.NO_CAPACITY)
-    refused = run_refused(client, link.address, idempotent=True)
+    refused = run_refused(client, proxy.address, idempotent=True)
     assert refused == (Kind.NO_CAPACITY, Ran.UNKNOWN)
 
 
 class FailingChannel:
-    """Stands for a connection that fails at its nth frame."""
+    """A fake of a channel that fails at its nth frame."""
 
     def __init__(self, fails_at):
         self.left = fails_at
@@ -224,17 +226,17 @@
 def test_send_that_fails(client, monkeypatch, fails_at, ran):
     """The connection fails while a request of three frames is sent.
 
-    The other host runs nothing before it has the whole, so before the last frame "no" is certain.
+    The other host runs nothing before it has the last frame, so until then "no" is certain.
     """
     monkeypatch.setattr(Channel, "connect", lambda *_: FailingChannel(fails_at))
     request = make_request(body=b"x" * 300_000)
     assert run_refused(client, "127.0.0.1:1", request)[1] is ran
 
 
-def test_origin_that_slept_past_the_grant(server, handler, client):
-    """The origin is paused after it has connected and wakes when its grant has ended.
+def test_origin_that_was_paused_past_the_grant(server, handler, client):
+    """The origin is paused after it has connected, and resumes after its grant has ended.
 
-    It checks once more just before the last frame and sends nothing that could run.
+    It checks the time again just before the last frame, so nothing runs.
     """
     start_by = time.monotonic()
     refused = run_refused(client, server.address, start_by=start_by)
@@ -250,7 +252,7 @@
 
 
 def test_caller_that_leaves(server, handler, client):
-    """The caller closes its connection mid-stream; the endpoint's work is given up."""
+    """The caller disconnects mid-stream; the run at the endpoint is cancelled."""
     gate = threading.Event()
     stream = FakeStream(b"one", gate, *[b"more"] * 1_000)
     handler.reply = Reply(200, "text/event-stream", stream=stream)
@@ -275,8 +277,8 @@
     ours.close()
 
 
-def test_whole_stream_is_handed_over(server, handler, client):
-    """Chunks reach the caller without the last one, which its own server writes."""
+def test_stream_is_handed_over(server, handler, client):
+    """The caller gets all chunks except the last one, which the server of the origin writes."""
     handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", b"two"))
     reply = client.run("h2", server.address, make_request())
     caller, ours = socket.socketpair()
@@ -288,9 +290,9 @@
 
 
 def test_too_many_connections(handler):
-    """More hosts connect than there are threads; the one that was idle longest makes room.
+    """More hosts connect than there are threads; the connection idle for longest is evicted.
 
-    A host that is refused would take this one for dead and tell its caller "unknown".
+    A host whose connection is rejected would treat this host as dead and tell its caller "unknown".
     """
     server = start_server(handler, bounds=LIMITS._replace(max_connections=2))
     first, second = connect(server), connect(server)
@@ -309,7 +311,7 @@
 
 
 def test_busy_connections_are_not_dropped(handler, client):
-    """All threads run passed-on requests when one more host connects; none of them is cut."""
+    """All threads run forwarded requests when another host connects; none is interrupted."""
     server = start_server(handler, bounds=LIMITS._replace(max_connections=1))
     handler.gate = threading.Event()
     replies = []
@@ -326,8 +328,8 @@
     server.stop()
 
 
-def test_stop_lets_a_request_end(handler, client):
-    """A host is stopped while it runs a passed-on request; the answer still arrives whole."""
+def test_stop_lets_a_request_finish(handler, client):
+    """A host is stopped while it runs a forwarded request; the complete response still arrives."""
     server = start_server(handler)
     handler.gate = threading.Event()
     replies = []
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -60,8 +60,8 @@
     """
     addresses = {}
     first, second = KeyHost("h1", "i1", addresses), KeyHost("h2", "i1", addresses)
-    link = TcpProxy(first.server.address)
-    addresses["h1"] = link.address
+    proxy = TcpProxy(first.server.address)
+    addresses["h1"] = proxy.address
     (key,) = first.keys.issue(1)
     request = make_request(key=key)
     granted = second.claims.claim(request)
@@ -71,14 +71,14 @@
     assert isinstance(again, Replayed)
     assert again.reply.body == b"picked once"
     replaced = KeyHost("h1", "i2", addresses)
-    link.target = replaced.server.address
+    proxy.target = replaced.server.address
     first.stop()
     with pytest.raises(RequestError) as error:
         second.claims.claim(request)
     assert (error.value.kind, error.value.ran) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
     second.stop()
     replaced.stop()
-    link.close()
+    proxy.close()
 
 
 def test_concurrent_repeats():
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -48,10 +48,10 @@
 
 
 @pytest.fixture
-def link(server):
-    link = TcpProxy(server.address)
-    yield link
-    link.close()
+def proxy(server):
+    proxy = TcpProxy(server.address)
+    yield proxy
+    proxy.close()
 
 
 def test_claim_and_settle(server, handler, client):
@@ -89,7 +89,7 @@
 
 
 def test_refusal_by_the_other_host(server, handler, client):
-    """The other host has no capacity and says so before it started; the origin may try on."""
+    """The other host refuses before the run for lack of capacity, so the origin may retry."""
     handler.error = RequestError(Kind.NO_CAPACITY, "all busy", retry_after=2.0)
     with pytest.raises(RequestError) as error:
         client.run("h2", server.address, make_request())
@@ -98,14 +98,14 @@
 
 
 def test_handler_that_fails(server, handler, client):
-    handler.error = ValueError("a fault of ours")
+    handler.error = ValueError("an internal error")
     with pytest.raises(RequestError) as error:
         client.run("h2", server.address, make_request())
     assert (error.value.kind, error.value.ran) == (Kind.INTERNAL, Ran.UNKNOWN)
 
 
 def test_wrong_secret(server, handler):
-    """A process without the secret connects; neither end takes the other for a host."""
+    """A process without the secret connects; neither end accepts the other."""
     stranger = PeerClient(ME, b"x" * 32, LIMITS)
     with pytest.raises(PeerError):
         stranger.claim("h2", server.address, CLAIM)
@@ -117,8 +117,8 @@
     assert not handler.claims
 
 
-def test_stranger_that_skips_the_proof(server, handler):
-    """A stranger answers the challenge with a made-up proof and sends a call at once."""
+def test_invalid_proof(server, handler):
+    """A process without the secret answers the challenge with a forged proof and sends a call."""
     with RawConnection(server.address) as dialer:
         dialer.send_handshake(wire.Hello(wire.VERSION, "h1", "i1", "h2", b"n" * 16))
         dialer.read_handshake()
@@ -128,14 +128,14 @@
     assert not handler.claims
 
 
-def test_replayed_connection(server, handler, client, link):
-    """Somebody on the path records a settlement and sends all its bytes again later.
+def test_replayed_connection(server, handler, client, proxy):
+    """An attacker on the path records a settlement and replays the bytes of its connection.
 
-    The server's nonce is new for each connection, so the recorded proof does not pass.
+    The server's nonce is new for each connection, so the recorded proof is invalid.
     """
     settle = SettleCall("k", "t", "p", "c", Settlement.NOT_RUN)
-    client.settle("h2", link.address, settle)
-    recorded = bytes(link.recorded)
+    client.settle("h2", proxy.address, settle)
+    recorded = bytes(proxy.recorded)
     with RawConnection(server.address) as dialer:
         dialer.raw.sendall(recorded)
         assert dialer.wait_for_close()
@@ -143,7 +143,7 @@
 
 
 def test_replayed_frame(server, handler):
-    """A frame is sent twice within its own connection: the counter in its MAC tells."""
+    """A frame is sent twice on its own connection; the counter in the MAC reveals it."""
     channel = connect(server)
     settle = SettleCall("k", "t", "p", "c", Settlement.NOT_RUN)
     frame = channel._make_frame(FrameKind.MESSAGE, wire.encode(settle))
@@ -164,8 +164,8 @@
     assert not handler.claims
 
 
-def test_frame_sent_back(server, handler):
-    """A frame of the server's own is returned to it: each direction has its own key."""
+def test_reflected_frame(server, handler):
+    """A frame of the server is sent back to it; each direction has its own key."""
     channel = connect(server)
     channel.send_message(CLAIM, make_deadline())
     length = HEADER.size + len(wire.encode(Grant(10.0))) + 16
@@ -177,8 +177,8 @@
     assert len(handler.claims) == 1
 
 
-def test_greeting_that_is_too_large(handler):
-    """A stranger announces a greeting of two gigabytes; it is not even waited for."""
+def test_handshake_message_that_is_too_large(handler):
+    """A handshake message of two gigabytes is announced; the server does not wait for it."""
     server = start_server(handler, bounds=LIMITS._replace(connect_timeout_s=10 * TIMEOUT_S))
     with RawConnection(server.address) as dialer:
         dialer.raw.sendall(HEADER.pack(2**31, 0))
@@ -187,13 +187,13 @@
 
 
 def test_another_host_at_the_address(server, client):
-    """The address was given to another host; its answer must not pass for h3's."""
+    """The address now belongs to another host, whose response must not be accepted as h3's."""
     with pytest.raises(PeerError):
         client.claim("h3", server.address, CLAIM)
 
 
-def test_stranger_that_says_nothing(handler):
-    """A connection that never greets is dropped in bounded time and frees its thread."""
+def test_connection_without_a_handshake(handler):
+    """A connection on which nothing is sent is closed in bounded time and frees its thread."""
     server = start_server(handler, bounds=LIMITS._replace(connect_timeout_s=0.1))
     with RawConnection(server.address) as dialer:
         assert dialer.wait_for_close()
--- a/cloverway/tests/test_reports.py
+++ b/cloverway/tests/test_reports.py
@@ -29,13 +29,13 @@
 
 
 class Listener:
-    """Answers each connection with the next of some scripts; each is pieces of bytes, then rest."""
+    """Answers each connection with the next of some responses; None sends nothing."""
 
-    def __init__(self, *scripts: bytes | None) -> None:
+    def __init__(self, *responses: bytes | None) -> None:
         self.accepted = 0
-        self._scripts = iter(scripts)
+        self._responses = iter(responses)
         self._listener = socket.create_server(("127.0.0.1", 0))
-        self._held: list[socket.socket] = []
+        self._connections: list[socket.socket] = []
         self.url = f"http://127.0.0.1:{self._listener.getsockname()[1]}"
         self._thread = threading.Thread(target=self._run, daemon=True)
 
@@ -46,24 +46,24 @@
     def __exit__(self, *_):
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        for held in self._held:
+        for held in self._connections:
             held.close()
         self._thread.join()
 
     def _run(self):
-        for script in self._scripts:
+        for response in self._responses:
             try:
                 connection, _ = self._listener.accept()
             except OSError:
                 return
             self.accepted += 1
-            self._held.append(connection)
+            self._connections.append(connection)
             connection.recv(4096)
-            if script is not None:
-                connection.sendall(script)
+            if response is not None:
+                connection.sendall(response)
 
 
-def answer(body: bytes, status: str = "200 OK", headers: str = "") -> bytes:
+def make_response(body: bytes, status: str = "200 OK", headers: str = "") -> bytes:
     return f"HTTP/1.1 {status}\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -86,14 +86,14 @@
     assert third.leaving
 
 
-def test_a_silent_connection_is_tried_anew_before_the_endpoint_is_blamed(monkeypatch):
-    """An endpoint that works gets no more requests: its report can't be read.
+def test_a_read_is_retried_on_a_new_connection(monkeypatch):
+    """Failure: a working endpoint gets no more requests because its report can't be read.
 
-    The kept connection went silent for good, since something between the two ends lost track of
-    it; a new connection works at once.
+    The persistent connection went silent for good, because a device between the two ends dropped
+    its state. A new connection works at once.
     """
     monkeypatch.setattr("cloverway.membership.reports.SOCKET_TIMEOUT_S", 0.1)
-    good = answer(json.dumps(BODY).encode())
+    good = make_response(json.dumps(BODY).encode())
     with Listener(good, good) as listener:
         reader = EndpointReader(ENGINE._replace(url=listener.url))
         assert reader.read().ready
@@ -103,25 +103,27 @@
 
 
 @pytest.mark.parametrize(
-    "script",
+    "response",
     [
         None,
         b"garbage\r\n\r\n",
-        answer(b"{}"),
-        answer(b"[]"),
-        answer(b"not json"),
-        answer(json.dumps(BODY).encode(), status="500 Failed"),
-        answer(json.dumps(BODY).encode(), status="302 Found", headers="Location: http://x/\r\n"),
-        answer(b" " * (MAX_REPORT_BYTES + 1)),
+        make_response(b"{}"),
+        make_response(b"[]"),
+        make_response(b"not json"),
+        make_response(json.dumps(BODY).encode(), status="500 Failed"),
+        make_response(
+            json.dumps(BODY).encode(), status="302 Found", headers="Location: http://x/\r\n"
+        ),
+        make_response(b" " * (MAX_REPORT_BYTES + 1)),
     ],
 )
-def test_what_is_no_report_is_an_error_within_its_time(script, monkeypatch):
+def test_an_invalid_response_raises_an_error_in_time(response, monkeypatch):
     monkeypatch.setattr("cloverway.membership.reports.SOCKET_TIMEOUT_S", 0.1)
-    with Listener(script) as listener, pytest.raises(PeerError):
+    with Listener(response) as listener, pytest.raises(PeerError):
         read(listener.url)
 
 
-def test_an_endpoint_that_is_not_there_is_an_error():
+def test_an_endpoint_that_refuses_connections_raises_an_error():
     with pytest.raises(PeerError):
         read("http://127.0.0.1:1")
 
@@ -140,12 +142,12 @@
         {"models": "m"},
     ],
 )
-def test_a_report_out_of_form_is_refused(change):
+def test_a_malformed_report_is_rejected(change):
     with pytest.raises(PeerError):
         parse_report(json.dumps({**BODY, **change}).encode(), ENGINE)
 
 
-def test_a_report_is_cut_to_its_bounds():
+def test_values_of_a_report_are_limited():
     body = {**BODY, "running": 10**12, "models": ["m", 5, ""] + ["n"] * 500, "leaving": "soon"}
     report = parse_report(json.dumps(body).encode(), ENGINE)
     assert report.running < 2**15 and len(report.models) <= 64
@@ -153,26 +155,26 @@
     assert report.leaving
 
 
-def test_a_service_names_its_services():
+def test_a_report_of_a_service_lists_its_services():
     endpoint = ENGINE._replace(kind=EndpointKind.SERVICE)
     body = {**BODY, "services": ["stock"], "models": ["m"]}
     assert parse_report(json.dumps(body).encode(), endpoint).models == ("stock",)
 
 
 @given(st.one_of(st.binary(max_size=60), JSON.map(lambda value: json.dumps(value).encode())))
-def test_any_bytes_are_read_or_refused(data):
+def test_arbitrary_bytes_are_parsed_or_rejected(data):
     try:
         parse_report(data, ENGINE)
     except PeerError:
         return
 
 
-def test_rounds_read_soon_at_first_and_then_once_in_an_interval():
-    rounds = ReadSchedule(lambda: 0.5)
-    assert rounds.take_due(["a"], 10.0, 0.0) == []
-    assert rounds.take_due(["a"], 10.0, MAX_FIRST_READ_DELAY_S) == ["a"]
-    assert rounds.take_due(["a"], 10.0, 30.0) == []
-    assert rounds.list_overdue(5.0, 30.0) == ["a"]
-    rounds.finish("a")
-    assert rounds.take_due(["a"], 10.0, 31.0) == ["a"]
-    assert rounds.take_due([], 10.0, 90.0) == []
+def test_an_endpoint_is_first_read_soon_and_then_once_per_interval():
+    schedule = ReadSchedule(lambda: 0.5)
+    assert schedule.take_due(["a"], 10.0, 0.0) == []
+    assert schedule.take_due(["a"], 10.0, MAX_FIRST_READ_DELAY_S) == ["a"]
+    assert schedule.take_due(["a"], 10.0, 30.0) == []
+    assert schedule.list_overdue(5.0, 30.0) == ["a"]
+    schedule.finish("a")
+    assert schedule.take_due(["a"], 10.0, 31.0) == ["a"]
+    assert schedule.take_due([], 10.0, 90.0) == []
--- a/cloverway/tests/test_wire.py
+++ b/cloverway/tests/test_wire.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("message", EXAMPLES, ids=lambda message: type(message).__name__)
-def test_messages_survive(message):
+def test_messages_round_trip(message):
     assert wire.decode(wire.encode(message)) == message
 
 
@@ -45,23 +45,23 @@
 
 @settings(max_examples=INPUTS, deadline=None)
 @given(st.binary(max_size=400))
-def test_any_bytes_are_read_or_refused(data):
-    read_or_refuse(data)
+def test_arbitrary_bytes_are_decoded_or_rejected(data):
+    decode_or_reject(data)
 
 
 @settings(max_examples=INPUTS, deadline=None)
 @given(st.sampled_from(EXAMPLES), st.data())
-def test_damaged_messages_are_read_or_refused(message, data):
-    """One message with bytes changed, cut off or added: most of it still parses."""
+def test_corrupted_messages_are_decoded_or_rejected(message, data):
+    """A message with bytes changed, removed or added, most of which still parses."""
     encoded = bytearray(wire.encode(message))
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(encoded)))
         end = at + data.draw(st.integers(0, 4))
         encoded[at:end] = data.draw(st.binary(max_size=4))
-    read_or_refuse(bytes(encoded))
+    decode_or_reject(bytes(encoded))
 
 
-def read_or_refuse(data):
+def decode_or_reject(data):
     try:
         message = wire.decode(data)
     except PeerError:
@@ -91,18 +91,18 @@
         ),
     ],
 )
-def test_bytes_made_to_harm(data):
+def test_malicious_bytes_are_rejected(data):
     with pytest.raises(PeerError):
         wire.decode(data)
 
 
-def test_text_that_can_not_be_encoded():
+def test_text_that_can_not_be_encoded_is_rejected():
     with pytest.raises(PeerError):
         wire.encode(Refused(Kind.INTERNAL, "\ud800"))
 
 
-def test_field_that_a_newer_host_added():
-    """During a rolling replacement a newer host sends a field that this one does not know."""
+def test_unknown_field_of_a_newer_host_is_ignored():
+    """During a rolling update, a newer host sends a field that this one does not know."""
     encoded = wire.encode(Grant(1.0))
     assert encoded.endswith(b"\x00\x00")
     newer = encoded[:-2] + b"\x0b\x00\x63\x00\x00\x00\x01x" + b"\x00\x00"
