--- a/cloverway/tests/bench_relay.py
+++ b/cloverway/tests/bench_relay.py
@@ -1,10 +1,10 @@
-"""Measure what copying streams costs: the worker's plain way and the relay task, in one run.
+"""Measure the cost of copying streams in worker threads and in the relay task, in one run.
 
     python -m cloverway.tests.bench_relay --streams 200 400 800 --rounds 3
 
-Three kinds of process on loopback: a source of tokens, one gateway for each way of copying, and
-the callers in this process. Each round runs direct calls, the plain way and the relay task one
-after the other, for each number of streams, and prints one row for each.
+Three kinds of process on loopback: a token source, one gateway for each copier, and the callers in
+this process. For each number of streams, each round runs direct calls, the worker threads (plain)
+and the relay task one after the other, and prints one row for each.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class Source(asyncio.Protocol):
-    """Answers each request by the number of tokens that its body asks for."""
+    """Answers each request with the number of tokens that its body asks for."""
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
@@ -89,7 +89,7 @@
 
 
 class BenchGateway:
-    """A server whose waiting threads each take a connection and forward its request."""
+    """Server whose threads each accept a connection and forward its request."""
 
     def __init__(self, mode: str, url: str) -> None:
         copier = RelayCopier(Relay.start()) if mode == "relay" else WorkerCopier()
@@ -127,14 +127,14 @@
 
 
 class Window(NamedTuple):
-    """The time in which gaps and processor time are counted."""
+    """Time window in which gaps and CPU time are measured."""
 
     start: float
     end: float
 
 
 class CallerProtocol(asyncio.Protocol):
-    """One caller: notes when its first token and each further one came."""
+    """One caller, which records the arrival times of its tokens."""
 
     def __init__(self, tokens: int, window: Window) -> None:
         self.tokens = tokens
@@ -174,14 +174,14 @@
 
 
 class Usage(NamedTuple):
-    """Processor time and memory of a gateway process."""
+    """CPU time and memory of a gateway process."""
 
     cpu_s: float
     mb: float
 
     @classmethod
     def from_pid(cls, pid: int) -> Usage:
-        """Read the figures of a process, without asking it: it may be too busy to answer."""
+        """Read the usage of a process from /proc, since it may be too busy to answer a request."""
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
@@ -228,7 +228,7 @@
 
 
 def start_process(*arguments: str) -> tuple[subprocess.Popen[bytes], int]:
-    """Start a process of this module; it ends when its standard input does."""
+    """Start a process of this module, which ends when its standard input is closed."""
     command = [sys.executable, "-m", "cloverway.tests.bench_relay", *arguments]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     return process, int(process.stdout.readline())
--- a/cloverway/tests/caller_harness.py
+++ b/cloverway/tests/caller_harness.py
@@ -1,4 +1,4 @@
-"""Fakes for the tests of the callers' side: a published configuration, a gateway, a raw caller."""
+"""Test support for the server for callers: a published configuration, a fake gateway, callers."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 FORWARDED_BODY = json.dumps(
     {**json.loads(CHAT_BODY), "model": "clover-7b"}, separators=(",", ":")
 ).encode()
-"""The same with the profile's model, as an endpoint gets it."""
+"""The same body with the model of the profile, as it is sent to an endpoint."""
 STREAM_BODY = b'{"messages": [{"role": "user", "content": "insulin?"}], "stream": true}'
 
 
@@ -68,7 +68,7 @@
 
 
 class FakeStream:
-    """Pieces of a stream, then an error if one is given."""
+    """Stream of the given pieces, followed by the given error, if any."""
 
     def __init__(self, pieces: list[bytes], error: Exception | None = None) -> None:
         self.pieces = iter(pieces)
@@ -93,7 +93,7 @@
 
 
 class FakeGateway:
-    """Keeps each request, and answers with what the test has put there."""
+    """Records each request, and returns or raises `answer`, which the test sets."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -125,7 +125,7 @@
 
 
 def make_settings(**limits: Any) -> Settings:
-    """Give settings with a small pool."""
+    """Return settings with a small thread pool."""
     return Settings(
         host="pl-1-a",
         domain="pl-1",
@@ -138,13 +138,13 @@
 
 
 def make_view(**fields: Any) -> View:
-    """Give a view of the published configuration above."""
+    """Return a view of the published configuration above."""
     published = Published.from_documents(DOCUMENTS)
     return View("pl-1-a", "i-1", "pl-1", "port-louis", published=published)._replace(**fields)
 
 
 class CallerServerHarness:
-    """A callers' server on a free port with a fake gateway behind it."""
+    """Server for callers on a free port, with a fake gateway behind it."""
 
     def __init__(self, listener_limits: ListenerLimits | None = None, **limits: Any) -> None:
         self.gateway = FakeGateway()
@@ -177,7 +177,7 @@
         headers: dict[str, str] | None = None,
         http_1_0: bool = False,
     ) -> Answer:
-        """Send one request on a connection of its own, and read the whole answer."""
+        """Send one request on a new connection, and return the complete answer."""
         connection = http.client.HTTPConnection(self.server.address, timeout=10)
         if http_1_0:
             connection._http_vsn, connection._http_vsn_str = 10, "HTTP/1.0"  # type: ignore
@@ -187,13 +187,13 @@
             return Answer(response.status, response.headers, response.read())
 
     def connect(self) -> socket.socket:
-        """Open a plain connection."""
+        """Open a TCP connection to the server."""
         host, port = self.server.address.rsplit(":", 1)
         return socket.create_connection((host, int(port)), timeout=10)
 
 
 def read_all(sock: socket.socket) -> bytes:
-    """Read until the other end closes."""
+    """Read until the peer closes."""
     pieces = []
     with contextlib.suppress(ConnectionResetError):
         while piece := sock.recv(65536):
@@ -202,7 +202,7 @@
 
 
 def read_until(sock: socket.socket, mark: bytes) -> bytes:
-    """Read until a mark has come, or the other end closes."""
+    """Read until a mark arrives, or the peer closes."""
     text = b""
     while mark not in text and (piece := sock.recv(4096)):
         text += piece
@@ -210,14 +210,14 @@
 
 
 def read_answer(sock: socket.socket) -> Answer:
-    """Read one answer and leave the connection open."""
+    """Read one answer without closing the connection."""
     response = http.client.HTTPResponse(sock)
     response.begin()
     return Answer(response.status, response.headers, response.read())
 
 
 def wait_until(condition: Callable[[], bool], seconds: float = 5.0) -> bool:
-    """Poll a condition for a bounded time; tell whether it came true."""
+    """Poll a condition for a limited time; return whether it became true."""
     pause = threading.Event()
     end = time.monotonic() + seconds
     while time.monotonic() < end:
--- a/cloverway/tests/measure_callers.py
+++ b/cloverway/tests/measure_callers.py
@@ -1,6 +1,6 @@
-"""Measure the callers' side: python -m cloverway.tests.measure_callers
+"""Measure the server for callers: python -m cloverway.tests.measure_callers
 
-Prints one line for each figure. The client shares the process, so its cost is in the times.
+Prints one line per measurement. The client shares the process, so the times include its cost.
 """
 
 from __future__ import annotations
--- a/cloverway/tests/raw_endpoint.py
+++ b/cloverway/tests/raw_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint on a raw socket: it plays one script for each connection, byte by byte."""
+"""An endpoint on a raw socket, which runs one script per connection."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class EndpointSideConnection:
-    """One accepted connection, as the endpoint sees it."""
+    """An accepted connection, on the side of the endpoint."""
 
     def __init__(self, sock: socket.socket, number: int) -> None:
         self.sock = sock
@@ -40,7 +40,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read_request(self) -> bytes:
-        """Read one whole request; empty when the other side closed."""
+        """Read one complete request; return an empty string if the client closed."""
         data = b""
         while b"\r\n\r\n" not in data:
             received = self.sock.recv(65536)
@@ -62,13 +62,13 @@
         self.sock.sendall(data)
 
     def answer(self, body: bytes, head: bytes = b"200 OK", extra: bytes = b"") -> None:
-        """Read a request and send a whole answer of known length."""
+        """Read a request and send a complete answer with Content-Length."""
         if self.read_request():
             self.send(b"HTTP/1.1 %b\r\nContent-Type: application/json\r\n" % head + extra)
             self.send(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def wait_for_close(self) -> bool:
-        """Whether the other side closed within the bound."""
+        """Return whether the client closes within the timeout of the socket."""
         try:
             return self.sock.recv(1) == b""
         except TimeoutError:
@@ -78,7 +78,7 @@
 
 
 class RawEndpoint:
-    """Accepts connections on a free port and plays a script for each, by its number."""
+    """Accepts connections on a free port and runs a script for each, by its number."""
 
     def __init__(self, *scripts: Callable[[EndpointSideConnection], None]) -> None:
         self._scripts = scripts
--- a/cloverway/tests/stream_harness.py
+++ b/cloverway/tests/stream_harness.py
@@ -1,4 +1,4 @@
-"""Streams copied from a raw endpoint to callers, by either way of copying."""
+"""Test support that copies streams from a raw endpoint to callers with any copier."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class StreamHarness:
-    """A client whose streams are copied to callers, each in a thread of its own."""
+    """Endpoint client whose streams are copied to callers, each in its own thread."""
 
     def __init__(self, copier: Copier) -> None:
         self.stats: list[tuple[Request, StreamStats]] = []
@@ -45,7 +45,7 @@
         return stream
 
     def hand_over(self, stream: EndpointStream) -> tuple[socket.socket, Future[None]]:
-        """Give the caller's end of the connection, and the future of the copying."""
+        """Start copying; return the caller's end of the connection and the future of the copy."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             caller = socket.socket()
             caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
@@ -57,7 +57,7 @@
         return caller, self.workers.submit(self._copy, stream, served)
 
     def copy(self, stream: EndpointStream) -> bytes:
-        """Copy a stream to a caller that reads all, and give what it read."""
+        """Copy a stream to a caller that reads to the end, and return what it read."""
         caller, copy_future = self.hand_over(stream)
         data = b"".join(iter(lambda: caller.recv(65536), b""))
         copy_future.result(TIMEOUT_S)
@@ -83,7 +83,7 @@
 
 
 def make_script(*pieces: bytes, hold: bool = False) -> Callable[[EndpointSideConnection], None]:
-    """Make a script: answer each request by these pieces; then hold the connection or end it."""
+    """Return a script that answers each request with these pieces, then holds or closes."""
 
     def script(connection: EndpointSideConnection) -> None:
         while connection.read_request():
--- a/cloverway/tests/test_authentication.py
+++ b/cloverway/tests/test_authentication.py
@@ -28,8 +28,8 @@
     assert index_cache.get_index(later).published is later
 
 
-def test_a_key_that_was_taken_back_is_refused_at_once():
-    """An operator withdraws a key that was lost; the next call with it is refused."""
+def test_a_withdrawn_key_is_rejected_at_once():
+    """After an operator withdraws a key, the next call with it is rejected."""
     index_cache = KeyIndexCache()
     authenticate(index_cache.get_index(PUBLISHED), f"Bearer {BEARER}", "chat")
     pharmacy = PUBLISHED.teams["pharmacy"]._replace(key_hashes=())
@@ -39,7 +39,7 @@
 
 
 @given(st.text(max_size=600))
-def test_only_a_published_key_names_a_team(text):
+def test_only_published_keys_identify_a_team(text):
     index = KeyIndex.from_published(PUBLISHED)
     try:
         bearer = parse_bearer(text)
@@ -49,8 +49,8 @@
     assert index.find_team(bearer) == ""
 
 
-def test_the_hash_of_a_key_is_no_key():
-    """Whoever reads the published configuration can't call with what stands there."""
+def test_the_hash_of_a_key_is_not_accepted_as_a_key():
+    """A reader of the published configuration can't authenticate with its contents."""
     index = KeyIndex.from_published(PUBLISHED)
     assert index.find_team(BEARER) == "pharmacy"
     assert index.find_team(hash_key(BEARER)) == ""
@@ -60,11 +60,11 @@
 @pytest.mark.parametrize(
     ("header", "seconds"), [("", 30.0), ("500", 0.5), ("60000", 30.0), ("000000001", 0.001)]
 )
-def test_the_shorter_deadline_holds(header, seconds):
+def test_the_shorter_deadline_applies(header, seconds):
     assert choose_deadline_s(Profile(model="m"), header) == seconds
 
 
 @pytest.mark.parametrize("header", ["0", "-1", "1.5", "1e3", "+5", "\u0663", "1" * 10, " 5", "a"])
-def test_a_deadline_is_a_plain_number(header):
+def test_a_deadline_must_be_a_positive_integer(header):
     with pytest.raises(RequestError, match="malformed"):
         choose_deadline_s(Profile(model="m"), header)
--- a/cloverway/tests/test_bodies.py
+++ b/cloverway/tests/test_bodies.py
@@ -31,32 +31,32 @@
         b'{"model": "other", "messages": [1], "model": "clover-desk"}',
     ],
 )
-def test_the_profile_names_the_model(body: bytes) -> None:
-    """A caller names a model that its profile does not grant, or one name twice.
+def test_the_profile_determines_the_model(body: bytes) -> None:
+    """A caller names no model, another model than its profile's, or repeats the field.
 
-    The host chooses an endpoint for the profile's model. Passed on as it came, the body would run
-    another model there, or, without a model, be refused by the engine.
+    The host selects an endpoint for the model of the profile. Forwarded verbatim, the body would
+    run another model there, or, without a model, be refused by the engine.
     """
     completion = parse_completion(body, JSON_TYPE, "messages", "clover-desk")
     pairs = json.loads(completion.body, object_pairs_hook=list)
     assert [value for name, value in pairs if name == "model"] == ["clover-desk"]
 
 
-def test_what_was_checked_is_what_an_endpoint_reads() -> None:
+def test_an_endpoint_gets_the_values_that_were_checked() -> None:
     body = b'{"messages": [1], "stream": true, "stream": false}'
     completion = parse_completion(body, JSON_TYPE, "messages", "m")
     assert not completion.stream
     assert completion.body.count(b'"stream"') == 1
 
 
-def test_a_number_that_no_endpoint_could_read_is_refused() -> None:
+def test_a_number_out_of_range_is_rejected() -> None:
     with pytest.raises(RequestError) as raised:
         parse_completion(b'{"messages": [1], "seed": 1e999}', JSON_TYPE, "messages", "m")
     assert raised.value.kind is Kind.MALFORMED
 
 
 @given(st.dictionaries(st.text(), VALUES, max_size=4))
-def test_nothing_else_is_changed(fields: dict[str, Any]) -> None:
+def test_other_fields_are_not_changed(fields: dict[str, Any]) -> None:
     document = {**fields, "messages": ["a question"], "stream": True}
     body = json.dumps(document).encode()
     completion = parse_completion(body, JSON_TYPE, "messages", "m")
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface over real sockets."""
+"""Tests of the interface for callers over real sockets."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     assert (request.method, request.path, request.key) == ("PUT", target, "k-1")
 
 
-def test_a_stream_comes_whole(harness):
+def test_a_stream_arrives_completely(harness):
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n", b"data: [DONE]\n\n"])
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
     answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
@@ -71,11 +71,11 @@
 
 
 @pytest.mark.parametrize("error", [RequestError(Kind.TRUNCATED), RuntimeError("bug")])
-def test_a_cut_stream_never_looks_whole(harness, error):
-    """The caller has read a part when its connection closes without the last chunk.
+def test_a_stream_cut_midway_never_looks_complete(harness, error):
+    """The connection closes without the last chunk if the stream fails midway.
 
-    The endpoint sends one piece and is lost. Were the last chunk sent, the caller would take a
-    part of an allocation list for all of it.
+    The endpoint sends some pieces and fails. If the last chunk were sent, the caller would treat a
+    truncated answer as complete.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"], error)
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
@@ -86,7 +86,7 @@
     assert wait_until(lambda: harness.server.in_progress() == 0)
 
 
-def test_a_stream_that_is_cut_at_once_is_a_problem(harness):
+def test_a_stream_that_fails_at_once_is_a_problem(harness):
     stream = FakeStream([], RequestError(Kind.ENDPOINT_FAILED))
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
     answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
@@ -95,11 +95,11 @@
     assert stream.closed.wait(5)
 
 
-def test_an_old_caller_gets_a_length(harness):
-    """A caller of HTTP/1.0 knows the end of a stream only by the closed connection.
+def test_an_http_1_0_caller_gets_a_buffered_stream(harness):
+    """An HTTP/1.0 caller detects the end of a stream only by the closed connection.
 
-    A cut stream closes it too, so such a caller could not tell a part from the whole. It gets
-    the stream collected, with its length, or a problem.
+    A truncated stream closes it too, so such a caller could not tell the two apart. It gets the
+    complete stream with a Content-Length, or a problem.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"])
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
@@ -147,7 +147,7 @@
         ),
     ],
 )
-def test_what_is_refused(harness, method, path, headers, kind):
+def test_invalid_calls_are_rejected(harness, method, path, headers, kind):
     answer = harness.call(method, path, CHAT_BODY, headers)
     assert (answer.problem["kind"], answer.problem["ran"]) == (kind, "no")
     assert not harness.gateway.requests
@@ -158,18 +158,18 @@
     "path", ["/../load", "/a/../../x", "/%2e%2e/x", "/a%2f..%2fb", "//x", "/a\\b"]
 )
 def test_a_target_stays_below_its_service(harness, path):
-    """A caller must not reach an endpoint's orders by a path that the endpoint folds up."""
+    """A caller must not reach control paths of an endpoint by a path that it normalizes."""
     headers = {**HEADERS, "Cloverway-Profile": "lookup"}
     answer = harness.call("GET", "/v1/services/stock" + path, None, headers)
     assert answer.problem["kind"] in ("malformed", "not_found")
     assert not harness.gateway.requests
 
 
-def test_a_refusal_before_the_key_is_looked_up_promises_nothing(harness):
-    """A caller repeats a call with its key after a lost answer, and is refused.
+def test_a_rejection_before_the_key_lookup_never_claims_not_run(harness):
+    """A caller repeats a call with its key after a lost answer, and is rejected.
 
-    The first request may have run. Were the refusal of the repeat marked `ran: no`, the caller
-    would allocate again with a new key.
+    The first request may have run. If the rejection of the repeat said `ran: no`, the caller would
+    run the operation again with a new key.
     """
     headers = {**HEADERS, "Cloverway-Profile": "none", "Idempotency-Key": "k-1"}
     answer = harness.call("POST", "/v1/services/stock/a", b"{}", headers)
@@ -194,7 +194,7 @@
     assert harness.call("POST", "/v1/idempotency-keys", headers={}).problem["status"] == 401
 
 
-def test_the_callers_guide_has_every_kind_as_it_is_answered():
+def test_the_guide_for_callers_lists_every_error_kind():
     page = Path(__file__).parents[2] / "docs" / "user-guide" / "calling.md"
     rows = re.findall(
         r"^\| `(\w+)` \| (\d+) \| `(\w+)` \| (\w+) \|", page.read_text(), re.MULTILINE
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -1,6 +1,6 @@
-"""Bytes that no honest caller sends: neither a crash, nor a traceback, nor a hanging thread.
+"""Fuzz tests: no input of a caller causes a crash, a traceback or a hanging thread.
 
-The environment variable CLOVERWAY_FUZZ raises the count of examples.
+The environment variable CLOVERWAY_FUZZ sets the number of examples.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 
 COUNT = int(os.environ.get("CLOVERWAY_FUZZ", "100"))
 LIMIT = 2048
-PURE = settings(max_examples=COUNT, deadline=None, suppress_health_check=list(HealthCheck))
-OVER_SOCKETS = settings(PURE, max_examples=max(COUNT // 4, 25))
+IN_PROCESS = settings(max_examples=COUNT, deadline=None, suppress_health_check=list(HealthCheck))
+OVER_SOCKETS = settings(IN_PROCESS, max_examples=max(COUNT // 4, 25))
 
 json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
@@ -97,7 +97,7 @@
 
 
 def make_call(method, path, sent_headers, body, chunked):
-    """Give a call as the listener makes it, without a socket below."""
+    """Return a call as the listener creates it, without a socket."""
     query = path.partition("?")[0]
     reader = io.BufferedReader(io.BytesIO(body))
     connection = SimpleNamespace(
@@ -111,14 +111,14 @@
 
 LOOKUP = {**CHAT, "Cloverway-Profile": "lookup"}
 ALLOCATE = {**CHAT, "Cloverway-Profile": "allocate", "Idempotency-Key": "k-1"}
-SOUND = [
+VALID_CALLS = [
     {"method": "POST", "path": "/v1/chat/completions", "sent_headers": CHAT, "body": CHAT_BODY},
     {"method": "POST", "path": "/v1/completions", "sent_headers": CHAT, "body": b'{"prompt":"a"}'},
     {"method": "GET", "path": "/v1/services/stock/a?b=c", "sent_headers": LOOKUP, "body": b""},
     {"method": "PUT", "path": "/v1/services/stock/a", "sent_headers": ALLOCATE, "body": b"x"},
     {"method": "POST", "path": "/v1/idempotency-keys", "sent_headers": CHAT, "body": b"{}"},
 ]
-changes = st.one_of(
+call_changes = st.one_of(
     st.fixed_dictionaries({}),
     st.fixed_dictionaries({"method": st.sampled_from(["GET", "POST", "PATCH", "\u00e9"])}),
     st.fixed_dictionaries({"path": paths}),
@@ -137,10 +137,12 @@
 )
 
 
-@PURE
-@given(st.sampled_from(SOUND), changes, st.booleans())
-def test_any_call_is_refused_or_made_a_sound_request(harness, sound, changed, chunked):
-    fields = {**sound, **changed}
+@IN_PROCESS
+@given(st.sampled_from(VALID_CALLS), call_changes, st.booleans())
+def test_any_call_is_rejected_or_becomes_a_valid_request(
+    harness, valid_call, changes_made, chunked
+):
+    fields = {**valid_call, **changes_made}
     length = {"Content-Length": str(len(fields["body"]))}
     fields["sent_headers"] = {**length, **fields["sent_headers"], **fields.pop("more", {})}
     call = make_call(**fields, chunked=chunked)
@@ -164,11 +166,11 @@
         assert isinstance(request.stream, bool)
 
 
-@PURE
+@IN_PROCESS
 @given(chunked_bodies, st.integers(0, 100))
 @example(b"5\r\nabcde\r\n0\r\n\r\n", 5)
 @example(b" 0\r\n\r\n", 0)
-def test_a_chunked_body_is_read_whole_or_refused(text, limit):
+def test_a_chunked_body_is_read_completely_or_rejected(text, limit):
     reader = io.BufferedReader(io.BytesIO(text))
     try:
         body = bodies.read_body(reader, None, True, limit)
@@ -181,7 +183,7 @@
 
 @OVER_SOCKETS
 @given(heads, st.binary(max_size=100), st.booleans())
-def test_any_bytes_get_an_answer_or_a_close(harness, head, body, known):
+def test_any_bytes_are_answered_or_the_connection_is_closed(harness, head, body, known):
     method, path, fields = head
     lines = [f"{method} /{path} HTTP/1.1", "Host: h", *(f"{n}: {v}" for n, v in fields.items())]
     if known:
--- a/cloverway/tests/test_connection_reuse.py
+++ b/cloverway/tests/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are kept between requests, and what goes wrong on them."""
+"""Pooled connections to endpoints, and failures on them."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
     client.close()
 
 
-def test_an_endpoint_that_ends_under_a_request_on_a_kept_connection_is_lost(client) -> None:
-    """A request ends endpoint after endpoint, and none of these ends is counted against it.
+def test_crash_during_a_request_on_a_pooled_connection_is_reported(client) -> None:
+    """A crash of an endpoint counts against the request that was sent on a pooled connection.
 
-    It goes out on a connection that was kept from before. That breaks, which may mean an idle
-    connection that was dropped, so it is sent on a new one; but nobody listens there any more.
+    The pooled connection fails, which may be a dropped idle connection, so the request is retried
+    on a new one; but the endpoint no longer listens. If that did not count as a crash, the request
+    could crash endpoint after endpoint without being quarantined.
     """
 
     def end(connection: EndpointSideConnection) -> None:
@@ -46,7 +47,7 @@
     assert (failure.value.kind, failure.value.ran) == (Kind.ENDPOINT_FAILED, Ran.UNKNOWN)
 
 
-def test_an_endpoint_that_refuses_after_a_kept_connection_was_dropped_is_not_lost(client) -> None:
+def test_refusal_after_a_dropped_pooled_connection_is_not_a_crash(client) -> None:
     def drop(connection: EndpointSideConnection) -> None:
         connection.answer(b"{}")
         connection.read_request()
@@ -70,11 +71,11 @@
         assert len(endpoint.connections) == 2
 
 
-def test_stale_connection_and_a_request_that_may_run_once(client: EndpointClient) -> None:
-    """The filing runs once, though a pooled connection to its endpoint is dead.
+def test_non_idempotent_request_avoids_a_stale_connection(client: EndpointClient) -> None:
+    """A non-idempotent request runs once although a pooled connection to its endpoint is dead.
 
-    The endpoint closes each connection when its second request arrives. Sent on the pooled
-    connection, the filing would fail with no telling whether it ran. It goes on a new one.
+    The endpoint closes each connection when its second request arrives. On the pooled connection
+    the request would fail without a known outcome, so it is sent on a new one.
     """
     with RawEndpoint(answer_once) as endpoint:
         send(client, endpoint.url)
@@ -82,11 +83,11 @@
         assert [len(each.requests) for each in endpoint.connections] == [1, 1]
 
 
-def test_stale_connection_and_an_idempotent_request(client: EndpointClient) -> None:
-    """The lookup is answered though the pooled connection it went on was dead.
+def test_idempotent_request_is_retried_after_a_stale_connection(client: EndpointClient) -> None:
+    """An idempotent request is answered although it was sent on a dead pooled connection.
 
-    The endpoint closes each connection when its second request arrives. Nothing of an answer
-    came, so the lookup is sent once more on a new connection before the endpoint is blamed.
+    The endpoint closes each connection when its second request arrives. No byte of an answer
+    arrived, so the request is retried on a new connection before the endpoint counts as failed.
     """
     with RawEndpoint(answer_once) as endpoint:
         send(client, endpoint.url)
@@ -94,11 +95,11 @@
         assert [len(each.requests) for each in endpoint.connections] == [2, 1]
 
 
-def test_connection_that_went_silent(client: EndpointClient) -> None:
-    """The lookup is answered though its pooled connection lost its other end without a sign.
+def test_idempotent_request_is_retried_after_a_silent_connection(client: EndpointClient) -> None:
+    """An idempotent request is answered although its pooled connection went silent.
 
-    The second request on it gets no byte. After the gap limit, well before the deadline, the
-    lookup goes on a new connection, which works.
+    The second request on the connection gets no byte. After the inter-token timeout, well before
+    the deadline, the request is retried on a new connection, which works.
     """
 
     def fall_silent(connection: EndpointSideConnection) -> None:
@@ -112,7 +113,7 @@
         assert len(endpoint.connections) == 2
 
 
-def test_failure_on_a_new_connection_is_not_repeated(client: EndpointClient) -> None:
+def test_failure_on_a_new_connection_is_not_retried(client: EndpointClient) -> None:
     with RawEndpoint(lambda connection: connection.read_request()) as endpoint:
         for idempotent in (True, False):
             with pytest.raises(RequestError) as failure:
@@ -139,11 +140,11 @@
 
 
 @pytest.mark.parametrize("second", ["refused connection", "refused by check", "refused plainly"])
-def test_not_run_is_not_said_after_a_first_try(client: EndpointClient, second: str) -> None:
-    """A caller is told "unknown", not "not run", where the first of two tries may have run.
+def test_not_run_is_not_claimed_after_a_first_attempt(client: EndpointClient, second: str) -> None:
+    """The outcome is "unknown", not "not run", if the first of two attempts may have run.
 
-    The lookup goes on a pooled connection; the endpoint reads it and closes. The second try, on
-    a new connection, certainly does not run. That says nothing of the first one.
+    The request is sent on a pooled connection; the endpoint reads it and closes. The second
+    attempt, on a new connection, certainly does not run, but the first one may have.
     """
     checks = iter([None, None, RequestError(Kind.DEADLINE)])
 
@@ -169,7 +170,9 @@
     assert failure.value.kind in {Kind.ENDPOINT_FAILED, Kind.TIMED_OUT}
 
 
-def test_not_run_is_not_said_when_the_deadline_ends_the_first_try(client: EndpointClient) -> None:
+def test_not_run_is_not_claimed_if_the_deadline_ends_the_first_attempt(
+    client: EndpointClient,
+) -> None:
     def fall_silent(connection: EndpointSideConnection) -> None:
         connection.answer(b"{}")
         connection.read_request()
@@ -186,7 +189,7 @@
     assert (failure.value.kind, failure.value.ran) == (Kind.TIMED_OUT, Ran.UNKNOWN)
 
 
-def test_connections_probe_the_other_end(client: EndpointClient) -> None:
+def test_connections_use_tcp_keepalive(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         send(client, endpoint.url)
         (idle,) = client._pool._idle.values()
--- a/cloverway/tests/test_copiers.py
+++ b/cloverway/tests/test_copiers.py
@@ -37,22 +37,22 @@
     harness.close()
 
 
-def test_whole_stream_and_its_connection_is_used_again(harness: StreamHarness) -> None:
+def test_complete_stream_and_its_connection_is_reused(harness: StreamHarness) -> None:
     with RawEndpoint(make_script(*COMPLETE_STREAM)) as endpoint:
         for _ in range(2):
             body = ChunkedBody()
             assert body.feed(harness.copy(harness.open(endpoint.url))) == b"".join(EVENTS)
-            assert not body.ended, "the last chunk is the caller's server to write"
+            assert not body.ended, "the last chunk is written by the server for callers"
         assert len(endpoint.connections) == 1
         assert endpoint.cancels == []
     assert [stats.tokens for _, stats in harness.stats] == [3, 3]
 
 
 def test_first_piece_is_read_before_the_rest_is_handed_over(harness: StreamHarness) -> None:
-    """The caller gets every event once, though the worker read the first ones itself.
+    """The caller gets every event once, although the worker read the first ones itself.
 
-    A generator around the stream reads a piece and is dropped, which closes what it reads from;
-    only then are the sockets handed over.
+    A generator around the stream reads a piece and is dropped, which closes its iterator; only
+    then are the sockets handed over.
     """
 
     def read_around(stream: EndpointStream) -> Iterator[bytes]:
@@ -73,19 +73,19 @@
         assert ChunkedBody().feed(harness.copy(stream)) == b"".join(EVENTS[1:])
 
 
-def test_everything_arrives_with_the_head(harness: StreamHarness) -> None:
+def test_complete_stream_arrives_with_the_head(harness: StreamHarness) -> None:
     with RawEndpoint(
         lambda c: c.read_request() and c.send(HEAD + b"".join(COMPLETE_STREAM))
     ) as endpoint:
         assert ChunkedBody().feed(harness.copy(harness.open(endpoint.url))) == b"".join(EVENTS)
 
 
-def test_stream_cut_at_every_byte(harness: StreamHarness) -> None:
-    """The caller never takes a part of a stream for the whole, wherever it is cut.
+def test_stream_truncated_at_every_byte(harness: StreamHarness) -> None:
+    """A truncated stream never looks complete to the caller, wherever it is truncated.
 
     The endpoint closes after each possible number of bytes: between frames, within one, after
-    `[DONE]` but before the last chunk. The worker is told, and neither `[DONE]` nor the last
-    chunk was copied.
+    `[DONE]` but before the last chunk. The worker gets an error, and neither `[DONE]` nor the last
+    chunk is copied.
     """
     wire = b"".join(COMPLETE_STREAM)
     scripts = [make_script(wire[:place]) for place in range(len(wire))]
@@ -109,11 +109,11 @@
         wait_until(lambda: endpoint.closed_count == 1, what="close")
 
 
-def test_silent_endpoint(harness: StreamHarness) -> None:
-    """The caller's stream ends, cut, once the endpoint was silent for the gap limit.
+def test_stalled_endpoint(harness: StreamHarness) -> None:
+    """A stream is aborted once the endpoint was silent for the inter-token timeout.
 
-    One event comes and then nothing, with the connection open: something between the two ends
-    has lost track of it. The engine is told on a new connection, and its old one is closed.
+    One event arrives and then nothing, with the connection open, as if its state was lost on the
+    path. The old connection is closed, and the engine gets a cancel on a new one.
     """
     with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
         caller, copy_future = harness.hand_over(harness.open(endpoint.url, gap_s=0.15))
@@ -124,7 +124,7 @@
         assert b'"r1"' in endpoint.cancels[0]
 
 
-def test_endless_stream_keeps_to_the_deadline(harness: StreamHarness) -> None:
+def test_endless_stream_is_aborted_at_its_deadline(harness: StreamHarness) -> None:
     def drip(connection: EndpointSideConnection) -> None:
         connection.read_request()
         connection.send(HEAD)
@@ -138,15 +138,15 @@
         wait_until(lambda: endpoint.closed_count == 1, what="close")
 
 
-def test_caller_leaves_while_tokens_come(harness: StreamHarness) -> None:
-    def go_on(connection: EndpointSideConnection) -> None:
+def test_caller_disconnects_while_tokens_arrive(harness: StreamHarness) -> None:
+    def send_until_closed(connection: EndpointSideConnection) -> None:
         connection.read_request()
         connection.send(HEAD)
         connection.sock.settimeout(0.005)
         while not connection.wait_for_close():
             connection.send(chunk(EVENTS[0]))
 
-    with RawEndpoint(go_on) as endpoint:
+    with RawEndpoint(send_until_closed) as endpoint:
         caller, copy_future = harness.hand_over(harness.open(endpoint.url))
         caller.recv(4096)
         caller.close()
@@ -154,7 +154,7 @@
         wait_until(lambda: len(endpoint.cancels) == 1, what="cancel")
 
 
-def test_next_request_of_the_caller_is_left_alone(harness: StreamHarness) -> None:
+def test_next_request_of_the_caller_is_not_consumed(harness: StreamHarness) -> None:
     with RawEndpoint(make_script(*COMPLETE_STREAM)) as endpoint:
         stream = harness.open(endpoint.url)
         caller, copy_future = harness.hand_over(stream)
@@ -163,7 +163,7 @@
         assert harness.sockets[-1].recv(4096) == b"GET /v1/hosts HTTP/1.1\r\n"
 
 
-def test_streams_at_once_are_never_mixed(harness: StreamHarness) -> None:
+def test_concurrent_streams_are_not_mixed_up(harness: StreamHarness) -> None:
     def echo(connection: EndpointSideConnection) -> None:
         while request := connection.read_request():
             event = b"data: %b\n\n" % request.partition(b"\r\n\r\n")[2]
@@ -184,7 +184,7 @@
         assert all(callers.map(ask, range(40)))
 
 
-def test_unused_stream_is_given_up(harness: StreamHarness) -> None:
+def test_closed_stream_cancels_its_request(harness: StreamHarness) -> None:
     with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
         stream = harness.open(endpoint.url)
         stream.close()
@@ -194,11 +194,11 @@
     assert len(harness.stats) == 1
 
 
-def test_engine_ends_the_run_of_a_caller_that_left(harness: StreamHarness) -> None:
-    """The engine ends the run whose caller left, and does not keep it to be resumed.
+def test_engine_cancels_the_run_of_a_disconnected_caller(harness: StreamHarness) -> None:
+    """The engine cancels the run of a disconnected caller instead of keeping it for a resume.
 
-    The end of the connection only interrupts the run. The call that follows names it by the
-    request's id, which the engine was given with the request.
+    Closing the connection only interrupts the run. The cancel that follows identifies the run by
+    the id that was sent with the request.
     """
     with Engine(timing=Timing(token_s=0.05)) as engine:
         body = b'{"model": "clover-assist", "prompt": "x", "max_tokens": 500, "stream": true}'
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_directory.py
@@ -6,7 +6,7 @@
 from cloverway.tests.caller_harness import DOCUMENTS
 
 NOW = 100.0
-FRESH = MaxAges(2.0)
+MAX_AGES = MaxAges(2.0)
 DOMAINS = {"pl-1": "port-louis", "pl-2": "port-louis", "cu-1": "curepipe"}
 
 
@@ -32,22 +32,24 @@
     return View("pl-1-a", "i", "pl-1", "port-louis", published=published, hosts=states)
 
 
-def names_of(view, rotation=0, overloaded=False):
-    return [host["name"] for host in list_hosts(view, NOW, FRESH, rotation, overloaded)["hosts"]]
+def list_names(view, rotation=0, overloaded=False):
+    return [host["name"] for host in list_hosts(view, NOW, MAX_AGES, rotation, overloaded)["hosts"]]
 
 
 def test_own_domain_first_then_own_region():
-    assert names_of(make_view()) == ["pl-1-a", "pl-1-b", "pl-1-c", "pl-2-a", "cu-1-a"]
+    assert list_names(make_view()) == ["pl-1-a", "pl-1-b", "pl-1-c", "pl-2-a", "cu-1-a"]
 
 
-def test_callers_spread_over_a_rank_and_never_across_ranks():
-    firsts = {names_of(make_view(), rotation)[0] for rotation in range(3)}
+def test_callers_are_spread_within_a_rank_only():
+    firsts = {list_names(make_view(), rotation)[0] for rotation in range(3)}
     assert firsts == {"pl-1-a", "pl-1-b", "pl-1-c"}
-    assert all(names_of(make_view(), rotation)[3:] == ["pl-2-a", "cu-1-a"] for rotation in range(7))
+    assert all(
+        list_names(make_view(), rotation)[3:] == ["pl-2-a", "cu-1-a"] for rotation in range(7)
+    )
 
 
-def test_leaving_overloaded_and_silent_hosts_are_left_out():
-    """A caller that got such a host would be refused, or wait for its own timeout."""
+def test_leaving_overloaded_and_silent_hosts_are_omitted():
+    """A call to such a host would be rejected, or wait until it times out."""
     view = make_view(
         **{
             "pl-1-b": {"leaving": True},
@@ -55,25 +57,25 @@
             "pl-2-a": {"heard_at": NOW - 3},
         }
     )
-    assert names_of(view) == ["pl-1-a", "cu-1-a"]
-    assert names_of(view._replace(leaving=True)) == ["cu-1-a"]
-    assert names_of(view, overloaded=True) == ["cu-1-a"]
-    assert names_of(view._replace(published=None)) == []
+    assert list_names(view) == ["pl-1-a", "cu-1-a"]
+    assert list_names(view._replace(leaving=True)) == ["cu-1-a"]
+    assert list_names(view, overloaded=True) == ["cu-1-a"]
+    assert list_names(view._replace(published=None)) == []
 
 
-def test_hosts_of_other_domains_count_as_there_while_their_domain_is_heard():
-    """Hosts of other domains need not be heard one by one; a domain that is cut off is left out."""
+def test_hosts_of_other_domains_are_listed_while_summaries_of_their_domain_arrive():
+    """Hosts of other domains need no heartbeats of their own; a partitioned domain is omitted."""
     never = {"heard_at": float("-inf")}
     view = make_view(**{"pl-1-b": never, "pl-2-a": never, "cu-1-a": never})
-    assert names_of(view) == ["pl-1-a", "pl-1-c"]
+    assert list_names(view) == ["pl-1-a", "pl-1-c"]
     heard = {
         ("cu-1", "m"): Summary("cu-1", "m", at=NOW - 1),
         ("pl-2", "m"): Summary("pl-2", "m", at=0),
     }
-    assert names_of(view._replace(summaries=heard)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
+    assert list_names(view._replace(summaries=heard)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
 
 
-def test_a_large_fleet_gives_a_bounded_list():
+def test_the_list_of_a_large_fleet_is_bounded():
     view = make_view(names=("pl-1-a", *(f"cu-1-{number}" for number in range(100))))
-    assert len(names_of(view)) == MAX_HOSTS
-    assert names_of(view)[0] == "pl-1-a"
+    assert len(list_names(view)) == MAX_HOSTS
+    assert list_names(view)[0] == "pl-1-a"
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -49,7 +49,7 @@
     return failure.value
 
 
-def test_whole_answer_and_request_headers(client: EndpointClient) -> None:
+def test_complete_answer_and_request_headers(client: EndpointClient) -> None:
     with RawEndpoint(lambda c: c.answer(b'{"a": 1}', extra=b"X-Ran-At: e1\r\n")) as endpoint:
         reply = send(client, endpoint.url, make_request(key="k1"), priority=2)
     assert (reply.status, reply.content_type, reply.body) == (200, "application/json", b'{"a": 1}')
@@ -61,11 +61,11 @@
     assert b"cloverway-deadline-ms: " in head
 
 
-def test_body_cut_short_is_an_error(client: EndpointClient) -> None:
-    """The caller sees an error in place of half an answer.
+def test_truncated_body_is_an_error(client: EndpointClient) -> None:
+    """The caller gets an error instead of a truncated answer.
 
-    The endpoint announces ten bytes, sends four and closes the connection, which without the
-    count would look like an ordinary end.
+    The endpoint announces ten bytes, sends four and closes the connection. Without the length,
+    this would look like an ordinary end.
     """
 
     def cut(connection: EndpointSideConnection) -> None:
@@ -77,7 +77,7 @@
     assert isinstance(failure, EndpointLostError)
 
 
-def test_refused_connection_was_not_run(client: EndpointClient) -> None:
+def test_refused_connection_counts_as_not_run(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         url = endpoint.url
     with pytest.raises(RequestError) as failure:
@@ -85,7 +85,7 @@
     assert (failure.value.kind, failure.value.ran) == (Kind.ENDPOINT_REFUSED, Ran.NO)
 
 
-def test_whole_stream(client: EndpointClient) -> None:
+def test_complete_stream(client: EndpointClient) -> None:
     with RawEndpoint(stream_three) as endpoint:
         reply = send(client, endpoint.url)
         assert reply.stream is not None
@@ -116,14 +116,14 @@
         (b"103 Early Hints", Kind.ENDPOINT_FAILED, Ran.UNKNOWN),
     ],
 )
-def test_answers_that_are_not_for_the_caller(client, answer, kind, ran) -> None:
+def test_error_answers_are_not_passed_to_the_caller(client, answer, kind, ran) -> None:
     failure = send_expecting_error(client, lambda c: c.answer(b"{}", answer), idempotent=False)
     assert (failure.kind, failure.ran) == (kind, ran)
     assert failure.retry_after == (2.0 if ran is Ran.NO else None)
-    assert not isinstance(failure, EndpointLostError), "it answered, so it hasn't ended"
+    assert not isinstance(failure, EndpointLostError), "an endpoint that answers has not crashed"
 
 
-def test_endpoint_errors_of_the_caller_pass_through(client: EndpointClient) -> None:
+def test_client_errors_are_passed_to_the_caller(client: EndpointClient) -> None:
     hops = b"Connection: x-hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nX-Own: 2\r\n"
     with RawEndpoint(lambda c: c.answer(b"no", b"422 Wrong", hops)) as endpoint:
         reply = send(client, endpoint.url)
@@ -142,10 +142,10 @@
         b"",
     ],
 )
-def test_answers_that_are_not_whole(answer: bytes) -> None:
-    """The caller sees an error that says the outcome is unknown, never a part of an answer.
+def test_incomplete_answers_are_errors(answer: bytes) -> None:
+    """The caller gets an error with an unknown outcome, never a part of an answer.
 
-    The endpoint takes the request, sends what it sends and closes: it may well have run.
+    The endpoint reads the request, sends an incomplete answer and closes; it may have run.
     """
 
     def play(connection: EndpointSideConnection) -> None:
@@ -160,10 +160,10 @@
 
 
 def test_nothing_is_sent_when_the_check_refuses(client: EndpointClient) -> None:
-    """A caller that is told "not run" was not run.
+    """A request that is reported as not run was never sent.
 
-    The process sleeps between the decision and the send and wakes up past the deadline. The last
-    check before the first byte refuses, so the endpoint sees a connection and no request.
+    The process is suspended between the decision and the send and resumes after the deadline. The
+    check before the first byte raises, so the endpoint sees a connection without a request.
     """
 
     def refuse() -> None:
@@ -177,7 +177,7 @@
     assert failure.value.ran is Ran.NO
 
 
-def test_a_deadline_that_passed_sends_nothing(client: EndpointClient) -> None:
+def test_expired_or_unencodable_requests_are_not_sent(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         send(client, endpoint.url)
         for request in (make_request(-1), make_request(id="two\nlines")):
@@ -193,11 +193,13 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_second_answer_is_read_by_no_one(client: EndpointClient, at_once: bool) -> None:
-    """Each caller gets the answer to its own request, though the endpoint answers one twice.
+def test_unsolicited_second_answer_is_never_delivered(
+    client: EndpointClient, at_once: bool
+) -> None:
+    """Each caller gets the answer to its own request, although the endpoint answers one twice.
 
-    The second answer comes behind the first one, or later, while the connection is idle. Were
-    the connection used again, the next caller would read it as its own.
+    The second answer arrives with the first one, or later, while the connection is idle. If the
+    connection were reused, the next caller would get that answer.
     """
     sent = threading.Event()
     closed: list[bool] = []
@@ -218,11 +220,11 @@
         wait_until(lambda: closed == [True], what="close without a second request")
 
 
-def test_an_abandoned_answer_is_read_by_no_one(client: EndpointClient) -> None:
-    """A caller whose deadline passed leaves an answer behind; the next caller never sees it.
+def test_late_answer_is_never_delivered(client: EndpointClient) -> None:
+    """An answer that arrives after the deadline is never delivered to the next caller.
 
-    The endpoint answers the first request after its deadline. That connection was closed, not
-    pooled, and the engine was told to give the request up.
+    The endpoint answers the first request after its deadline. That connection was closed instead
+    of pooled, and the engine got a cancel.
     """
 
     def answer_late(connection: EndpointSideConnection) -> None:
@@ -239,10 +241,10 @@
 
 
 @pytest.mark.parametrize("head", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n"])
-def test_a_dripping_answer_keeps_to_the_deadline(client: EndpointClient, head: bytes) -> None:
-    """The caller gets its final answer at the deadline, though bytes keep coming.
+def test_slow_answer_is_aborted_at_its_deadline(client: EndpointClient, head: bytes) -> None:
+    """The request fails at its deadline although bytes keep arriving.
 
-    Each byte arrives well within any limit on a single read; only the total tells.
+    Each byte arrives within any timeout of a single read, so only a deadline for all reads helps.
     """
 
     def drip(connection: EndpointSideConnection) -> None:
@@ -256,7 +258,7 @@
     assert failure.kind is Kind.TIMED_OUT
 
 
-def test_requests_at_once_are_never_mixed(client: EndpointClient) -> None:
+def test_concurrent_requests_are_not_mixed_up(client: EndpointClient) -> None:
     def echo(connection: EndpointSideConnection) -> None:
         while request := connection.read_request():
             body = request.partition(b"\r\n\r\n")[2]
@@ -285,7 +287,7 @@
     assert b"content-length: 0" not in endpoint.requests[0].lower()
 
 
-def test_a_path_that_is_no_path_is_not_sent(client: EndpointClient) -> None:
+def test_invalid_path_is_not_sent(client: EndpointClient) -> None:
     failure = send_expecting_error(
         client, answer_forever, request=make_request(path="/a b\r\nX: y")
     )
@@ -293,11 +295,11 @@
 
 
 @pytest.mark.parametrize("head", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"])
-def test_caller_leaves_while_its_answer_is_waited_for(client: EndpointClient, head: bytes) -> None:
-    """The engine stops at once when the caller of a whole answer has left.
+def test_caller_disconnects_before_its_answer(client: EndpointClient, head: bytes) -> None:
+    """The engine gets a cancel at once when the caller of a non-streamed answer disconnects.
 
-    The worker sleeps in a read when the caller's connection ends. It is woken, closes its own
-    connection and asks for a cancel; no second try is made for nobody.
+    The worker blocks in a read at that time. It is woken, closes its connection to the endpoint
+    and sends a cancel; the request is not retried.
     """
 
     def never_end(connection: EndpointSideConnection) -> None:
@@ -318,17 +320,17 @@
         assert len(endpoint.requests) == 2
 
 
-def test_caller_leaves_before_the_first_byte(client: EndpointClient) -> None:
+def test_caller_disconnects_before_the_first_byte_is_sent(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
             send(client, endpoint.url, check=lambda: client.abort("r1"))
         assert failure.value.kind is Kind.CALLER_LEFT
 
 
-def test_filing_goes_on_when_its_caller_leaves(client: EndpointClient) -> None:
-    """A filing whose caller left runs to its end, and its answer can be recorded.
+def test_non_idempotent_request_continues_after_a_disconnect(client: EndpointClient) -> None:
+    """A non-idempotent request of a disconnected caller completes, so its answer is recorded.
 
-    Were it given up half way, a repeat with its key would learn nothing of what was done.
+    If it were aborted midway, a repeat with its key could not learn what was done.
     """
     asked, go = threading.Event(), threading.Event()
 
@@ -345,7 +347,7 @@
         assert ended.result(TIMEOUT_S).body == b"{}"
 
 
-def test_giving_up_never_hits_the_next_request_on_a_connection() -> None:
+def test_abort_does_not_affect_the_next_request_on_a_connection() -> None:
     pending = PendingExchanges()
     left, right = socket.socketpair()
     with left, right, pending.track("r1") as pending_exchange:
--- a/cloverway/tests/test_framing.py
+++ b/cloverway/tests/test_framing.py
@@ -33,8 +33,8 @@
 
 def feed_all(pieces: list[bytes]) -> tuple[bytes, bool, int, bytes]:
     stream = EventStream(ChunkedBody())
-    given_on = b"".join(stream.feed(piece) for piece in pieces)
-    return given_on, stream.complete, stream.tokens, stream.body.excess
+    forwarded = b"".join(stream.feed(piece) for piece in pieces)
+    return forwarded, stream.complete, stream.tokens, stream.body.excess
 
 
 @given(EVENTS, st.lists(st.integers(0, 9999), max_size=12), st.lists(st.integers(0, 9999)))
@@ -47,12 +47,12 @@
 
 
 @given(EVENTS, st.integers(0, 9999), st.lists(st.integers(0, 9999), max_size=4))
-def test_a_stream_that_is_cut_never_looks_whole(events, place, cuts) -> None:
+def test_a_truncated_stream_never_looks_complete(events, place, cuts) -> None:
     events = [event for event in events if event != DONE]
     wire = chunk(*events, DONE) + b"0\r\n\r\n"
-    given_on, complete, _, _ = feed_all(split(wire[: place % len(wire)], cuts))
+    forwarded, complete, _, _ = feed_all(split(wire[: place % len(wire)], cuts))
     assert not complete
-    assert DONE not in given_on
+    assert DONE not in forwarded
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 9999), max_size=5))
@@ -93,13 +93,13 @@
         chunk(b"x" * (MAX_EVENT_BYTES + 1)),
     ],
 )
-def test_malformed_is_an_error(wire: bytes) -> None:
+def test_malformed_framing_is_an_error(wire: bytes) -> None:
     with pytest.raises(RequestError) as failure:
         feed_all([wire])
     assert failure.value.kind in {Kind.ENDPOINT_FAILED, Kind.TRUNCATED}
 
 
-def test_text_of_a_token_is_not_taken_for_the_end() -> None:
+def test_done_in_the_text_of_a_token_does_not_end_the_stream() -> None:
     events = b'data: {"text": "[DONE]"}\n\ndata: x\ndata: [DONE]\n\n: [DONE]\n\n'
     assert feed_all([chunk(events)]) == (events, False, 2, b"")
     assert feed_all([chunk(b"data:[DONE]\r\n\r\n") + b"0\r\nx: y\r\n\r\n"])[1]
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Failures between a caller and the listener, over real sockets."""
+"""Failures between callers and the listener, over real sockets."""
 
 from __future__ import annotations
 
@@ -61,63 +61,63 @@
 
 
 def read_problem(sock):
-    """Read one answer to its end, and give its kind."""
+    """Read until the connection closes, and return the problem document of the answer."""
     head, _, body = read_all(sock).partition(b"\r\n\r\n")
     assert b"application/problem+json" in head
     return json.loads(body)
 
 
 def trickle(sock, piece, pace_s=0.05):
-    """Send a byte again and again until the other end answers or closes."""
-    enough = threading.Event()
+    """Send a piece repeatedly, until the returned event is set or the peer closes."""
+    stop_event = threading.Event()
 
     def run():
         with contextlib.suppress(OSError):
-            while not enough.wait(pace_s):
+            while not stop_event.wait(pace_s):
                 sock.sendall(piece)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
-    return enough, thread
+    return stop_event, thread
 
 
 @pytest.mark.parametrize(
     "head",
     [HEAD + "Content-Length: 60000\r\n\r\n", HEAD + "Transfer-Encoding: chunked\r\n\r\nFFFF\r\n"],
 )
-def test_a_slow_body_is_refused_after_one_time_for_all_of_it(harness, head):
-    """The caller sends its body byte by byte, and is told that it was too slow.
+def test_a_slow_body_is_rejected_after_one_timeout_for_all_of_it(harness, head):
+    """A caller that sends its body byte by byte is rejected as too slow.
 
-    Each byte comes long before a timeout for a single read. Were the time counted for each read
-    alone, four such callers would hold all four threads for hours.
+    Each byte arrives long before the timeout of a single read. If only single reads had a timeout,
+    four such callers could occupy all four threads for hours.
     """
     with harness.connect() as sock:
         sock.sendall(head.encode())
-        enough, thread = trickle(sock, b"a")
+        stop_event, thread = trickle(sock, b"a")
         problem = read_problem(sock)
-        enough.set()
+        stop_event.set()
         thread.join()
     assert (problem["kind"], problem["ran"]) == ("too_slow", "no")
     assert wait_until(lambda: harness.server.in_progress() == 0)
 
 
-def test_a_slow_head_is_refused(harness):
-    """As above, for a caller that never ends its headers."""
+def test_a_slow_head_is_rejected(harness):
+    """The same for a caller that never ends its headers."""
     with harness.connect() as sock:
         sock.sendall(HEAD.encode())
-        enough, thread = trickle(sock, b"X: y\r\n")
+        stop_event, thread = trickle(sock, b"X: y\r\n")
         problem = read_problem(sock)
-        enough.set()
+        stop_event.set()
         thread.join()
     assert problem["kind"] == "too_slow"
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_large_body_is_refused_and_the_caller_can_read_why(harness, chunked):
-    """The caller sends all of a body that is too large before it reads the answer.
+def test_the_caller_can_read_the_rejection_of_a_large_body(harness, chunked):
+    """A caller sends all of a body that is too large before it reads the answer.
 
-    The gateway answers and closes while bytes still come. Were they not read, the connection
-    would be reset, and the caller's system could drop the answer.
+    The gateway answers and closes while bytes still arrive. If it did not read them, the
+    connection would be reset, and the caller's system could drop the answer.
     """
     body = iter([b"x" * 50_000] * 200) if chunked else b"x" * 10_000_000
     answer = harness.call("POST", COMPLETIONS, body, CHAT)
@@ -137,7 +137,7 @@
         (b"2\r\nabcdef\r\n0\r\n\r\n", "malformed"),
     ],
 )
-def test_bad_chunks_are_refused_before_they_are_held(harness, chunks, kind):
+def test_invalid_chunks_are_rejected_before_they_are_buffered(harness, chunks, kind):
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
         assert read_problem(sock)["kind"] == kind
@@ -158,14 +158,14 @@
         (HEAD.encode() + b"Transfer-Encoding: gzip\r\n\r\n", "malformed"),
     ],
 )
-def test_a_bad_head_gets_the_same_form_of_answer(harness, text, kind):
+def test_an_invalid_head_is_answered_with_a_problem(harness, text, kind):
     with harness.connect() as sock:
         sock.sendall(text)
         assert read_problem(sock)["kind"] == kind
 
 
-def test_a_refused_body_is_never_taken_for_the_next_request(harness):
-    """A body that was not read holds a second request, which must not be run."""
+def test_an_unread_body_is_never_parsed_as_the_next_request(harness):
+    """An unread body that contains a request must not be run as a second request."""
     hidden = HEAD.replace(BEARER, "no") + f"Content-Length: {len(HEAD)}\r\n\r\n" + HEAD
     with harness.connect() as sock:
         sock.sendall(hidden.encode() + b"Content-Length: 2\r\n\r\n{}")
@@ -174,7 +174,7 @@
     assert not harness.gateway.requests
 
 
-def test_a_body_that_is_cut_never_reaches_the_gateway(harness):
+def test_a_truncated_body_never_reaches_the_gateway(harness):
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Content-Length: 500\r\n\r\n" + CHAT_BODY)
         sock.shutdown(socket.SHUT_WR)
@@ -182,11 +182,11 @@
     assert not harness.gateway.requests
 
 
-def test_idle_connections_cost_no_thread(harness):
-    """A caller gets its answer though many more connections are open than there are threads.
+def test_idle_connections_occupy_no_thread(harness):
+    """A caller gets its answer although more idle connections are open than there are threads.
 
-    They were opened and say nothing. Were each given to a thread, which waits for its first byte,
-    four of them would stop the daemon for the length of a timeout.
+    If each idle connection were passed to a thread that waits for its first byte, four of them
+    would block the daemon until they time out.
     """
     with contextlib.ExitStack() as stack:
         for _ in range(12):
@@ -194,11 +194,11 @@
         assert harness.call("POST", COMPLETIONS, CHAT_BODY, CHAT).status == 200
 
 
-def test_unfinished_heads_cost_no_thread():
-    """A caller gets its answer while many others have sent a part of a head and wait.
+def test_incomplete_heads_occupy_no_thread():
+    """A caller gets its answer while many connections have sent an incomplete head.
 
-    They need no key for it. Were a thread given to each, to wait for the rest, a handful of
-    connections would stop the daemon for as long as they like.
+    No key is needed to open them. If each occupied a thread that waits for the rest, a handful of
+    connections could block the daemon indefinitely.
     """
     listener_limits = LIMITS._replace(head_timeout_s=30, idle_timeout_s=30)
     with (
@@ -216,11 +216,11 @@
         assert read_answer(slow).status == 200
 
 
-def test_slow_bodies_of_one_team_leave_threads_for_others():
-    """A team's bodies come slowly, two at a time, and it may have one of the four threads.
+def test_slow_bodies_of_one_team_leave_threads_for_other_requests():
+    """Slow bodies of a team may occupy one of the four threads; a second one is rejected.
 
-    The second is refused; calls of the same team whose body comes at once, and those of others,
-    go on. Were the slow ones not bounded, each further one would take a thread for seconds.
+    Calls of the same team with a prompt body, and calls of other teams, are still answered. Without
+    the limit, each further slow body would occupy a thread for seconds.
     """
     listener_limits = LIMITS._replace(idle_timeout_s=30)
     with (
@@ -243,8 +243,8 @@
         assert read_answer(slow[0]).status == 200
 
 
-def test_requests_that_come_together_are_answered_in_order(harness):
-    """A second head that came with the first, whole or in part, is neither lost nor mixed up."""
+def test_pipelined_requests_are_answered_in_order(harness):
+    """A second head that arrives with the first, complete or not, is neither lost nor mixed up."""
     request = (HEAD + f"Content-Length: {len(CHAT_BODY)}\r\n\r\n").encode() + CHAT_BODY
     with harness.connect() as sock:
         sock.sendall(request + request + request[:40])
@@ -254,11 +254,11 @@
     assert [taken.body for taken in harness.gateway.requests] == [FORWARDED_BODY] * 3
 
 
-def test_idle_connections_are_bounded_and_keep_nobody_out():
-    """Far more connections are opened than there are places, and none says anything.
+def test_idle_connections_are_limited_and_lock_nobody_out():
+    """Far more connections are opened than the limit allows, and none sends a request.
 
-    The oldest of them make room. Were new ones turned away instead, callers would be kept out by
-    whoever opens connections first.
+    The oldest ones are closed. If new ones were rejected instead, whoever opens connections first
+    could lock out all callers.
     """
     with (
         CallerServerHarness(listener_limits=LIMITS._replace(idle_timeout_s=30)) as harness,
@@ -271,7 +271,7 @@
         assert idle[-1] not in select.select(idle, [], [], 0)[0]
 
 
-def test_a_connection_is_used_again_and_then_closed_when_idle(harness):
+def test_a_connection_is_reused_and_closed_when_idle(harness):
     request = HEAD + f"Content-Length: {len(CHAT_BODY)}\r\n\r\n"
     with harness.connect() as sock:
         for _ in range(3):
@@ -281,7 +281,7 @@
     assert len(harness.gateway.requests) == 3
 
 
-def test_a_refusal_keeps_the_connection_when_its_body_was_read(harness):
+def test_a_rejection_keeps_the_connection_if_the_body_was_read(harness):
     request = HEAD + "Content-Length: 2\r\n\r\n[]"
     with harness.connect() as sock:
         for _ in range(2):
@@ -289,11 +289,11 @@
             assert read_answer(sock).problem["kind"] == "malformed"
 
 
-def test_a_caller_that_leaves_midway_ends_its_stream(harness):
-    """The caller closes after the first piece; the rest has nobody to go to.
+def test_a_disconnect_during_a_stream_closes_the_stream(harness):
+    """A caller closes its connection after the first piece of a stream.
 
-    Its thread must come back and the endpoint's work must be given up, or callers that leave
-    would use up both.
+    Its thread must be released and the stream closed, which cancels the work of the endpoint.
+    Otherwise callers that disconnect would exhaust both.
     """
     stream = FakeStream([b"data: 1\n\n"] + [b"x" * 60_000] * 400)
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
@@ -306,7 +306,7 @@
     assert wait_until(lambda: harness.server.in_progress() == 0)
 
 
-def test_a_caller_that_reads_nothing_gives_its_thread_back(harness):
+def test_a_caller_that_reads_nothing_releases_its_thread(harness):
     harness.gateway.answer = Reply(200, "application/json", b"x" * 20_000_000)
     request = HEAD + f"Content-Length: {len(CHAT_BODY)}\r\n\r\n"
     with harness.connect() as sock:
@@ -315,8 +315,8 @@
         assert wait_until(lambda: harness.server.in_progress() == 0)
 
 
-def test_a_caller_that_reads_slowly_gives_its_thread_back(harness, monkeypatch):
-    """A caller that takes a little of its answer now and then has one time for all of it."""
+def test_a_caller_that_reads_slowly_releases_its_thread(harness, monkeypatch):
+    """One deadline applies to the complete answer of a caller that reads a little at a time."""
     monkeypatch.setattr(caller_connection, "MIN_WRITE_BYTES_PER_S", 10**12)
     harness.gateway.answer = Reply(200, "application/json", b"x" * 20_000_000)
     request = HEAD + f"Content-Length: {len(CHAT_BODY)}\r\n\r\n"
@@ -327,14 +327,18 @@
         pause = threading.Event()
         while response.read(200_000):
             pause.wait(0.01)
-        raise http.client.IncompleteRead(b"") if response.length else AssertionError("came whole")
+        raise (
+            http.client.IncompleteRead(b"")
+            if response.length
+            else AssertionError("the answer arrived completely")
+        )
 
 
-def test_a_caller_that_leaves_while_it_waits_is_noticed():
-    """The caller closes while its request waits for an endpoint, and nobody reads its socket.
+def test_a_disconnect_of_a_waiting_caller_is_detected():
+    """A caller closes while its request waits for an endpoint, and no thread reads its socket.
 
-    Its place in the queue is of use to somebody else; were it kept until the deadline, a crowd
-    that repeats its calls would fill the queue with requests of callers that are gone.
+    If its request stayed in the queue until the deadline, callers that time out and retry would
+    fill the queue with requests that nobody waits for.
     """
     with make_harness() as harness:
         harness.gateway.resume.clear()
@@ -351,8 +355,8 @@
             assert read_answer(staying).status == 200
 
 
-def test_more_requests_than_threads_get_an_answer():
-    """Every thread is busy and the line for a thread is full: a new caller is told so at once."""
+def test_requests_beyond_the_thread_queue_are_rejected():
+    """A request is rejected at once if all threads are busy and the queue for them is full."""
     with make_harness() as harness:
         harness.gateway.resume.clear()
         request = (HEAD + f"Content-Length: {len(CHAT_BODY)}\r\n\r\n").encode() + CHAT_BODY
@@ -371,7 +375,7 @@
                 assert read_answer(sock).status == 200
 
 
-def test_a_stop_leaves_no_thread():
+def test_no_thread_is_left_after_a_stop():
     before = threading.active_count()
     with make_harness() as harness:
         harness.server.stop_accepting()
--- a/cloverway/tests/test_planned_stop.py
+++ b/cloverway/tests/test_planned_stop.py
@@ -10,7 +10,7 @@
 
 STREAMS = 6
 TOKENS = 60
-HELD_S = 4.0
+KEY_USE_DELAY_S = 4.0
 TOPOLOGY = Topology(regions=("pl",), engine_options=("--token-s", "0.02"))
 HOSTS = ("pl-a-host-1", "pl-a-host-2")
 
@@ -20,7 +20,7 @@
 
 
 def replace_under_load(fleet: Fleet, leaving: str, staying: str) -> None:
-    """Stop a host while it relays streams, look at what its callers see, and start it again."""
+    """Stop a host while it relays streams, check the answers of its callers, and restart it."""
     caller = Caller(fleet.url(leaving))
     pieces: list[list[bytes]] = [[] for _ in range(STREAMS)]
     with ThreadPoolExecutor(STREAMS) as threads:
@@ -28,11 +28,11 @@
             threads.submit(caller.chat, f"c{n}", tokens=TOKENS, stream=True, pieces=pieces[n])
             for n in range(STREAMS)
         ]
-        wait_until(lambda: all(pieces), what="all streams to have begun")
+        wait_until(lambda: all(pieces), what="the start of all streams")
         fleet.terminate(leaving)
         wait_until(
             lambda: leaving not in list_names(fleet, staying),
-            what="the other host to stop naming it",
+            what="removal of the host from the list of the other one",
         )
         refused = Caller(fleet.url(leaving)).chat("late")
         assert (refused.kind, refused.ran) == ("leaving", "no")
@@ -42,12 +42,12 @@
     fleet.restart(leaving)
 
 
-def test_every_host_is_replaced_under_load_and_no_stream_is_cut() -> None:
+def test_hosts_are_replaced_under_load_without_truncating_streams() -> None:
     """Each host of a failure domain is stopped in turn while it relays streams.
 
-    Its callers get every token. Who still asks it is told to go elsewhere, and that nothing ran;
-    the other host no longer names it. A daemon that closed its listener or its sockets at the
-    signal would cut the streams; one that ended before others knew would refuse connections.
+    Its callers get every token. New calls are refused as not run, and the other host no longer
+    lists it. A daemon that closed its sockets at the signal would truncate the streams; one that
+    exited before others had noticed would refuse connections.
     """
     with Fleet(TOPOLOGY) as fleet:
         replace_under_load(fleet, *HOSTS)
@@ -55,17 +55,19 @@
         assert all(Caller(fleet.url(host)).chat("after").whole for host in HOSTS)
 
 
-def test_a_key_in_hand_can_be_used_after_its_host_was_told_to_leave() -> None:
-    """A caller gets a key, its host is told to leave, and the caller sends the work elsewhere.
+def test_an_issued_key_can_be_used_while_its_host_leaves() -> None:
+    """A caller gets a key, its host begins to leave, and the caller sends the request elsewhere.
 
-    Only the leaving host can say whether the key was used. Were it gone, the caller would be told
-    `ran: unknown` of an allocation that nobody has begun, and could not allocate by this key.
+    Only the leaving host knows whether the key was used. If it had exited, the caller would get
+    `ran: unknown` for a request that never ran, and could not run it with this key.
     """
     with Fleet(TOPOLOGY) as fleet:
         leaving, staying = (Caller(fleet.url(host)) for host in HOSTS)
         key = leaving.take_key()
         fleet.terminate(HOSTS[0])
-        use_at = time.monotonic() + HELD_S
-        wait_until(lambda: time.monotonic() >= use_at, what="the caller to use its key")
+        key_use_at = time.monotonic() + KEY_USE_DELAY_S
+        wait_until(
+            lambda: time.monotonic() >= key_use_at, what="the time at which the caller uses its key"
+        )
         assert staying.serve("two cartons", key=key).whole
         assert fleet.processes[HOSTS[0]].running
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -36,11 +36,11 @@
     harness.close()
 
 
-def test_caller_leaves_while_the_endpoint_is_silent(relay_harness: StreamHarness) -> None:
-    """The engine is told within moments that its caller has left, not at its next token.
+def test_caller_disconnects_while_the_endpoint_is_silent(relay_harness: StreamHarness) -> None:
+    """The engine gets a cancel as soon as the caller disconnects, not at its next token.
 
-    The caller closes its connection while the engine reads a long prompt and sends nothing. The
-    loop sees the end of the caller's connection, closes the engine's and asks for a cancel.
+    The caller closes its connection while the engine prefills a long prompt and sends nothing. The
+    relay detects the close, closes the connection to the engine and sends a cancel.
     """
     with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
         caller, copy_future = relay_harness.hand_over(relay_harness.open(endpoint.url))
@@ -54,7 +54,7 @@
 def open_big_stream(
     harness: StreamHarness, size: int
 ) -> tuple[RawEndpoint, list[int], socket.socket, Future]:
-    """Hand over a stream that is larger than all buffers between its ends."""
+    """Hand over a stream that is larger than all buffers between endpoint and caller."""
     event = b"data: " + b"x" * 65536 + b"\n\n"
     sent = []
 
@@ -72,23 +72,23 @@
     return endpoint, sent, caller, copy_future
 
 
-def get_paused(harness: StreamHarness) -> list[RelayedStream]:
-    """Give the streams whose endpoint is not read, because bytes wait for the caller."""
+def list_paused_streams(harness: StreamHarness) -> list[RelayedStream]:
+    """Return the streams whose endpoint is not read because bytes wait for the caller."""
     task = harness.client._copier._relay
     waiting = [stream for stream in list(task._streams) if stream.has_unsent]
     return [stream for stream in waiting if stream.endpoint.fileno() not in task._handlers]
 
 
-def test_slow_caller_slows_the_endpoint_down(relay_harness: StreamHarness) -> None:
-    """A caller that reads slowly gets all, and what waits for it here stays small.
+def test_slow_caller_puts_back_pressure_on_the_endpoint(relay_harness: StreamHarness) -> None:
+    """A slow caller gets the complete stream, while the buffer of the relay stays small.
 
-    The caller reads nothing at first. When the buffers of the kernel are full, the endpoint is
-    no longer read, so its sends block; once the caller reads, all of it arrives.
+    The caller reads nothing at first. Once the kernel buffers are full, the endpoint is no longer
+    read, so its sends block; when the caller reads, the complete stream arrives.
     """
     endpoint, sent, caller, copy_future = open_big_stream(relay_harness, 256)
     with endpoint:
-        wait_until(lambda: get_paused(relay_harness), what="back-pressure")
-        stream = get_paused(relay_harness)[0]
+        wait_until(lambda: list_paused_streams(relay_harness), what="back-pressure")
+        stream = list_paused_streams(relay_harness)[0]
         assert len(stream._unsent) <= relay.READ_BYTES + 65536 + 100
         body, size = ChunkedBody(), 0
         for data in iter(lambda: caller.recv(1 << 20), b""):
@@ -97,7 +97,7 @@
         assert size == sum(sent) + len(EVENTS[-1])
 
 
-def test_caller_that_never_reads_is_given_up(relay_harness, monkeypatch) -> None:
+def test_caller_that_never_reads_is_disconnected(relay_harness, monkeypatch) -> None:
     monkeypatch.setattr(relay, "CALLER_STALL_TIMEOUT_S", 0.2)
     endpoint, _, _, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
@@ -108,15 +108,15 @@
 @pytest.mark.parametrize(
     "leave", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
 )
-def test_caller_leaves_while_bytes_wait_for_it(relay_harness: StreamHarness, leave) -> None:
+def test_caller_disconnects_while_bytes_wait_for_it(relay_harness: StreamHarness, leave) -> None:
     endpoint, _, caller, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
-        wait_until(lambda: get_paused(relay_harness), what="back-pressure")
+        wait_until(lambda: list_paused_streams(relay_harness), what="back-pressure")
         leave(caller)
         assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
 
 
-def test_stop_cuts_and_tells(relay_harness: StreamHarness) -> None:
+def test_stop_aborts_streams_and_reports_it(relay_harness: StreamHarness) -> None:
     with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
         caller, copy_future = relay_harness.hand_over(relay_harness.open(endpoint.url))
         caller.recv(4096)
@@ -125,7 +125,7 @@
 
 
 class FakeEvents:
-    """Events that are never whole and pass everything on."""
+    """Event parser that never completes and forwards all bytes."""
 
     complete = False
     tokens = 0
@@ -134,15 +134,15 @@
         return data
 
 
-def test_limits_by_time() -> None:
-    """A stalled caller's time is not counted as the endpoint's silence.
+def test_a_stalled_caller_does_not_count_as_a_silent_endpoint() -> None:
+    """The time of a stalled caller does not count as silence of the endpoint.
 
-    The endpoint is not read while bytes wait for the caller. Once they are taken, its silence
-    counts from that moment.
+    The endpoint is not read while bytes wait for the caller. Its silence is measured from the
+    moment when the caller has accepted them.
     """
-    endpoint, endpoint_end = socket.socketpair()
-    caller, caller_end = socket.socketpair()
-    with endpoint, endpoint_end, caller, caller_end:
+    endpoint, endpoint_peer = socket.socketpair()
+    caller, caller_peer = socket.socketpair()
+    with endpoint, endpoint_peer, caller, caller_peer:
         caller.setblocking(False)
         stream = RelayedStream(
             endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
@@ -154,7 +154,7 @@
             stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
         assert failure.value.kind is Kind.CALLER_LEFT
         while stream.has_unsent:
-            caller_end.recv(1 << 20)
+            caller_peer.recv(1 << 20)
             stream.write(now=120.0)
         stream.check(now=129.9)
         for now, kind in ((130.0, Kind.TIMED_OUT), (1000.0, Kind.TIMED_OUT)):
@@ -163,17 +163,17 @@
             assert failure.value.kind is kind
 
 
-def test_a_process_that_slept_calls_no_stream_silent() -> None:
-    """The stream goes on though the host was paused for longer than the gap limit.
+def test_a_suspended_process_does_not_abort_streams_as_silent() -> None:
+    """A stream continues although the process was suspended beyond the inter-token timeout.
 
-    The process stops after a poll that found nothing and wakes a minute later. An event came
-    meanwhile; the loop reads it before it asks how long the endpoint was silent.
+    The process is suspended after a poll without events and resumes a minute later. An event
+    arrived meanwhile; the loop reads it before it checks how long the endpoint was silent.
     """
     clock = iter([100.0, 160.0, 160.0, 160.0])
-    endpoint, endpoint_end = socket.socketpair()
-    caller, caller_end = socket.socketpair()
+    endpoint, endpoint_peer = socket.socketpair()
+    caller, caller_peer = socket.socketpair()
     task = Relay(lambda: next(clock))
-    with endpoint, endpoint_end, caller, caller_end:
+    with endpoint, endpoint_peer, caller, caller_peer:
         stream = RelayedStream(
             endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
         )
@@ -181,30 +181,30 @@
         task._streams.add(stream)
         task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(stream))
         task.step()
-        endpoint_end.send(b"data: x\n\n")
+        endpoint_peer.send(b"data: x\n\n")
         task.step()
         assert not stream.finished.done()
-        assert caller_end.recv(100) == b"9\r\ndata: x\n\n\r\n"
+        assert caller_peer.recv(100) == b"9\r\ndata: x\n\n\r\n"
 
 
-def test_a_batch_that_took_long_calls_no_stream_silent() -> None:
-    """Streams are cut as silent under load, though each of their tokens came in time.
+def test_a_long_batch_does_not_abort_streams_as_silent() -> None:
+    """Streams are not aborted as silent under load while their tokens arrive in time.
 
-    Serving the streams of one poll takes longer than the gap limit, since workers hold the
-    interpreter. A stream that was read late in the batch was noted as heard at its beginning, and
-    the next look found it silent for as long as the batch had taken.
+    Serving the streams of one poll takes longer than the inter-token timeout, because workers hold
+    the GIL. With the start of the batch as the time of each read, a stream that is read late in
+    the batch would look silent for as long as the batch took.
     """
     now = [100.0]
-    slow, slow_end = socket.socketpair()
-    endpoint, endpoint_end = socket.socketpair()
-    caller, caller_end = socket.socketpair()
+    slow, slow_peer = socket.socketpair()
+    endpoint, endpoint_peer = socket.socketpair()
+    caller, caller_peer = socket.socketpair()
     task = Relay(lambda: now[0])
 
     def serve_slowly(mask: int, at: float) -> None:
         slow.recv(1)
         now[0] = 160.0
 
-    with slow, slow_end, endpoint, endpoint_end, caller, caller_end:
+    with slow, slow_peer, endpoint, endpoint_peer, caller, caller_peer:
         stream = RelayedStream(
             endpoint, caller, FakeEvents(), StreamMeter(), StreamLimits(1000.0, 10.0)
         )
@@ -212,8 +212,8 @@
         task._streams.add(stream)
         task._register(slow, select.EPOLLIN, serve_slowly)
         task._register(endpoint, select.EPOLLIN, task._make_endpoint_handler(stream))
-        slow_end.send(b"x")
-        endpoint_end.send(b"data: x\n\n")
+        slow_peer.send(b"x")
+        endpoint_peer.send(b"data: x\n\n")
         task.step()
         now[0] = 160.1
         task.step()
@@ -221,9 +221,9 @@
 
 
 def test_stream_handed_over_to_a_stopped_relay() -> None:
-    endpoint, endpoint_end = socket.socketpair()
-    caller, caller_end = socket.socketpair()
-    with endpoint, endpoint_end, caller, caller_end:
+    endpoint, endpoint_peer = socket.socketpair()
+    caller, caller_peer = socket.socketpair()
+    with endpoint, endpoint_peer, caller, caller_peer:
         task = Relay.start()
         task.stop()
         stream = RelayedStream(
