--- a/cloverway/entry/caller_connection.py
+++ b/cloverway/entry/caller_connection.py
@@ -87,11 +87,13 @@
         super().__init__(sock, "r")
         self.deadline = float("inf")
         self.detached = False
+        """Whether reads return nothing instead of using the socket."""
         self.prefetched = bytearray()
         """Bytes received before the connection was passed to a thread."""
         self.on_slow: Callable[[], object] | None = None
         """Called once if a read has to wait after `slow_after`; may raise."""
         self.slow_after = 0.0
+        """Monotonic time from which on a read that has to wait counts as slow."""
         self._socket = sock
 
     def readinto(self, buffer: Any) -> int | None:
--- a/cloverway/entry/departures.py
+++ b/cloverway/entry/departures.py
@@ -24,8 +24,8 @@
 class DisconnectWatcher:
     """Thread that watches the sockets of callers with pending requests.
 
-    A caller that closes only its sending half counts as disconnected: the socket state is the same
-    as after a full close, and a caller that waits for an answer has no reason for a half-close.
+    A caller that closes only its sending half counts as disconnected. Seen from here, this is the
+    same as a full close, and a caller that waits for an answer has no reason for a half-close.
     """
 
     def __init__(self, on_disconnect: Callable[[str], None]) -> None:
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -106,8 +106,8 @@
     answer = harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT, http_1_0=True)
     assert answer.headers["Content-Length"] == "18"
     assert answer.body == b"data: 1\n\ndata: 2\n\n"
-    cut = FakeStream([b"data: 1\n\n"], RequestError(Kind.TRUNCATED))
-    harness.gateway.answer = Reply(200, "text/event-stream", stream=cut)
+    truncated = FakeStream([b"data: 1\n\n"], RequestError(Kind.TRUNCATED))
+    harness.gateway.answer = Reply(200, "text/event-stream", stream=truncated)
     assert (
         harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT, http_1_0=True).problem["status"] == 502
     )
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -68,11 +68,11 @@
     this would look like an ordinary end.
     """
 
-    def cut(connection: EndpointSideConnection) -> None:
+    def close_midway(connection: EndpointSideConnection) -> None:
         connection.read_request()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n1234")
 
-    failure = send_expecting_error(client, cut)
+    failure = send_expecting_error(client, close_midway)
     assert (failure.kind, failure.ran) == (Kind.TRUNCATED, Ran.UNKNOWN)
     assert isinstance(failure, EndpointLostError)
 
@@ -206,10 +206,10 @@
 
     def answer_twice(connection: EndpointSideConnection) -> None:
         connection.read_request()
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
-        connection.send(whole * 2 if at_once else whole)
+        first_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
+        connection.send(first_answer * 2 if at_once else first_answer)
         if not at_once:
-            connection.send(whole)
+            connection.send(first_answer)
         sent.set()
         closed.append(connection.wait_for_close())
 
@@ -332,18 +332,18 @@
 
     If it were aborted midway, a repeat with its key could not learn what was done.
     """
-    asked, go = threading.Event(), threading.Event()
+    request_read, proceed = threading.Event(), threading.Event()
 
     def answer_slowly(connection: EndpointSideConnection) -> None:
-        asked.set()
-        assert go.wait(TIMEOUT_S)
+        request_read.set()
+        assert proceed.wait(TIMEOUT_S)
         connection.answer(b"{}")
 
     with RawEndpoint(answer_slowly) as endpoint, ThreadPoolExecutor(1) as worker:
         ended = worker.submit(send, client, endpoint.url, idempotent=False)
-        assert asked.wait(TIMEOUT_S)
+        assert request_read.wait(TIMEOUT_S)
         client.abort("r1")
-        go.set()
+        proceed.set()
         assert ended.result(TIMEOUT_S).body == b"{}"
 
 
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -28,7 +28,7 @@
 SWEEP_INTERVAL_S = 0.1
 """Interval between checks of the stream limits, in seconds, and so their precision."""
 CALLER_STALL_TIMEOUT_S = 30.0
-"""Longest time in which a caller accepts no byte of its stream, in seconds."""
+"""A caller that accepts no byte of its stream for this many seconds is disconnected."""
 
 EventHandler = Callable[[int, float], None]
 
