--- a/cloverway/tests/test_platform_names.py
+++ b/cloverway/tests/test_platform_names.py
@@ -42,7 +42,7 @@
     Heartbeats stopped so, each time that a host was heard or fell silent.
     """
     reserved = {"name", "msg", "args", "module", "message", "filename", "lineno", "process"}
-    calls = re.compile(r"\btell\((.*?)\n?\s*\)", re.DOTALL)
+    calls = re.compile(r"\blog_event\((.*?)\n?\s*\)", re.DOTALL)
     for path in (PACKAGE / "serving").rglob("*.py"):
         for call in calls.findall(path.read_text(encoding="utf-8")):
             names = set(re.findall(r"\b(\w+)=", call))
