--- a/cloverway/platform/__init__.py
+++ b/cloverway/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter to the users' platform: translates its names, formats and calls; makes no decisions."""
--- a/cloverway/platform/__main__.py
+++ b/cloverway/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one host of the fleet on the users' platform."""
+"""Run one host of the fleet on the users' platform."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from cloverway.serving.early_sockets import EarlySockets
 
 SETTINGS_VARIABLE = "CLOVERWAY_BOOT"
-"""Holds the path of the settings, which the platform fills in from deploy/settings.toml."""
+"""Environment variable with the path of the settings; the platform writes that file from
+deploy/settings.toml."""
 
 
 def main() -> None:
-    """Run until the process is told to stop."""
+    """Run until the process receives the signal to stop."""
     path = os.environ.get(SETTINGS_VARIABLE, "/etc/cloverway/settings.json")
     early = EarlySockets.from_settings(path)
-    # Loaded only now: this takes most of the time until callers can be served.
+    # Imported after the sockets are open, because these imports take most of the start-up time.
     from pathlib import Path
 
     from cloverway.errors import UserError
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Names and formats of requests and answers between callers, hosts and the platform's endpoints."""
+"""Format of requests and responses between callers, hosts and the platform's endpoints."""
 
 from __future__ import annotations
 
@@ -23,24 +23,25 @@
 LOOKUP_PATH = "/resolve"
 READINESS_PATH = "/ready"
 STATE_PATH = "/report"
-"""Where an endpoint says how it is; it needs no place of a request there."""
+"""Path at which an endpoint reports its state; this request doesn't occupy one of its slots."""
 DEFAULT_DEADLINE_S = 30.0
-"""Time of a caller that names none; the route's own time is shorter."""
+"""Deadline of a request that doesn't set one; the timeouts of routes are shorter."""
 OK = 200
 MISDIRECTED = 421
 UNAVAILABLE = 503
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""Statuses that tell a caller that its request did not run, whoever sends them."""
+"""Statuses that callers understand as "the request did not run", whether a host or an endpoint
+sent them."""
 MAX_PRIORITY = 9
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 PROBLEM_HEADER = (b"Content-Type", b"application/problem+json")
 
 
 class PlatformDialect:
-    """Encodes and decodes the platform's HTTP."""
+    """Encodes and decodes the platform's HTTP messages."""
 
     def decode_documents(self, documents: Iterable[Document]) -> list[Publication]:
-        """Decode published documents; what can't be read is told as that."""
+        """Decode published documents; malformed ones are returned marked as such."""
         return decode_documents(documents)
 
     def decode_call(self, exchange: Exchange) -> Call:
@@ -48,7 +49,7 @@
         fields = dict(exchange.headers)
         call_id = fields.get(names.REQUEST_ID)
         if call_id is None:
-            raise RequestError(Kind.MALFORMED, "the request has no id")
+            raise RequestError(Kind.MALFORMED, "the header with the request id is missing")
         deadline_s = _read_number(fields.get(names.DEADLINE), DEFAULT_DEADLINE_S * 1000) / 1000
         return Call(
             id=call_id.decode("latin-1"),
@@ -64,7 +65,7 @@
         )
 
     def decode_lookup(self, exchange: Exchange) -> Lookup | None:
-        """Decode a question which hosts to use; None when it is something else."""
+        """Decode a query for the hosts to use; return None for any other request."""
         path, _, query = exchange.target.partition("?")
         if path != LOOKUP_PATH:
             return None
@@ -73,19 +74,19 @@
         return Lookup(host.lower(), domain, region)
 
     def is_readiness(self, exchange: Exchange) -> bool:
-        """Tell whether a request asks if this host is ready."""
+        """Return whether a request is the readiness check."""
         return exchange.target.partition("?")[0] == READINESS_PATH
 
     def encode_lookup(self, addresses: Sequence[str], ttl_s: float) -> bytes:
-        """Give the body of the answer to a lookup."""
+        """Return the body of the response to a lookup."""
         return json.dumps({"addresses": list(addresses), "ttlS": ttl_s}).encode()
 
     def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
-        """Give the headers of a request to an endpoint."""
+        """Return the headers of a request to an endpoint."""
         headers = [
             *call.headers,
             (names.DEADLINE, _format_ms(terms.left_s)),
-            # Another endpoint at the same address then answers that it did not run it.
+            # If another endpoint now has this address, it rejects the request without running it.
             (names.EXPECTED_ENDPOINT, terms.endpoint_id.encode("latin-1")),
         ]
         if call.prompt is not None:
@@ -98,40 +99,40 @@
         return headers
 
     def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
-        """Give the headers of a request that another host is to run, in the callers' form."""
+        """Return the headers of a request that is passed on to a host, in the callers' format."""
         headers = [*call.headers, (names.DEADLINE, _format_ms(left_s))]
         if call.last_event_id:
             headers.append((names.LAST_EVENT, call.last_event_id.encode("latin-1")))
         return headers
 
     def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
-        """Tell whether an answer belongs to a request."""
-        named = head.get(names.REQUEST_ID)
-        return named is None or named == call.id.encode("latin-1")
+        """Return whether a response belongs to a request."""
+        request_id = head.get(names.REQUEST_ID)
+        return request_id is None or request_id == call.id.encode("latin-1")
 
     def decode_reply(self, head: ResponseHead) -> ReplyFacts:
-        """Decode the head of an endpoint's answer."""
+        """Decode the head of an endpoint's response."""
         is_misdirected = head.status == MISDIRECTED
         not_run = head.get(names.NOT_RUN) is not None or is_misdirected
         is_signed = head.get(names.SIGNATURE) is not None
         limit = head.get(names.LIMIT)
-        limit_per_s = _read_decimal(limit, "the limit that an endpoint names can't be read")
+        limit_per_s = _read_decimal(limit, "the request rate limit in a response is malformed")
         leaving = head.get(names.LEAVING) == b"1"
         pause = head.get(names.RETRY_AFTER) if head.status == UNAVAILABLE else None
-        pause_s = _read_decimal(pause, "the pause that an endpoint asks for can't be read")
+        pause_s = _read_decimal(pause, "the retry-after header in a response is malformed")
         return ReplyFacts(not_run, is_signed, is_misdirected, limit_per_s, leaving, pause_s)
 
     def encode_incarnation_query(self, endpoint_id: str) -> tuple[str, list[Header]]:
-        """Give target and headers of the GET that asks an endpoint when it started."""
+        """Return target and headers of the GET that queries an endpoint for its start time."""
         return STATE_PATH, [(names.EXPECTED_ENDPOINT, endpoint_id.encode("latin-1"))]
 
     def decode_incarnation(self, head: ResponseHead, body: bytes) -> IncarnationFacts:
-        """Decode the answer to it."""
-        born_ms = decode_start_time(body) if head.status == OK else None
-        return IncarnationFacts(head.status == MISDIRECTED, born_ms)
+        """Decode the response to an incarnation query."""
+        started_ms = decode_start_time(body) if head.status == OK else None
+        return IncarnationFacts(head.status == MISDIRECTED, started_ms)
 
     def encode_refusal(self, error: RequestError, call_id: str) -> tuple[int, list[Header], bytes]:
-        """Give status, headers and body of the answer to a request that failed here."""
+        """Return status, headers and body of the response to a request that failed at this host."""
         headers = [PROBLEM_HEADER]
         if call_id:
             headers.append((names.REQUEST_ID, call_id.encode("latin-1")))
@@ -142,7 +143,7 @@
 
 
 def _choose_status(error: RequestError) -> int:
-    """Give the status that says what is known of the run: some of them promise that it did not."""
+    """Return a status that is consistent with `error.ran`: some statuses promise "did not run"."""
     if error.ran is Ran.NO and error.status >= 500:
         return 503
     if error.ran is not Ran.NO and error.status in NOT_RUN_STATUSES:
@@ -151,15 +152,15 @@
 
 
 def _list_forwarded_headers(headers: Iterable[Header]) -> Iterable[Header]:
-    """List the headers that go on to an endpoint, in their order."""
+    """Return the headers to forward to an endpoint, in their order."""
     items = list(headers)
-    named = {
+    hop_by_hop = {
         token.strip().lower()
         for name, value in items
         if name == b"connection"
         for token in value.split(b",")
     }
-    dropped = names.RESERVED_HEADERS | names.CONNECTION_HEADERS | named - {names.REQUEST_ID}
+    dropped = names.RESERVED_HEADERS | names.CONNECTION_HEADERS | hop_by_hop - {names.REQUEST_ID}
     return (item for item in items if item[0] not in dropped)
 
 
@@ -173,7 +174,7 @@
         return None
     counts = tokens.split(b",")
     if len(counts) != 2 or not all(count.strip().isdigit() for count in counts):
-        raise RequestError(Kind.MALFORMED, "the counts of tokens can't be read")
+        raise RequestError(Kind.MALFORMED, "the header with the token counts is malformed")
     hint = fields.get(names.LENGTH_HINT)
     expected = int(_read_number(hint, 0)) if hint is not None else None
     segments = tuple(_decode_segments(fields.get(names.PROMPT_SEGMENTS, b"")))
@@ -184,10 +185,11 @@
     for item in filter(None, value.split(b",")):
         name, _, tokens = item.strip().partition(b":")
         try:
-            # Cut to 63 bits: what hosts tell each other of parts has signed numbers.
+            # Truncated to 63 bits, because messages between hosts hold segment ids as signed
+            # 64-bit integers.
             yield PromptSegment(int(name, 16) & (1 << 63) - 1, int(tokens))
         except ValueError:
-            raise RequestError(Kind.MALFORMED, "the parts of the prompt can't be read") from None
+            raise RequestError(Kind.MALFORMED, "the prompt prefix header is malformed") from None
 
 
 def _read_number(value: bytes | None, default: float) -> float:
@@ -196,14 +198,14 @@
     try:
         number = float(value)
     except ValueError:
-        raise RequestError(Kind.MALFORMED, "a number in a header can't be read") from None
+        raise RequestError(Kind.MALFORMED, "a numeric header is malformed") from None
     if not 0 <= number < 1e9:
-        raise RequestError(Kind.MALFORMED, "a number in a header is out of range")
+        raise RequestError(Kind.MALFORMED, "a numeric header is out of range")
     return number
 
 
 def _read_decimal(value: bytes | None, message: str) -> float | None:
-    """Give a plain decimal number; None where there is none, and a complaint where it is none."""
+    """Return a plain decimal number, or None if it is missing or malformed; log the latter."""
     if value is None:
         return None
     if DECIMAL.fullmatch(value.strip()) is None:
--- a/cloverway/platform/documents.py
+++ b/cloverway/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the documents of the platform's store by their keys."""
+"""Decode the documents of the platform's store by their keys."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def decode_documents(documents: Iterable[Document]) -> list[Publication]:
-    """Decode documents; what can't be read is told as that, and what isn't ours is left out."""
+    """Decode documents; malformed ones are returned marked as such, unknown keys are skipped."""
     decoded = (_decode_document(document) for document in documents)
     return [publication for publication in decoded if publication is not None]
 
 
 def is_unreadable(document: Document) -> bool:
-    """Tell whether a document is one of ours and can't be read."""
+    """Return whether a document has a known key but a malformed value."""
     return isinstance(_decode_document(document), EndpointUnreadable | DocumentUnreadable)
 
 
@@ -38,7 +38,7 @@
     if key == CONFIGURATION_KEY and value is not None:
         return _decode_configuration(key, value)
     if key.startswith(EVACUATION_PREFIX):
-        # The key says it all; whatever the value holds, the safe reading is to send nothing there.
+        # Only the key matters. If the value is malformed, evacuating the domain is the safe choice.
         return EvacuationPublished(key.removeprefix(EVACUATION_PREFIX), value is not None)
     if key.startswith(ENDPOINT_PREFIX):
         return _decode_endpoint(key.removeprefix(ENDPOINT_PREFIX), value)
--- a/cloverway/platform/entries.py
+++ b/cloverway/platform/entries.py
@@ -1,12 +1,12 @@
-"""What endpoints and operators write to the platform's store, checked field by field.
+"""Decode the entries of endpoints and the operators' configuration, and validate each field.
 
-Anybody may write there: a value may be cut off, of another form, or meant to do harm. All bytes
-are read by the validation library, which checks types and ranges itself, and whatever is wrong is
-one kind of error. Decoded by hand, one value that nests deeply or holds `1e999` ended the task that
-reads the store, again at each try, and the host never learnt of anything else.
+Any program may write to the store: a value may be truncated, malformed or malicious. msgspec
+decodes all values and checks types and ranges, and every failure becomes a DocumentError. With
+hand-written decoding, one deeply nested value or a `1e999` stopped the task that reads the store at
+each attempt, and the host received no further updates.
 
-msgspec and not pydantic, which checks our own settings: to load its models took a host that starts
-80 ms of a core more, and after a restart of all hosts callers wait for that.
+msgspec is used rather than pydantic, because loading pydantic models adds 80 ms of CPU time to the
+start of a host, and callers wait for that after a restart of all hosts.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 log = logging.getLogger(__name__)
 
 MAX_ENTRY_BYTES = 64 * 1024
-"""An endpoint's entry is some 300 bytes, and grows with the models that it lists."""
+"""An entry has about 300 bytes, and more the more models it lists."""
 MAX_CONFIGURATION_BYTES = 8 * 1024 * 1024
-"""A route is some 300 bytes: room for 25,000 of them."""
+"""A route has about 300 bytes, so that 25,000 routes fit."""
 ADDRESS = (
     r"^(?:[1-9]|[1-9]\d|1\d\d|2[01]\d|22[0-3])(?:\.(?:\d|[1-9]\d|1\d\d|2[0-4]\d|25[0-5])){3}"
     r":(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d\d|655[0-2]\d|6553[0-5])\Z"
 )
-"""IPv4 and port. A port beyond 65,535 would raise where a connection is opened, with every request
-that is led there; an address of many hosts, or of none, is no endpoint's."""
+"""Unicast IPv4 address and port. With a port over 65,535, each connection to the endpoint would
+raise an exception; multicast, broadcast and unspecified addresses belong to no endpoint."""
 ENDPOINT_ID = re.compile(r"[!-~]{1,190}")
-"""Printable, since it is sent in a header: another byte would raise with every request, or end the
-header early."""
+"""Printable ASCII, because the id is sent in a header: any other byte would raise an exception with
+each request, or terminate the header early."""
 DAY_MS = 86_400_000
 ROUTE_KINDS = {
     "idempotent": CallKind.IDEMPOTENT,
@@ -59,24 +59,24 @@
 
 
 class EntryFields(Struct):
-    """What an endpoint says of itself."""
+    """An endpoint's own entry in the store."""
 
     service: Name
     address: Address
     domain: Name = field(name="zone")
     version: Annotated[str, Meta(max_length=200)]
-    """Of its software; only checked, as a sign of who wrote the entry."""
+    """Version of its software; not used, but an entry without it is not an endpoint's."""
     slots: Annotated[int, Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
     cold_ms: Milliseconds = field(name="coldRemainingMs")
-    """Time left, although the name could be read as time since."""
+    """Time until it is warm, not the time since it started."""
     sequence: Count
     removal_in_ms: Milliseconds | None = field(name="remainingMs", default=None)
     started_ms: Count | None = field(name="born", default=None)
-    """Unix time of its start."""
+    """Unix time of its start, in milliseconds."""
 
     def make_entry(self, name: str) -> EndpointEntry:
-        """Give the entry of an endpoint with this id."""
+        """Return the entry of the endpoint with the id `name`."""
         return EndpointEntry(
             id=name,
             service=self.service,
@@ -91,7 +91,7 @@
 
 
 class _StartTimeFields(Struct):
-    """The part of an endpoint's state that tells one life of it from the next."""
+    """The part of an endpoint's state report that identifies its incarnation."""
 
     started_ms: Count | None = field(name="born", default=None)
 
@@ -106,7 +106,7 @@
     host: str = field(name="hostname")
     prefix: str
     kind: Literal["idempotent", "non_idempotent", "streaming"] = field(name="routeType")
-    """Whether a request may be repeated, not how it is matched."""
+    """Whether a request may be repeated; unrelated to the matching of paths."""
     timeout_ms: Milliseconds = field(name="timeoutMs")
     service: Name | None = None
     weighted_services: list[_WeightedServiceFields] | None = field(
@@ -151,7 +151,7 @@
     token_bytes: Annotated[float, Meta(ge=0)] | None = field(name="kvTokenBytes", default=None)
     link_mbps: Annotated[float, Meta(ge=0)] | None = field(name="linkMbps", default=None)
     tokens_per_event: Count | None = field(name="stride", default=None)
-    """How much each event holds, not how far apart they are."""
+    """Tokens in each event of a stream, not the distance between events."""
 
     def make_shape(self) -> EngineShape:
         return EngineShape(
@@ -207,23 +207,23 @@
 
 
 def decode_entry(name: str, value: bytes) -> EndpointEntry:
-    """Decode the entry of an endpoint; raise DocumentError, whatever the bytes."""
+    """Decode the entry of an endpoint; raise only DocumentError, for any bytes."""
     if not ENDPOINT_ID.fullmatch(name):
-        raise DocumentError("the id can't be sent in a header")
+        raise DocumentError("the endpoint id can't be sent in a header")
     return _decode(EntryFields, value, MAX_ENTRY_BYTES).make_entry(name)
 
 
 def decode_start_time(value: bytes) -> int | None:
-    """Decode when an endpoint started, from what it says of itself; None where it can't be read."""
+    """Return the start time in an endpoint's state report; None if missing or malformed."""
     try:
         return _decode(_StartTimeFields, value, MAX_ENTRY_BYTES).started_ms
     except DocumentError as error:
-        log.warning("what an endpoint says of itself can't be read", extra={"why": str(error)})
+        log.warning("the state report of an endpoint is malformed", extra={"why": str(error)})
         return None
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Decode a whole configuration; raise DocumentError, whatever the bytes."""
+    """Decode the operators' configuration; raise only DocumentError, for any bytes."""
     fields = _decode(_ConfigurationFields, value, MAX_CONFIGURATION_BYTES)
     return Configuration(
         version=fields.version,
@@ -235,7 +235,7 @@
 
 def _decode(fields: type[Fields], value: bytes, max_bytes: int) -> Fields:
     if len(value) > max_bytes:
-        raise DocumentError(f"{len(value)} bytes are too many")
+        raise DocumentError(f"the document is too large: {len(value)} bytes")
     try:
         return msgspec.json.decode(value, type=fields)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
--- a/cloverway/platform/names.py
+++ b/cloverway/platform/names.py
@@ -1,27 +1,28 @@
-"""Names on the platform's wire that stand in more than one place."""
+"""Names of the platform's HTTP headers."""
 
 from __future__ import annotations
 
 REQUEST_ID = b"x-cloverway-request-id"
 DEADLINE = b"x-cloverway-deadline-ms"
 TOKEN_COUNTS = b"x-cloverway-token-usage"
-"""Tokens of the prompt, and the most tokens of the answer: not what was used."""
+"""Prompt tokens and the maximum number of output tokens; despite its name, not the usage."""
 PROMPT_SEGMENTS = b"x-cloverway-prompt-prefix"
-"""All parts of the prompt in order, the last one the request's own: more than a prefix."""
+"""All segments of the prompt in order, not only the shared prefix; the last one belongs to this
+request alone."""
 LENGTH_HINT = b"x-cloverway-length-hint"
 LAST_EVENT = b"last-event-id"
 SIGNATURE = b"x-cloverway-response-seal"
 NOT_RUN = b"x-cloverway-not-executed"
 LOAD = b"x-cloverway-server-load"
 LIMIT = b"server-limit"
-"""The requests a second that the endpoint takes from all hosts together, not from this one."""
+"""Requests per second that the endpoint accepts from all hosts together, not from this host."""
 RETRY_AFTER = b"retry-after"
-"""Of an endpoint's refusal: how long it wants nothing from the host that it turned away."""
+"""In a refusal by an endpoint: the seconds for which the refused host must not send to it."""
 LEAVING = b"server-leaving"
 EXPECTED_ENDPOINT = b"x-cloverway-target-instance"
 PRIORITY = b"x-cloverway-request-priority"
 FETCH_FROM = b"kv-fetch"
-"""The address of the endpoint from which parts of the prompt are to be fetched."""
+"""Address of the endpoint from which to fetch the KV cache of prompt segments."""
 
 RESERVED_HEADERS = frozenset(
     (
@@ -43,7 +44,7 @@
         b"kv-from",
     )
 )
-"""Headers that are never passed on as a caller sent them: the system sets them, or nobody does."""
+"""Headers that are never forwarded as received from a caller; only a host may set them."""
 
 CONNECTION_HEADERS = frozenset(
     (
@@ -51,4 +52,4 @@
         *(b"transfer-encoding", b"content-length", b"expect", b"proxy-authorization"),
     )
 )
-"""Headers that concern the caller's connection only."""
+"""Hop-by-hop headers, which apply to the caller's connection only."""
--- a/cloverway/platform/store.py
+++ b/cloverway/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: pages of a range, and a watch from a revision."""
+"""Client of the platform's store: reads key ranges in pages and watches changes by revision."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from cloverway.serving.ports import HistoryGoneError, StoreBusyError
 
 RESPONSE_TIMEOUT_S = 0.9
-"""Time for an answer beyond the time that a watch waits. The store answers in milliseconds; when it
-is slow, sixty times as long."""
+"""Timeout of a response, in addition to the time that a watch waits. The store responds in
+milliseconds, or sixty times as slowly when it is degraded."""
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""The longest answer that is read: a page holds about one MB, or one value of that size. A host has
-some hundred MB, and takes several times the length of an answer to decode it."""
+"""Maximum size of a response. A page has about 1 MB, or a single value of up to this size. A host
+has some hundred MB of memory, and decoding takes several times the size of a response."""
 MAX_PAGES = 10_000
 UNREADABLE_CUTOFF = 40_000
-"""Documents of one read beyond which unreadable ones are left out and then taken for absent: all
-the keys of a store that somebody has filled would not fit into a host's memory."""
+"""Documents in one read after which unreadable ones are dropped and then treated as absent. If a
+writer fills the store, all its keys would not fit into the memory of a host."""
 ALL_KEYS = ""
-"""The prefix of all keys: one watch tells of operators' and endpoints' writes alike, and each watch
-that waits is paid for."""
+"""Prefix of all keys: one watch covers the writes of operators and of endpoints, because each
+waiting watch has a cost."""
 
 UNREADABLE = b""
-"""Stands for a value that isn't in its form: no document is empty."""
+"""Replaces a value that can't be decoded; no valid document is empty."""
 
 
 class StoreItem(msgspec.Struct):
-    """One key of the store, as far as it is needed."""
+    """One key of the store, without the fields that aren't used."""
 
     key: str
     revision: int
@@ -51,14 +51,14 @@
 
 
 class StoreResponse(msgspec.Struct):
-    """What the store answers to a read."""
+    """Body of a response of the store."""
 
     at: int
-    """Its revision."""
+    """Revision of the store."""
     items: list[object] = []
-    """Of a range."""
+    """Keys of a range."""
     events: list[object] = []
-    """Of a watch."""
+    """Changes of a watch."""
     has_more: bool = msgspec.field(name="hasMore", default=False)
 
 
@@ -66,32 +66,32 @@
 
 
 class PlatformStore:
-    """Reads the store over kept connections."""
+    """Reads the store over persistent connections."""
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._pool = ConnectionPool()
 
     async def read_all(self) -> Snapshot:
-        """Give all documents; raise PlatformError.
+        """Return all documents; raise PlatformError.
 
-        Pages are no snapshot. The revision is that of the first page, so that the watch that
-        follows tells again of whatever was written while the later pages were read. All prefixes
-        are read at once: a host far from the store is ready only with them, and each call takes
-        a trip of 160 ms.
+        The pages don't form a consistent snapshot. The revision returned is that of the first
+        page, so that the watch that follows repeats all writes made while later pages were read.
+        All prefixes are read concurrently: a host needs them to become ready, and far from the
+        store each call takes a round trip of 160 ms.
         """
         snapshots = await asyncio.gather(*(self._read_prefix(prefix) for prefix in PREFIXES))
         documents = tuple(document for snapshot in snapshots for document in snapshot.documents)
         return Snapshot(min(snapshot.revision for snapshot in snapshots), documents, True)
 
     async def watch(self, after: int, wait_s: float) -> Snapshot:
-        """Give what changed after a revision; raise PlatformError."""
+        """Return the changes after a revision; raise PlatformError."""
         wait_ms = int(wait_s * 1000)
         query = {"prefix": ALL_KEYS, "after": str(after), "waitMs": str(wait_ms)}
         try:
             response = await self._call("/kv-watch", query, wait_s)
         except ResponseTooLargeError as error:
-            # Somebody writes faster than is read. Pages of all keys are bounded, and show the same.
+            # Writers are faster than this reader; pages of all keys are bounded, and show the same.
             raise HistoryGoneError("/kv-watch: too many changes") from error
         return Snapshot(max(after, response.at), _decode_items(response.events), False)
 
@@ -136,11 +136,11 @@
         try:
             return msgspec.json.decode(body, type=StoreResponse)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-            raise PlatformError(f"{path}: an answer that can't be read") from error
+            raise PlatformError(f"{path}: malformed response") from error
 
 
 def _limit_unreadable(page: tuple[Document, ...], read: int) -> list[Document]:
-    """Give the documents of a page that are kept: unreadable ones without their bytes, or not."""
+    """Return a page with unreadable documents emptied, or dropped beyond UNREADABLE_CUTOFF."""
     kept = []
     for document in page:
         if not is_unreadable(document):
@@ -151,7 +151,7 @@
 
 
 def _decode_items(items: list[object]) -> tuple[Document, ...]:
-    """Decode the items of an answer; one that can't be read leaves the others in force."""
+    """Decode the items of a response; skip malformed ones."""
     decoded = (_decode_item(item) for item in items)
     return tuple(document for document in decoded if document is not None)
 
@@ -160,14 +160,16 @@
     try:
         item = msgspec.convert(fields, StoreItem)
     except msgspec.ValidationError as error:
-        log.error("an item of the store has no key or revision", extra={"why": str(error)[:200]})
+        log.error(
+            "an item of the store has no valid key or revision", extra={"why": str(error)[:200]}
+        )
         return None
     value = None if item.tombstone else _decode_value(item.value)
     return Document(item.key, item.revision, value)
 
 
 def _decode_value(value: object) -> bytes:
-    """Give the bytes of a value; those of one that isn't in its form can't be read later either."""
+    """Return the bytes of a value, or UNREADABLE if it is not valid base64."""
     if not isinstance(value, str):
         return UNREADABLE
     try:
--- a/cloverway/tests/test_platform_responses.py
+++ b/cloverway/tests/test_platform_responses.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("value", [b"", b"-1", b"nan", b"inf", b"1e9", b"1_0", b"a few", b"9" * 40])
 def test_a_limit_that_is_no_such_number_is_none_and_told(value, caplog):
     assert decode((b"server-limit", value)).limit_per_s is None
-    assert "the limit that an endpoint names can't be read" in caplog.messages
+    assert "the request rate limit in a response is malformed" in caplog.messages
 
 
 def test_an_answer_that_names_no_limit_says_nothing_of_one():
