--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -1,7 +1,7 @@
-"""Parse bodies as their bytes arrive, and know whether they are whole.
+"""Incremental parsers for response bodies, which tell a complete body from a truncated one.
 
-The end of a body is found from its frames, never from its last bytes: a connection that ends is
-no proof that the answer did.
+The end of a body is taken from its framing, never from the end of the connection: a connection
+that closes is no proof that the answer was complete.
 """
 
 from __future__ import annotations
@@ -11,52 +11,52 @@
 
 from cloverway.errors import Kind, RequestError
 
-MAX_LINE = 4096
-"""Longest chunk-size or trailer line, in bytes."""
-MAX_TRAILER = 16 * 1024
-MAX_EVENT = 1024 * 1024
-"""Longest server-sent event, in bytes; a longer one is never complete."""
+MAX_LINE_BYTES = 4096
+"""Maximum length of a chunk-size or trailer line, in bytes."""
+MAX_TRAILER_BYTES = 16 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
+"""Maximum length of a server-sent event, in bytes; a longer one is malformed."""
 DONE = b"[DONE]"
 
 CRLF = b"\r\n"
 _SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(?:;[^\r\n]*)?\r\n")
 BLANK_LINE = b"\n\n"
-LONGEST_EVENT_END = 3
+MAX_EVENT_END_BYTES = 3
 _EVENT_END = re.compile(rb"\n\r?\n")
 
 
-def make_malformed(detail: str) -> RequestError:
-    """Give the error for an answer that breaks its own framing."""
+def make_malformed_error(detail: str) -> RequestError:
+    """Return the error for an answer with invalid framing."""
     return RequestError(Kind.ENDPOINT_FAILED, f"the endpoint's answer is malformed: {detail}")
 
 
 class BodyParser(Protocol):
-    """Turns the bytes of a connection into the bytes of one body."""
+    """Decodes the bytes of a connection into the bytes of one body."""
 
     ended: bool
-    """Whether the body's own end was seen."""
-    rest: bytes
-    """Bytes after the end, which belong to no answer that was asked for."""
+    """Whether the end of the body was parsed."""
+    excess: bytes
+    """Bytes received after the end of the body, which belong to no requested answer."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body; raise RequestError."""
+        """Parse received bytes and return the body bytes that they contain; raise RequestError."""
         ...
 
 
 class LengthBody:
-    """A body of a length known from Content-Length."""
+    """A body whose length is given by Content-Length."""
 
     def __init__(self, length: int) -> None:
-        self._left = length
+        self._remaining = length
         self.ended = length == 0
-        self.rest = b""
+        self.excess = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body."""
-        body = data[: self._left]
-        self._left -= len(body)
-        self.ended = self._left == 0
-        self.rest += data[len(body) :]
+        """Parse received bytes and return the body bytes that they contain."""
+        body = data[: self._remaining]
+        self._remaining -= len(body)
+        self.ended = self._remaining == 0
+        self.excess += data[len(body) :]
         return body
 
 
@@ -65,19 +65,19 @@
 
     def __init__(self) -> None:
         self.ended = False
-        self.rest = b""
+        self.excess = b""
         self._buffer = b""
-        self._left = 0
-        """Bytes of the present chunk to come, with the line end after it; 0 between chunks."""
+        self._remaining = 0
+        """Remaining bytes of the current chunk, with its final CRLF; 0 between chunks."""
         self._trailer = -1
-        """Bytes of trailer seen, or -1 before the last chunk."""
+        """Bytes of the trailer parsed, or -1 before the last chunk."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give what they add to the body; raise RequestError."""
-        if not self._buffer and not self._left:
-            whole = self._take_one_whole(data)
-            if whole is not None:
-                return whole
+        """Parse received bytes and return the body bytes that they contain; raise RequestError."""
+        if not self._buffer and not self._remaining:
+            payload = self._take_single_chunk(data)
+            if payload is not None:
+                return payload
         self._buffer += data
         pieces = []
         while not self.ended:
@@ -86,12 +86,12 @@
                 break
             pieces.append(piece)
         if self.ended:
-            self.rest += self._buffer
+            self.excess += self._buffer
             self._buffer = b""
         return b"".join(pieces)
 
-    def _take_one_whole(self, data: bytes) -> bytes | None:
-        """Give the payload when the bytes are exactly one chunk, which is the common case."""
+    def _take_single_chunk(self, data: bytes) -> bytes | None:
+        """Return the payload if the bytes are exactly one chunk (fast path), or None."""
         if self.ended or self._trailer >= 0:
             return None
         line = _SIZE_LINE.match(data)
@@ -104,10 +104,10 @@
         return data[start:-2]
 
     def _step(self) -> bytes | None:
-        """Advance by one element; None when more bytes are needed."""
+        """Parse one element and return its body bytes, or None if more bytes are needed."""
         if self._trailer >= 0:
             return self._read_trailer()
-        if self._left:
+        if self._remaining:
             return self._read_data()
         return self._read_size()
 
@@ -119,11 +119,11 @@
         self._check_line(end)
         line = _SIZE_LINE.fullmatch(self._buffer[: end + 2])
         if line is None:
-            raise make_malformed("a chunk has no size")
+            raise make_malformed_error("invalid chunk size")
         self._buffer = self._buffer[end + 2 :]
         size = int(line[1], 16)
         if size:
-            self._left = size + 2
+            self._remaining = size + 2
         else:
             self._trailer = 0
         return b""
@@ -131,16 +131,16 @@
     def _read_data(self) -> bytes | None:
         if not self._buffer:
             return None
-        if self._left > 2:
-            piece = self._buffer[: self._left - 2]
-            self._left -= len(piece)
+        if self._remaining > 2:
+            piece = self._buffer[: self._remaining - 2]
+            self._remaining -= len(piece)
             self._buffer = self._buffer[len(piece) :]
             return piece
         if len(self._buffer) < 2:
             return None
         if not self._buffer.startswith(CRLF):
-            raise make_malformed("a chunk is longer than its size")
-        self._left = 0
+            raise make_malformed_error("chunk data exceeds the chunk size")
+        self._remaining = 0
         self._buffer = self._buffer[2:]
         return b""
 
@@ -151,53 +151,53 @@
             return None
         self._check_line(end)
         self._trailer += end + 2
-        if self._trailer > MAX_TRAILER:
-            raise make_malformed("its trailer is too long")
+        if self._trailer > MAX_TRAILER_BYTES:
+            raise make_malformed_error("trailer too long")
         self._buffer = self._buffer[end + 2 :]
         self.ended = end == 0
         return b""
 
     def _check_line(self, length: int) -> None:
-        if length > MAX_LINE:
-            raise make_malformed("a line of its framing is too long")
+        if length > MAX_LINE_BYTES:
+            raise make_malformed_error("chunk-size or trailer line too long")
 
 
 class EventStream:
     """Server-sent events in a framed body, forwarded event by event.
 
-    The `[DONE]` event is held back until the body's own end was seen, so that a stream which was
-    cut between the two does not look whole to a caller that watches for either.
+    The `[DONE]` event is held back until the end of the body was parsed, so that a stream which is
+    truncated between the two does not look complete to a caller that checks only one of them.
     """
 
     def __init__(self, body: BodyParser) -> None:
         self.body = body
         self.tokens = 0
-        """Data events that were seen, without `[DONE]`."""
+        """Number of data events parsed, without `[DONE]`."""
         self._pending = b""
         self._done = b""
-        self._given_whole = False
+        self._end_forwarded = False
 
     @property
-    def whole(self) -> bool:
-        """Whether both `[DONE]` and the end of the body were seen."""
+    def complete(self) -> bool:
+        """Return whether both `[DONE]` and the end of the body were parsed."""
         return bool(self._done) and self.body.ended
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and give the whole events to forward; raise RequestError."""
+        """Parse received bytes and return the complete events to forward; raise RequestError."""
         payload = self.body.feed(data)
-        if self._is_one_token(payload):
+        if self._is_single_event(payload):
             self.tokens += 1
             return payload
-        was_whole = self._given_whole
+        was_forwarded = self._end_forwarded
         events = self._split(payload) if payload else b""
-        if self.body.ended and not was_whole:
-            self._given_whole = True
+        if self.body.ended and not was_forwarded:
+            self._end_forwarded = True
             self._check_end()
             return events + self._done
         return events
 
-    def _is_one_token(self, payload: bytes) -> bool:
-        """Whether it is exactly one data event in the midst of the stream, the common case."""
+    def _is_single_event(self, payload: bytes) -> bool:
+        """Return whether the payload is exactly one data event before the end (fast path)."""
         return (
             payload.startswith(b"data:")
             and payload.find(BLANK_LINE) == len(payload) - len(BLANK_LINE)
@@ -209,39 +209,39 @@
         )
 
     def _split(self, payload: bytes) -> bytes:
-        """Give the whole events in front and keep the rest."""
+        """Return the complete events and buffer the rest."""
         if self._done:
-            self._refuse_more(payload)
+            self._require_blank(payload)
             return b""
-        searched = max(0, len(self._pending) - LONGEST_EVENT_END + 1)
+        searched = max(0, len(self._pending) - MAX_EVENT_END_BYTES + 1)
         payload = self._pending + payload
         end = 0
-        for mark in _EVENT_END.finditer(payload, searched):
-            event = payload[end : mark.end()]
+        for end_match in _EVENT_END.finditer(payload, searched):
+            event = payload[end : end_match.end()]
             if DONE in event and _read_data(event) == DONE:
                 self._done = event
                 self._pending = b""
-                self._refuse_more(payload[mark.end() :])
+                self._require_blank(payload[end_match.end() :])
                 return payload[:end]
             if event.startswith(b"data") or b"\ndata" in event:
                 self.tokens += 1
-            end = mark.end()
+            end = end_match.end()
         self._pending = payload[end:]
-        if len(self._pending) > MAX_EVENT:
-            raise make_malformed("an event is too long")
+        if len(self._pending) > MAX_EVENT_BYTES:
+            raise make_malformed_error("server-sent event too long")
         return payload[:end]
 
-    def _refuse_more(self, payload: bytes) -> None:
-        """Raise when anything but blank lines follows the last event."""
+    def _require_blank(self, payload: bytes) -> None:
+        """Raise RequestError if anything but blank lines follows `[DONE]`."""
         if payload.strip():
-            raise make_malformed("an event follows its last one")
+            raise make_malformed_error("an event follows [DONE]")
 
     def _check_end(self) -> None:
         if not self._done:
-            raise RequestError(Kind.TRUNCATED, "the stream ended before its last event")
+            raise RequestError(Kind.TRUNCATED, "the stream ended before its [DONE] event")
 
 
 def _read_data(event: bytes) -> bytes:
-    """Give the data of an event: its data lines, joined."""
+    """Return the data of an event: its data lines, joined."""
     lines = [line[5:] for line in event.splitlines() if line.startswith(b"data:")]
     return b"\n".join(line.removeprefix(b" ") for line in lines)
