--- a/cloverway/operations/__init__.py
+++ b/cloverway/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: the admin interface, metrics, one line for each request."""
+"""Interfaces for operators: the admin API, metrics, and one log line for each request."""
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -1,7 +1,7 @@
-"""The operators' interface: health, readiness, metrics, status, explanations and leaving.
+"""The admin API for operators: health, readiness, metrics, status, explanations and draining.
 
-It has a listener and threads of its own, so that it answers while every thread for callers is
-busy. It asks for no key: operators keep its address off the callers' network.
+It has its own listener and threads, so that it answers while all threads for callers are busy. It
+requires no key: operators must not expose its address to the callers' network.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 
 
 class Operations(NamedTuple):
-    """What the other parts of the daemon offer to operators."""
+    """The functions of the daemon that the admin API calls."""
 
     list_hosts: Callable[[], HostList]
     count_active: Callable[[], int]
     count_queued: Callable[[], int]
-    """Counts the requests that wait for an endpoint."""
+    """Returns the number of requests that wait for an endpoint."""
     render_metrics: Callable[[Sequence[Gauge]], bytes]
     explain: Callable[[str, str], Mapping[str, Any]]
-    """Gives the decision for a team and a profile."""
+    """Returns the routing decision for a team and a profile."""
     begin_leaving: Callable[[], None]
 
 
 class AdminServer:
-    """Answers operators."""
+    """Serves the admin API."""
 
     def __init__(
         self,
@@ -77,15 +77,15 @@
 
     @property
     def address(self) -> str:
-        """Where operators reach it."""
+        """The address of the admin API."""
         return self._listener.address
 
     def start(self) -> None:
-        """Bind and serve; raises OSError when the address can't be bound."""
+        """Bind and serve; raise OSError if the address can't be bound."""
         self._listener.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listener."""
         self._listener.stop()
 
     def _handle(self, call: Call) -> Reply:
@@ -138,7 +138,7 @@
 
 
 def describe_status(view: View, in_progress: int, queued: int, now: float) -> dict[str, Any]:
-    """Give what a host knows, with ages in seconds in place of times of its own clock."""
+    """Return the state of a host, with ages in seconds in place of times of its own clock."""
     return {
         "host": view.host,
         "incarnation": view.incarnation,
@@ -167,14 +167,14 @@
 def _iterate_fields(fields: Mapping[str, Any], now: float) -> Iterator[tuple[str, Any]]:
     for name, value in fields.items():
         if name in AGE_FIELDS:
-            # JSON has no infinity, which stands for what was never heard.
+            # A time of minus infinity means "never"; JSON can't represent it.
             yield AGE_FIELDS[name], round(now - value, 3) if value > float("-inf") else None
         else:
             yield name, value
 
 
 def make_gauges(view: View, in_progress: int) -> Iterator[Gauge]:
-    """Give the figures of this moment."""
+    """Yield the gauges of a host with their present values."""
     revision = view.published.revision if view.published else 0
     yield Gauge("revision", "Revision of the configuration in force", revision)
     yield Gauge("ready", "Whether the host takes work", float(view.ready))
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -1,7 +1,7 @@
 """Histograms and counters of requests, owned by one task.
 
-The registry's counters are not thread-safe, so no other thread touches them: each request and each
-stream sends one typed observation when it has ended, never one for each token.
+The registry is not thread-safe, so only this task uses it. Each request and each stream sends one
+typed observation when it has ended, not one for each token.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
     *(0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75),
     *(1.0, 1.5, 2.5, 5.0, 10.0, 20.0, 30.0, 60.0, 300.0),
 )
-"""Upper bounds of the buckets of times, in seconds."""
+"""Upper bounds of the latency buckets, in seconds."""
 MAX_ENDPOINT_LABELS = 512
-"""Endpoints and failure domains with a label of their own; all further ones share one."""
+"""Maximum number of endpoints and failure domains with their own label; others share one."""
 OTHER_ENDPOINTS = "_other"
 UNKNOWN_CLASS = "_unknown"
 SUCCESS = "ok"
@@ -32,7 +32,7 @@
 
 
 class RequestEnded(NamedTuple):
-    """One request that was answered or refused. Times are seconds."""
+    """Observation of one request that was answered or refused. Times are seconds."""
 
     team: str
     urgency: str
@@ -46,18 +46,18 @@
 
 
 class StreamEnded(NamedTuple):
-    """The gaps between the tokens of one stream, counted by bucket. Times are seconds."""
+    """Observation of one stream: its inter-token gaps, counted by bucket. Times are seconds."""
 
     team: str
     urgency: str
     tokens: int
     gaps: Sequence[int]
-    """A count for each bound of the gaps, and one for the gaps above them all."""
+    """A count for each bound of the gaps, and one for the gaps above the last bound."""
     gap_sum_s: float
 
 
 class Gauge(NamedTuple):
-    """A figure that is true at the moment of reading."""
+    """The present value of a gauge."""
 
     name: str
     help: str
@@ -70,7 +70,7 @@
 
 
 class _HistogramPair:
-    """One histogram by class and the same one by tenant."""
+    """One quantity in two histograms: by priority class and by tenant."""
 
     def __init__(
         self, registry: aioprometheus.Registry, name: str, help_text: str, bounds: Sequence[float]
@@ -80,23 +80,23 @@
         self.by_tenant = self._make(registry, f"cloverway_tenant_{name}", f"{help_text}, by tenant")
 
     def observe(self, urgency: str, tenant: str, seconds: float) -> None:
-        """Count one time."""
+        """Record one time."""
         self.by_class.observe({"class": urgency}, seconds)
         self.by_tenant.observe({"tenant": tenant}, seconds)
 
     def merge(self, urgency: str, tenant: str, counts: Sequence[int], total_s: float) -> None:
-        """Add counts by bucket."""
+        """Add counts per bucket and the sum of their times."""
         self._merge(self.by_class, {"class": urgency}, counts, total_s)
         self._merge(self.by_tenant, {"tenant": tenant}, counts, total_s)
 
     def drop_tenant(self, tenant: str) -> None:
-        """Forget a tenant whose label is out of use."""
+        """Remove a tenant whose label is no longer used."""
         self.by_tenant.values.pop({"tenant": tenant}, None)
 
     def _make(
         self, registry: aioprometheus.Registry, name: str, help_text: str
     ) -> aioprometheus.Histogram:
-        # Without a registry of our own it would go into the library's global one.
+        # Without an explicit registry, the histogram is added to the library's global one.
         return aioprometheus.Histogram(
             name, help_text, registry=registry, buckets=list(self.bounds)
         )
@@ -119,7 +119,7 @@
 
 
 class Metrics:
-    """Collects observations and gives them in the text format of Prometheus."""
+    """Collects observations and renders them in the text format of Prometheus."""
 
     def __init__(self, clock: Callable[[], float], gap_bounds_s: Sequence[float]) -> None:
         self._clock = clock
@@ -136,15 +136,15 @@
         self._task.start()
 
     def stop(self) -> None:
-        """Stop the task after what was sent to it."""
+        """Stop the task once it has handled the observations sent so far."""
         self._task.stop()
 
     def record(self, ended: RequestEnded | StreamEnded) -> None:
-        """Send an observation; never waits."""
+        """Send an observation without waiting."""
         self._task.send(ended)
 
     def render(self, gauges: Sequence[Gauge] = ()) -> bytes:
-        """Give all figures, with gauges of this moment."""
+        """Return all metrics as text, with the gauges given."""
         text: bytes = self._task.ask(_Render(gauges), RENDER_TIMEOUT_S)
         return text
 
@@ -220,7 +220,7 @@
         self._gap.merge(urgency, tenant, ended.gaps, ended.gap_sum_s)
 
     def _label_endpoint(self, endpoint: str) -> str:
-        """Give the label of an endpoint here, or of the failure domain of one elsewhere."""
+        """Return the label of a local endpoint, or of a remote endpoint's failure domain."""
         label = endpoint.partition("/")[0] + "/" if "/" in endpoint else endpoint
         if label not in self._endpoints and len(self._endpoints) >= MAX_ENDPOINT_LABELS:
             return OTHER_ENDPOINTS
@@ -229,7 +229,7 @@
 
     def _render(self, gauges: Sequence[Gauge]) -> bytes:
         for known in self._gauges.values():
-            # An endpoint that is gone must not keep its last figure.
+            # An endpoint that is gone must not keep its last value.
             known.values.clear()
         for gauge in gauges:
             if gauge.name not in self._gauges:
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -1,6 +1,6 @@
-"""What is logged and measured of each request: one line and one observation when it has ended.
+"""Reports each request when it has ended: one log line and one observation for the metrics.
 
-Neither a body, nor a caller's key, nor an idempotency key is passed on from here.
+Bodies, caller keys and idempotency keys are never reported.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class EndedRequest(Protocol):
-    """What the gateway knows of a request that has ended. Times are seconds."""
+    """The gateway's record of a request that has ended. Times are seconds."""
 
     @property
     def request(self) -> Request: ...  # noqa: D102
@@ -42,7 +42,7 @@
 
 
 class EndedStream(Protocol):
-    """What the relay knows of a stream that has ended."""
+    """The relay's record of a stream that has ended."""
 
     @property
     def tokens(self) -> int: ...  # noqa: D102
@@ -53,14 +53,14 @@
 
 
 class Reporter:
-    """Takes what the parts of the daemon report, and logs and counts it."""
+    """Logs and counts requests and streams that have ended."""
 
     def __init__(self, metrics: Metrics, holder: ViewHolder) -> None:
         self._metrics = metrics
         self._holder = holder
 
     def report_request(self, ended: EndedRequest) -> None:
-        """Report a request that the gateway has run or refused."""
+        """Report a request that the gateway ran or refused."""
         request = ended.request
         first_ms = _to_ms(ended.first_byte_s) if ended.first_byte_s is not None else None
         log.info(
@@ -95,7 +95,7 @@
         )
 
     def report_refusal(self, refusal: Refusal) -> None:
-        """Report a request that was refused before the gateway saw it."""
+        """Report a request that was refused before it reached the gateway."""
         log.info(
             "request",
             extra={
