--- a/cloverway/__main__.py
+++ b/cloverway/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of operators and callers: parses arguments and prints; commands do the work."""
+"""The command line of operators and callers: parses options and prints results of commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cloverway.serving.settings import FleetSettings
 
 EXIT_TRUNCATED = 3
-"""Exit code for an answer that is not whole."""
+"""Exit code for a truncated answer."""
 
 
 app = typer.Typer(
@@ -52,7 +52,7 @@
     version: Annotated[
         bool,
         typer.Option(
-            "--version", is_eager=True, callback=_print_version, help="Print the version and end."
+            "--version", is_eager=True, callback=_print_version, help="Print the version and exit."
         ),
     ] = False,
 ) -> None:
@@ -73,14 +73,14 @@
     against: Annotated[
         Path | None,
         typer.Option(
-            help="Directory in force now: show what changes, and check that the revision rises."
+            help="Directory in force now: show the changes, and check that the revision is higher."
         ),
     ] = None,
     json: Json = False,
 ) -> None:
     """Check published files.
 
-    Shows every error with its file, its dotted name and what to do. Exit code 1 on errors.
+    Shows every error with its file, its dotted name and a remedy. Exit code 1 on errors.
     """
     print_report(check.check_directory(directory, against), json)
 
@@ -96,7 +96,7 @@
 def _settings(
     file: Annotated[Path, typer.Argument(help="Settings file of a daemon.")],
     published: Annotated[
-        Path | None, typer.Option(help="Check that the host is published as the settings say.")
+        Path | None, typer.Option(help="Check that the host is published as in the settings.")
     ] = None,
     json: Json = False,
 ) -> None:
@@ -115,7 +115,7 @@
     file: Annotated[Path, typer.Argument(help="Settings file of a host of a fleet, filled in.")],
     json: Json = False,
 ) -> None:
-    """Check the settings of a host on the users' platform. Exit code 1 on errors."""
+    """Check the settings of a fleet host on the users' platform. Exit code 1 on errors."""
     print_document(output.make_plain(FleetSettings.from_toml(file)), json)
 
 
@@ -128,15 +128,15 @@
     """,
 )
 def _trace(
-    request_id: Annotated[str, typer.Argument(help="The id of one try, or the digest of all.")],
+    request_id: Annotated[str, typer.Argument(help="The id of one attempt, or the digest of all.")],
     logs: Annotated[
-        list[Path] | None, typer.Argument(help="Logs of hosts; standard input without any.")
+        list[Path] | None, typer.Argument(help="Logs of hosts; standard input if none is given.")
     ] = None,
     json: Json = False,
 ) -> None:
-    """Show what hosts decided about one request, in order, from their logs.
+    """Show the decisions of hosts about one request, by time, from their logs.
 
-    Exit code 1 when no line names the request.
+    Exit code 1 if no line names the request.
     """
     sources = trace.open_logs(logs) if logs else [sys.stdin]
     lines = trace.trace_request(request_id, sources)
@@ -155,7 +155,7 @@
     """,
 )
 def _key(json: Json = False) -> None:
-    """Make a caller key and its hash to publish. The key is stored nowhere."""
+    """Generate a caller key and its hash to publish. The key is not stored."""
     made = key.make_key()
     if json:
         typer.echo(output.format_json(made._asdict()))
@@ -178,14 +178,14 @@
         typer.Option("--host", help="A host's admin address, as IP:PORT; may be given repeatedly."),
     ] = None,
     published: Annotated[
-        Path | None, typer.Option(help="Ask every host of this published directory.")
+        Path | None, typer.Option(help="Query every host of this published directory.")
     ] = None,
     json: Json = False,
 ) -> None:
-    """Show what hosts know.
+    """Show the status of hosts.
 
-    Of one host, its configuration, the other hosts, the endpoints and their load. Of several, a
-    line for each, and what a person should look at; exit code 1 when there is anything.
+    For one host: its configuration, the other hosts, the endpoints and their load. For several
+    hosts: a line for each, and what needs attention; exit code 1 if anything does.
     """
     addresses = status.find_addresses(host or [], published)
     if len(addresses) == 1:
@@ -214,7 +214,7 @@
 def _hosts(host: AdminHost, json: Json = False) -> None:
     """Show the entry hosts to use now.
 
-    Best first; leaving and overloaded ones are left out. Any host answers.
+    Best first, without leaving and overloaded hosts. Any host can answer.
     """
     print_document(admin.query_json(host, "/v1/hosts"), json)
 
@@ -232,7 +232,7 @@
     profile: Annotated[str, typer.Argument(help="The profile that it would name.")],
     json: Json = False,
 ) -> None:
-    """Show where a request would go, and why.
+    """Show where a request would be routed, and why.
 
     Nothing is sent to an endpoint.
     """
@@ -248,9 +248,9 @@
     """,
 )
 def _drain(host: AdminHost, json: Json = False) -> None:
-    """Let a host leave.
+    """Drain a host.
 
-    It takes no new work, tells its callers where to go and ends what is in progress.
+    It accepts no new work, directs its callers to other hosts and completes work in progress.
     """
     print_document(admin.query_json(host, "/v1/drain", "POST"), json)
 
@@ -272,7 +272,7 @@
 ) -> None:
     """Show p50, p95 and p99 of each histogram.
 
-    The first reading counts since the start of the host, each later one since the one before.
+    The first reading counts from the start of the host, each later one from the reading before.
     """
     for rows in watch.watch(host, count, every, time.sleep, by):
         if json:
@@ -290,13 +290,13 @@
       cloverway call --host 127.0.0.11:8010 --profile allocation --once \\
           --service stock-desk --path /allocations --data '{"item": "insulin", "cartons": 2}'
     \b
-    Exit codes: 0 a whole answer, 1 refused or failed, 3 the answer was cut short.
+    Exit codes: 0 complete answer, 1 refused or failed, 3 truncated answer.
     """,
 )
 def _call(
     *,
-    profile: Annotated[str, typer.Option(help="The published profile that fits the call.")],
-    message: Annotated[str, typer.Argument(help="What to ask the model.")] = "",
+    profile: Annotated[str, typer.Option(help="The published profile to use.")],
+    message: Annotated[str, typer.Argument(help="The message to the model.")] = "",
     host: CallerHosts,
     key_file: Annotated[
         Path | None, typer.Option(help="File with the caller key, in place of CLOVERWAY_KEY.")
@@ -306,23 +306,24 @@
     data: Annotated[str, typer.Option(help="JSON body of a service call.")] = "",
     once: Annotated[
         bool,
-        typer.Option(help="Get an idempotency key first, for work that must happen at most once."),
+        typer.Option(help="Get an idempotency key first, for work that must run at most once."),
     ] = False,
     idempotency_key: Annotated[
         str, typer.Option(help="Repeat an earlier call with its key; it does not run twice.")
     ] = "",
     deadline_ms: Annotated[
-        int, typer.Option(min=0, help="Time for the whole answer; the profile's if 0.")
+        int,
+        typer.Option(min=0, help="Time for the complete answer; 0 uses the profile's deadline."),
     ] = 0,
     patience: Annotated[
-        float, typer.Option(min=0, help="Seconds within which a call that did not run is retried.")
+        float, typer.Option(min=0, help="Seconds within which a call that was not run is retried.")
     ] = 30.0,
     stream: Annotated[bool, typer.Option(help="Print the text as it is generated.")] = True,
 ) -> None:
     """Send one call and print its answer.
 
-    A failure says whether the call was run. Only a call that was not run is sent again, at the
-    time and to the host that the answer names.
+    An error tells whether the call was run. Only a call that was not run is retried: after
+    Retry-After, or at once at another host.
     """
     call_options = call.CallOptions(
         message, profile, service, path, data, stream, deadline_ms, idempotency_key
@@ -355,18 +356,22 @@
 def _bench(
     target: Annotated[list[str], typer.Option(help="NAME=IP:PORT[,IP:PORT]; may be repeated.")],
     profile: Annotated[str, typer.Option(help="Profile of the calls.")] = "",
-    streams: Annotated[int, typer.Option(min=1, max=2000, help="Streams at one time.")] = 10,
-    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long to send.")] = 10.0,
-    tokens: Annotated[int, typer.Option(min=2, max=10_000, help="Tokens of each answer.")] = 50,
-    token_ms: Annotated[float, typer.Option(min=0.1, help="Time between tokens.")] = 60.0,
-    model: Annotated[str, typer.Option(help="Model, where a target asks for one.")] = "",
-    pid: Annotated[list[int] | None, typer.Option(help="Process to measure as well.")] = None,
+    streams: Annotated[int, typer.Option(min=1, max=2000, help="Concurrent streams.")] = 10,
+    seconds: Annotated[
+        float, typer.Option(min=1, max=3600, help="Duration of the load in seconds.")
+    ] = 10.0,
+    tokens: Annotated[int, typer.Option(min=2, max=10_000, help="Tokens in each answer.")] = 50,
+    token_ms: Annotated[float, typer.Option(min=0.1, help="Expected time between tokens.")] = 60.0,
+    model: Annotated[str, typer.Option(help="Model name, if a target requires one.")] = "",
+    pid: Annotated[
+        list[int] | None, typer.Option(help="Process whose CPU and memory use is measured.")
+    ] = None,
     seed: Annotated[int, typer.Option(help="Seed of the arrivals.")] = 1,
     json: Json = False,
 ) -> None:
-    """Load targets in turn, in one run, and compare what their callers see.
+    """Load targets in one run and compare the latencies that their callers measure.
 
-    Give a gateway and an endpoint behind it to see what the gateway adds. The caller key is taken
+    Give a gateway and an endpoint behind it to see what the gateway adds. The caller key is read
     from CLOVERWAY_KEY.
     """
     caller_key = os.environ.get("CLOVERWAY_KEY", "")
--- a/cloverway/commands/__init__.py
+++ b/cloverway/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command of the command line."""
+"""The commands of the command line, and what they share."""
--- a/cloverway/commands/admin.py
+++ b/cloverway/commands/admin.py
@@ -1,4 +1,4 @@
-"""Questions to one host, for operators' commands."""
+"""Queries to the admin API of one host, for operators' commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_address(address: str) -> str:
-    """Give the address back, or raise UserError when it is not an IP number and a port."""
+    """Return the address; raise UserError unless it is an IP number and a port."""
     try:
         return schema.check_address(address)
     except ValueError as error:
@@ -19,16 +19,16 @@
 
 
 def query_json(address: str, path: str, method: str = "GET", document: Any = None) -> Any:
-    """Ask a host and give its JSON answer; raise UserError when there is none."""
+    """Query a host and return its JSON answer; raise UserError if there is none."""
     body = json.dumps(document).encode() if document is not None else b""
     try:
         return json.loads(_query(address, Call(path, body, method=method)))
     except ValueError as error:
-        raise UserError(f"{address}: the answer of {path} is not JSON") from error
+        raise UserError(f"{address}: the answer to {path} is not JSON") from error
 
 
 def query_text(address: str, path: str) -> str:
-    """Ask a host and give its answer as text; raise UserError when there is none."""
+    """Query a host and return its answer as text; raise UserError if there is none."""
     return _query(address, Call(path, method="GET")).decode("utf-8", "replace")
 
 
@@ -41,7 +41,7 @@
 
 
 def describe_failure(address: str, path: str, error: CallError) -> str:
-    """Say what went wrong with a question and what to look at."""
+    """Describe why a query failed and what to check."""
     if error.request_id:
         return f"{address}: {error.detail}"
     hint = f"is cloverwayd running there, and is it the listener that serves {path}?"
--- a/cloverway/commands/bench.py
+++ b/cloverway/commands/bench.py
@@ -1,4 +1,4 @@
-"""Load one or more targets and compare what their callers see."""
+"""Load one or more targets and compare the latencies that their callers measure."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class UsageSample(NamedTuple):
-    """What a process has used: processor seconds, and memory in MB."""
+    """Resources used by a process since its start: CPU seconds, and memory in MB."""
 
     pid: int
     cpu_s: float
@@ -37,7 +37,7 @@
 
 
 class ProcessUsage(NamedTuple):
-    """What a process used over a run: cores, and memory in MB at its end."""
+    """Resources used by a process during a run: mean cores, and memory in MB at the end."""
 
     pid: int
     cores: float
@@ -47,7 +47,7 @@
 def bench(
     targets: Sequence[Target], plan: LoadPlan, seed: int, pids: Sequence[int]
 ) -> tuple[list[LoadStats], list[ProcessUsage]]:
-    """Run a load; give the figures of each target and what some processes used meanwhile."""
+    """Run a load; return the measurements of each target and the resource use of processes."""
     before = [read_usage(pid) for pid in pids]
     started_at = time.monotonic()
     stats = run_load(targets, plan, Random(seed))
@@ -61,7 +61,7 @@
 
 
 def parse_target(text: str, headers: dict[str, str]) -> Target:
-    """Read NAME=IP:PORT[,IP:PORT ...]; raise UserError for any other form."""
+    """Parse NAME=IP:PORT[,IP:PORT ...]; raise UserError if the form is invalid."""
     name, _, addresses = text.rpartition("=")
     if not name:
         raise UserError(f"{text!r} is not a target; write it as NAME=IP:PORT")
@@ -69,11 +69,11 @@
 
 
 def read_usage(pid: int) -> UsageSample:
-    """Read what a process has used so far; raise UserError for one that is not there."""
+    """Return the resources used by a process so far; raise UserError if it does not exist."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     except OSError as error:
-        raise UserError(f"there is no process {pid}; give the number of a running one") from error
+        raise UserError(f"there is no process {pid}; give the id of a running process") from error
     ticks = int(fields[11]) + int(fields[12])
     memory = int(fields[21]) * os.sysconf("SC_PAGE_SIZE")
     return UsageSample(pid, ticks / os.sysconf("SC_CLK_TCK"), memory / 1_000_000)
@@ -82,7 +82,7 @@
 def make_rows(
     targets: Sequence[Target], stats: Sequence[LoadStats], plan: LoadPlan
 ) -> Iterable[tuple[str, ...]]:
-    """Give a row for each target; times are milliseconds."""
+    """Yield a row for each target; times are milliseconds."""
     for target, seen in zip(targets, stats, strict=True):
         times = [
             f"{histogram.get_value_at_percentile(quantile) / US_PER_MS:.1f}"
@@ -96,7 +96,7 @@
 def as_document(
     targets: Sequence[Target], stats: Sequence[LoadStats], usage: Sequence[ProcessUsage]
 ) -> dict[str, Any]:
-    """Give the figures for a script; times are milliseconds."""
+    """Return the measurements for JSON output; times are milliseconds."""
     return {
         "targets": {
             target.name: {
@@ -111,9 +111,9 @@
     }
 
 
-def format_markdown(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Give rows as a table in Markdown."""
-    lines = [head, ["---"] * len(head), *rows]
+def format_markdown(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return rows as a Markdown table."""
+    lines = [header, ["---"] * len(header), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
--- a/cloverway/commands/call.py
+++ b/cloverway/commands/call.py
@@ -1,4 +1,4 @@
-"""Send one call and print its answer as it comes."""
+"""Send one call and print its answer as it arrives."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 RAN_TEXTS = {
     Ran.NO: "It was not run.",
     Ran.YES: "It was run.",
-    Ran.UNKNOWN: "Nobody can say whether it was run.",
+    Ran.UNKNOWN: "It is unknown whether it was run.",
 }
 
 
 ADVICE = {
-    Kind.UNAUTHENTICATED: "Give the key of your team; `cloverway key` makes one for operators.",
+    Kind.UNAUTHENTICATED: "Use the key of your team; operators make one with `cloverway key`.",
     Kind.FORBIDDEN: "Name a profile that operators have published for your team.",
     Kind.RESIDENCY: "Ask operators for a profile or an endpoint in the team's home region.",
     Kind.KEY_REQUIRED: "Give --once.",
-    Kind.KEY_MISMATCH: "Repeat exactly the call that the key was used with.",
-    Kind.ANSWER_GONE: "Don't repeat it; look at its result where it was run.",
+    Kind.KEY_MISMATCH: "Repeat the call exactly as it was first sent with this key.",
+    Kind.ANSWER_GONE: "Don't repeat it; look for its result at the service that ran it.",
     Kind.KEY_EXPIRED: "If it was sent with this key before, find out whether it was run.",
-    Kind.KEY_SPENT: "It will never be run with this key: find out whether it was, then decide.",
-    Kind.KEY_INVALID: "Leave --idempotency-key out and give --once.",
+    Kind.KEY_SPENT: "It is never run again with this key: find out whether it was, then decide.",
+    Kind.KEY_INVALID: "Omit --idempotency-key and give --once.",
 }
-"""What helps with a refusal that waiting does not mend."""
+"""Advice for refusals that a later retry does not resolve."""
 
 
 class CallOptions(NamedTuple):
-    """What the command line asks for."""
+    """The options of the command line that describe the call."""
 
     message: str = ""
     profile: str = ""
@@ -50,7 +50,7 @@
 
 
 def read_caller_key(file: Path | None) -> str:
-    """Read the caller key from a file or the environment; raise UserError when there is none."""
+    """Read the caller key from a file or the environment; raise UserError if there is none."""
     if file is None:
         key = os.environ.get(KEY_VARIABLE, "")
     else:
@@ -64,7 +64,7 @@
 
 
 def make_client(addresses: list[str], key_file: Path | None, patience_s: float) -> Client:
-    """Make a client from what the command line gives."""
+    """Create a client from the options of the command line."""
     return Client(
         [check_address(address) for address in addresses],
         read_caller_key(key_file),
@@ -73,7 +73,7 @@
 
 
 def make_call(options: CallOptions) -> Call:
-    """Make the call; raise UserError when the choice does not fit together."""
+    """Create the call; raise UserError if options are missing or contradict each other."""
     if options.service:
         return _apply_options(
             Call.for_service(options.profile, options.service, options.path, _read_data(options)),
@@ -88,7 +88,7 @@
 
 
 def print_answer(answer: Answer, write: Callable[[str], Any]) -> None:
-    """Write the text of an answer piece by piece; raise CallError when it was cut."""
+    """Write the text of an answer piece by piece; raise CallError if it was truncated."""
     if "/services/" in answer.path:
         write(answer.read().decode("utf-8", "replace"))
         return
@@ -97,7 +97,7 @@
 
 
 def describe_failure(error: CallError) -> str:
-    """Say what failed, whether the call was run, and what to do now."""
+    """Describe what failed, whether the call was run, and what to do next."""
     lines = [
         f"{error.kind}: {error.detail}",
         f"ran: {error.ran}. {RAN_TEXTS[error.ran]}",
@@ -108,7 +108,7 @@
 
 
 def describe_origin(answer: Answer) -> str:
-    """Say where an answer comes from."""
+    """Describe where an answer comes from."""
     places = {
         "host": answer.host,
         "region": answer.headers.get("cloverway-region"),
@@ -125,14 +125,14 @@
 
 
 def _suggest_action(error: CallError) -> str:
-    """Say what to do now."""
+    """Describe what to do next."""
     when = f" in {error.retry_after:.1f} s" if error.retry_after is not None else ""
     if error.kind in ADVICE:
         return ADVICE[error.kind]
     if error.key and error.ran is not Ran.NO:
         return (
-            f"Repeat it{when} with --idempotency-key {error.key}: it does not run a second time, "
-            "and the answer of the first run is given if it is held."
+            f"Repeat it{when} with --idempotency-key {error.key}: it is not run a second time, "
+            "and you get the answer of the first run if it is still recorded."
         )
     return f"Send it again{when}." if when else ""
 
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -1,4 +1,4 @@
-"""Validate published files and say what a new version of them changes."""
+"""Validate published files and settings, and list the changes between two versions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Report(NamedTuple):
-    """What a check found."""
+    """The findings of a check."""
 
     errors: list[str]
     warnings: list[str]
@@ -24,12 +24,12 @@
 
     @property
     def passed(self) -> bool:
-        """Whether there is no error."""
+        """Whether the check found no errors."""
         return not self.errors
 
 
 def check_directory(directory: Path, against: Path | None = None) -> Report:
-    """Validate a published directory, and compare it with an older one where that is given."""
+    """Validate a published directory, and compare it with an older one if that is given."""
     old = _load_reference(against)
     with collect_warnings() as warnings:
         try:
@@ -42,7 +42,7 @@
 
 
 def check_settings(path: Path, published: Path | None = None) -> Report:
-    """Validate the settings of a daemon, and compare them with what is published of its host."""
+    """Validate the settings of a daemon, and compare them with its published host entry."""
     deployment = _load_reference(published)
     with collect_warnings() as warnings:
         try:
@@ -55,7 +55,7 @@
 
 
 def describe(published: Published) -> str:
-    """Count what is published, in one line."""
+    """Summarise published documents in one line, with the number of each kind."""
     parts = (
         _count(len(getattr(published, field)), field)
         for field in ("regions", "domains", "hosts", "endpoints", "profiles", "teams")
@@ -64,13 +64,13 @@
 
 
 def summarise(report: Report) -> str:
-    """Say in one line whether a check passed, and count what it found."""
+    """Summarise a check in one line: whether it passed, and the number of findings."""
     counts = f"{_count(len(report.errors), 'errors')}, {_count(len(report.warnings), 'warnings')}"
     return f"ok: {report.summary}; {counts}" if report.passed else f"not valid: {counts}"
 
 
 def list_changes(old: Published, new: Published) -> list[str]:
-    """List every name that was added, removed or changed, but for the revision."""
+    """Return every name that was added, removed or changed, except the revision."""
     before = dict(_flatten(old._asdict()))
     after = dict(_flatten(new._asdict()))
     names = sorted((before.keys() | after.keys()) - {"revision"})
@@ -83,7 +83,7 @@
 
 @contextmanager
 def collect_warnings() -> Iterator[list[str]]:
-    """Collect the warnings that validation logs, in place of a log that shows them."""
+    """Collect the warnings of validation in a list, in place of logging them."""
     texts: list[str] = []
     handler = _Collector(texts)
     logger = logging.getLogger("cloverway.config")
@@ -103,7 +103,7 @@
         self._texts = texts
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the text of one record."""
+        """Append the message of one record."""
         self._texts.append(record.getMessage())
 
 
@@ -118,11 +118,11 @@
         try:
             return load_directory(directory)
         except ConfigurationError as error:
-            raise UserError(f"{directory} is not valid itself:\n{error}") from error
+            raise UserError(f"{directory} is not valid:\n{error}") from error
 
 
 def _find_mismatches(settings: Settings, published: Published | None) -> Iterator[str]:
-    """Yield where callers or other hosts would look for this host in another place."""
+    """Yield the settings that differ from what callers and other hosts read of this host."""
     if published is None:
         return
     host = published.hosts.get(settings.host)
@@ -144,11 +144,11 @@
 def _find_revision_faults(old: Published, new: Published, changes: list[str]) -> Iterator[str]:
     if changes and new.revision <= old.revision:
         yield (
-            f"revision: {new.revision} must be raised above {old.revision}, or no host takes the "
+            f"revision: {new.revision} must be higher than {old.revision}, or no host applies the "
             f"changes; set revision = {old.revision + 1}"
         )
     elif new.revision < old.revision:
-        yield f"revision: {new.revision} is below {old.revision}; a revision is never lowered"
+        yield f"revision: {new.revision} is below {old.revision}; a revision must never decrease"
 
 
 def _flatten(value: Any, name: str = "") -> Iterator[tuple[str, Any]]:
--- a/cloverway/commands/output.py
+++ b/cloverway/commands/output.py
@@ -1,4 +1,4 @@
-"""Text that commands print: tables, nested values and JSON."""
+"""Format the output of commands: tables, nested values and JSON."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def format_json(value: Any) -> str:
-    """Give a value as indented JSON."""
+    """Return a value as indented JSON."""
     return json.dumps(value, indent=2, sort_keys=True, default=str)
 
 
 def make_plain(value: Any) -> Any:
-    """Give a NamedTuple, and those inside it, as tables."""
+    """Convert NamedTuples, also nested ones, to dictionaries, and other tuples to lists."""
     if hasattr(value, "_asdict"):
         value = value._asdict()
     if isinstance(value, Mapping):
@@ -23,10 +23,10 @@
     return [make_plain(item) for item in value] if isinstance(value, tuple) else value
 
 
-def format_table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Give rows in columns below a head."""
-    cells = [list(head), *([format_cell(cell) for cell in row] for row in rows)]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
+def format_table(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
+    """Return rows as aligned columns below a header."""
+    cells = [list(header), *([format_cell(cell) for cell in row] for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     lines = (
         INDENT.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         for row in cells
@@ -35,7 +35,7 @@
 
 
 def format_cell(value: Any) -> str:
-    """Give one value as a short text."""
+    """Return one value as a short text."""
     if value is None or value in ("", {}):
         return "-"
     if isinstance(value, bool):
@@ -48,7 +48,7 @@
 
 
 def format_nested(value: Any, depth: int = 0) -> str:
-    """Give nested JSON values as indented lines, with lists of like objects as tables."""
+    """Return nested JSON values as indented lines, with lists of flat objects as tables."""
     return "\n".join(_iterate_lines(value, depth))
 
 
@@ -62,8 +62,8 @@
             yield f"{prefix}{name}:"
             yield from _iterate_lines(item, depth + 1)
     elif _is_table(value):
-        head = list(dict.fromkeys(name for row in value for name in row))
-        table = format_table(head, ([row.get(name) for name in head] for row in value))
+        header = list(dict.fromkeys(name for row in value for name in row))
+        table = format_table(header, ([row.get(name) for name in header] for row in value))
         yield from (prefix + line for line in table.split("\n"))
     elif isinstance(value, list | tuple):
         for item in value:
--- a/cloverway/commands/printing.py
+++ b/cloverway/commands/printing.py
@@ -1,4 +1,4 @@
-"""What commands print: documents, reports, and a person's mistakes."""
+"""Print documents, reports and user errors."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Commands(TyperGroup):
-    """Shows a person's mistakes as plain text."""
+    """Command group that prints user errors as plain text."""
 
     def invoke(self, ctx: Any) -> Any:
-        """Run a command; end with exit code 1 and a plain text on a UserError."""
+        """Run a command; on a UserError, print it and exit with code 1."""
         try:
             return super().invoke(ctx)
         except UserError as error:
@@ -24,12 +24,12 @@
 
 
 def print_document(document: Any, json: bool) -> None:
-    """Print what a host answered, as JSON or as nested text."""
+    """Print the answer of a host as JSON or as nested text."""
     typer.echo(output.format_json(document) if json else output.format_nested(document))
 
 
 def print_report(report: check.Report, json: bool) -> None:
-    """Print what a check found; end with exit code 1 where it did not pass."""
+    """Print the findings of a check; exit with code 1 if it failed."""
     if json:
         typer.echo(output.format_json(report._asdict() | {"passed": report.passed}))
     else:
--- a/cloverway/commands/status.py
+++ b/cloverway/commands/status.py
@@ -1,4 +1,4 @@
-"""Ask one or many hosts what they know, and compare them."""
+"""Query the status of one or more hosts and compare them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class HostStatus(NamedTuple):
-    """What one host answered, or why it did not."""
+    """The status of one host, or the reason why it did not answer."""
 
     address: str
     document: dict[str, Any]
@@ -36,27 +36,27 @@
 
 
 def find_addresses(addresses: Sequence[str], published: Path | None) -> list[str]:
-    """Give the admin addresses to ask: those named, and those of every published host."""
+    """Return the admin addresses to query: those given, and those of all published hosts."""
     hosts = load_directory(published).hosts.values() if published else ()
     found = list(dict.fromkeys([*addresses, *(host.admin for host in hosts)]))
     if not found:
-        raise UserError("name a host with --host IP:PORT, or all of them with --published DIR")
+        raise UserError("give a host with --host IP:PORT, or all hosts with --published DIR")
     return found
 
 
 def query_all(addresses: Sequence[str]) -> list[HostStatus]:
-    """Ask every address, several at one time; a host that does not answer is no failure here."""
+    """Query all addresses in parallel; a host that does not answer raises no exception."""
     with ThreadPoolExecutor(MAX_PARALLEL_QUERIES) as pool:
         return list(pool.map(_query, addresses))
 
 
 def as_cells(status: HostStatus) -> tuple[Any, ...]:
-    """Give a row of the table that compares hosts."""
+    """Return the row of a host in the table that compares hosts."""
     return (status.address, *(status.document.get(name) for name in FIELDS), status.fault)
 
 
 def find_problems(statuses: Sequence[HostStatus]) -> list[str]:
-    """List what a person should look at: silent hosts, hosts that lag, and a stale platform."""
+    """Return what needs attention: silent, outdated or unready hosts, and a stale platform."""
     silent = [status.address for status in statuses if status.fault]
     newest = max((status.document.get("revision", 0) for status in statuses), default=0)
     behind = [
--- a/cloverway/commands/trace.py
+++ b/cloverway/commands/trace.py
@@ -1,4 +1,4 @@
-"""Gather what hosts logged of one request, in the order in which it happened."""
+"""Collect the log lines of one request from several hosts, ordered by time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 COMMON_FIELDS = frozenset(
     ("time", "level", "logger", "message", "host", "incarnation", "request_id")
 )
-"""Fields of a line that are shown in columns of their own, or say nothing of the decision."""
+"""Fields that have their own columns, or that don't explain the decision."""
 
 
 class LogLine(NamedTuple):
@@ -27,21 +27,21 @@
 
 
 def trace_request(request_id: str, sources: Sequence[TextIO]) -> list[LogLine]:
-    """Give the lines of a request from logs of any hosts; raise UserError when there is none.
+    """Return the lines of a request from the logs of several hosts; raise UserError if none.
 
-    Instead of the id of one try it may be the digest that all repeats of a request share.
+    In place of the id of one attempt, `request_id` may be the digest that all repeats share.
     """
     found = (line for source in sources for line in _read_lines(source, request_id))
     lines = sorted(found, key=lambda line: line.time)
     if not lines:
         raise UserError(
-            f"no line of the request {request_id!r}; give the logs of all hosts of its time"
+            f"no line of the request {request_id!r}; give the logs of all hosts from that time"
         )
     return lines
 
 
 def open_logs(paths: Sequence[Path]) -> list[TextIO]:
-    """Open log files; raise UserError for one that can't be read."""
+    """Open log files; raise UserError if one can't be read."""
     try:
         return [path.open(encoding="utf-8", errors="replace") for path in paths]
     except OSError as error:
@@ -49,14 +49,14 @@
 
 
 def format_trace(lines: Iterable[LogLine]) -> str:
-    """Give the lines as a table."""
+    """Return the lines as a table."""
     rows = [(line.time, line.host, line.event, _format_inputs(line.inputs)) for line in lines]
     return format_table(COLUMNS, rows)
 
 
 def _read_lines(source: TextIO, request_id: str) -> Iterator[LogLine]:
     for text in source:
-        # Logs of a fleet are large: only lines that hold the id are decoded.
+        # Logs of a fleet are large, so only lines that contain the id are decoded.
         if request_id not in text:
             continue
         fields = _decode(text)
@@ -74,7 +74,7 @@
 
 
 def _decode(text: str) -> dict[str, Any]:
-    """Decode a line, which may have other text before its JSON."""
+    """Decode a line; ignore text before its JSON object."""
     start = text.find("{")
     try:
         fields = json.loads(text[start:]) if start >= 0 else {}
--- a/cloverway/commands/watch.py
+++ b/cloverway/commands/watch.py
@@ -1,4 +1,4 @@
-"""Read a host's histograms and give quantiles by class or tenant."""
+"""Read a host's histograms and compute quantiles by class or tenant."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 BUCKET = "_bucket"
 
 Series = tuple[str, tuple[tuple[str, str], ...]]
-"""A histogram's name and its labels without `le`."""
+"""The name of a histogram and its labels without `le`."""
 Buckets = dict[float, float]
-"""Cumulative counts by upper bound."""
+"""Cumulative counts by upper bound of the bucket."""
 
 
 class HistogramRow(NamedTuple):
-    """One histogram over the time between two readings."""
+    """Quantiles of one histogram over the time between two readings."""
 
     histogram: str
     labels: str
@@ -34,13 +34,13 @@
 def watch(
     address: str, count: int, every_s: float, sleep: Callable[[float], None], by: str = ""
 ) -> Iterator[list[HistogramRow]]:
-    """Read /metrics a number of times and give the rows of each reading."""
+    """Read /metrics a number of times and yield the rows of each reading."""
     for histograms in iterate_readings(_read_metrics(address, count, every_s, sleep)):
         yield summarise(histograms, by)
 
 
 def as_cells(row: HistogramRow) -> tuple[str, ...]:
-    """Give a row as the cells of a table; seconds as milliseconds."""
+    """Return a row as the cells of a table; seconds are shown as milliseconds."""
     scale, unit = (1000.0, " ms") if row.histogram.endswith("_seconds") else (1.0, "")
     cells = (
         "-" if quantile is None else f"{quantile * scale:.1f}{unit}" for quantile in row.quantiles
@@ -49,7 +49,7 @@
 
 
 def parse_histograms(text: str) -> dict[Series, Buckets]:
-    """Read the buckets of every histogram from the text that /metrics gives."""
+    """Parse the buckets of every histogram from the text of /metrics."""
     histograms: dict[Series, Buckets] = {}
     for name, labels, value in _iterate_samples(text):
         bound = labels.pop("le", None)
@@ -62,7 +62,7 @@
 def subtract(
     later: Mapping[Series, Buckets], earlier: Mapping[Series, Buckets]
 ) -> dict[Series, Buckets]:
-    """Give what was counted between two readings; a host that restarted counts from zero."""
+    """Return the counts between two readings; a restarted host counts from zero."""
     return {
         series: _subtract_buckets(buckets, earlier.get(series, {}))
         for series, buckets in later.items()
@@ -70,7 +70,7 @@
 
 
 def estimate_quantile(buckets: Mapping[float, float], quantile: float) -> float | None:
-    """Estimate a quantile within its bucket; None where nothing was counted."""
+    """Estimate a quantile by interpolation within its bucket; None if nothing was counted."""
     bounds = sorted(buckets)
     total = buckets[bounds[-1]] if bounds else 0.0
     if total <= 0:
@@ -87,9 +87,9 @@
 
 
 def summarise(histograms: Mapping[Series, Buckets], by: str = "") -> list[HistogramRow]:
-    """Give a row for each histogram that counted something, in a stable order.
+    """Return a row for each histogram that is not empty, sorted by name and labels.
 
-    With `by`, only histograms with that label.
+    With `by`, include only histograms with that label.
     """
     return [
         HistogramRow(
@@ -104,7 +104,7 @@
 
 
 def iterate_readings(texts: Iterable[str]) -> Iterator[dict[Series, Buckets]]:
-    """Give the histograms of each reading: since the start at first, then since the one before."""
+    """Yield the histograms of each reading: the first since the start, others since the last."""
     readings = (parse_histograms(text) for text in texts)
     first = next(readings, None)
     if first is None:
