--- a/cloverway/addresses.py
+++ b/cloverway/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as text, "IP:PORT" with an IPv6 number in brackets, and as sockets have them."""
+"""Convert addresses between text, "IP:PORT" with IPv6 in brackets, and the form of sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_address(address: str) -> str:
-    """Raise ValueError unless an address is an IP number and a port."""
+    """Return an address unchanged; raise ValueError unless it is an IP number and a port."""
     found = ADDRESS.fullmatch(address)
     if found is None or not 0 < int(found["port"]) < 2**16:
         raise ValueError("must be an IP number and a port, such as 10.0.0.1:7000")
@@ -20,7 +20,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split an address into its IP number, without brackets, and its port."""
+    """Split an address into its IP number, without brackets, and port."""
     number, _, port = address.rpartition(":")
     return number.strip("[]"), int(port)
 
@@ -32,6 +32,6 @@
 
 
 def format_address(name: Any) -> str:
-    """Give the address for what a socket calls its own or its peer's name."""
+    """Return the address as text, from the value of `getsockname` or `getpeername`."""
     number, port = name[:2]
     return f"[{number}]:{port}" if ":" in number else f"{number}:{port}"
--- a/cloverway/answers.py
+++ b/cloverway/answers.py
@@ -1,4 +1,4 @@
-"""Answers as a caller reads them: whole or known to be cut, and refusals with their promise."""
+"""Read answers in the callers' client: complete or reported as truncated, and error answers."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class Answer:
-    """An answer whose head has arrived; iterate over it for its pieces.
+    """An answer whose header has arrived; iterate over it to read the body in pieces.
 
-    Iterating raises CallError with Kind.TRUNCATED when the answer ends before it is whole.
+    Iterating raises CallError with Kind.TRUNCATED if the answer ends before it is complete.
     """
 
     def __init__(
@@ -43,46 +43,46 @@
 
     @property
     def request_id(self) -> str:
-        """The id by which operators find the request in their logs."""
+        """The id of the request in the logs of the hosts."""
         return self.headers.get(REQUEST_ID, "")
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer comes as server-sent events."""
+        """Whether the answer is a stream of server-sent events."""
         return self.content_type.startswith("text/event-stream")
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body; raise CallError when the answer was cut."""
+        """Yield the pieces of the body; raise CallError if the answer was truncated."""
         try:
             yield from self._iterate_framed()
         except (HTTPError, OSError) as error:
             raise self._make_truncated_error(
-                f"the connection ended midway ({type(error).__name__})"
+                f"the connection closed before the end of the answer ({type(error).__name__})"
             ) from error
         finally:
             self.close()
 
     def read(self) -> bytes:
-        """Give the whole body; raise CallError when the answer was cut or is too large."""
+        """Return the complete body; raise CallError if it was truncated or is too large."""
         pieces: list[bytes] = []
         size = 0
         for piece in self:
             size += len(piece)
             if size > MAX_ANSWER_BYTES:
-                raise self._make_truncated_error("the answer is larger than this client takes")
+                raise self._make_truncated_error("the answer exceeds the size limit of this client")
             pieces.append(piece)
         return b"".join(pieces)
 
     def read_text(self) -> Iterator[str]:
-        """Give the generated text of a stream piece by piece, or of a whole answer at once.
+        """Yield the generated text of a stream piece by piece, or of a plain answer at once.
 
-        Raises CallError when a stream ends without its closing event.
+        Raises CallError if a stream ends without its closing event.
         """
         if not self.is_stream:
             yield self._read_event(self.read().decode("utf-8", "replace"))
             return
         ended = False
-        # Read on after the closing event: without its last chunk the stream was cut, too.
+        # Read past the closing event: a stream without its last chunk is truncated as well.
         for data in parse_events(iter(self)):
             ended = ended or data == END_OF_STREAM
             if not ended:
@@ -91,15 +91,17 @@
             raise self._make_truncated_error("the stream ended without its closing event")
 
     def close(self) -> None:
-        """Close the connection; the host then cancels what still runs."""
+        """Close the connection; the host then cancels a request that still runs."""
         self._response.close()
         self._connection.close()
 
     def _iterate_framed(self) -> Iterator[bytes]:
         chunked = "chunked" in self.headers.get("transfer-encoding", "")
         if not chunked and "content-length" not in self.headers:
-            # Without framing, a lost connection looks just like the end of the answer.
-            raise self._make_truncated_error("the answer has no framing, so its end can't be known")
+            # Without framing, a lost connection can't be told from the end of the answer.
+            raise self._make_truncated_error(
+                "the answer has neither Content-Length nor chunked framing, so its end is unknown"
+            )
         if chunked:
             yield from self._response.read_chunked()
         else:
@@ -122,7 +124,7 @@
 
 
 def read_error_answer(answer: Answer) -> CallError:
-    """Read the body of a failed answer."""
+    """Read an error answer; return the exception for it."""
     try:
         problem = json.loads(answer.read())
     except (ValueError, CallError):
@@ -135,7 +137,7 @@
 def read_problem(
     problem: Mapping[str, Any], status: int, headers: Mapping[str, str], key: str, host: str
 ) -> CallError:
-    """Read problem+json; what it does not say plainly counts as an unknown outcome."""
+    """Convert problem+json to an exception; a missing or unreadable `ran` counts as unknown."""
     kinds = {str(kind): kind for kind in Kind}
     outcomes = {str(ran): ran for ran in Ran}
     kind = kinds.get(str(problem.get("kind")), Kind.INTERNAL)
@@ -152,13 +154,15 @@
 
 
 def parse_events(pieces: Iterator[bytes]) -> Iterator[str]:
-    """Give the data of each server-sent event; an event without its blank line is left out."""
+    """Yield the data of each server-sent event; skip an event without its closing blank line."""
     buffer = b""
     for piece in pieces:
         buffer = (buffer + piece).replace(b"\r\n", b"\n")
         *events, buffer = buffer.split(b"\n\n")
         if len(buffer) > MAX_EVENT_BYTES:
-            raise CallError(Kind.TRUNCATED, "an event of the stream is too large")
+            raise CallError(
+                Kind.TRUNCATED, "an event of the stream exceeds the size limit of this client"
+            )
         for event in events:
             lines = [line for line in event.split(b"\n") if line.startswith(b"data:")]
             if lines:
@@ -166,7 +170,7 @@
 
 
 def extract_text(document: Any) -> str:
-    """Give the text of a completion or of one event of a stream."""
+    """Return the text of a completion or of one event of a stream."""
     choices = document.get("choices") if isinstance(document, dict) else None
     if not choices:
         return ""
@@ -176,7 +180,7 @@
 
 
 def join_address(connection: urllib3.HTTPConnectionPool) -> str:
-    """Give the address at the other end, as an IP number and a port."""
+    """Return the remote address as IP:PORT."""
     return f"{connection.host}:{connection.port}"
 
 
--- a/cloverway/client.py
+++ b/cloverway/client.py
@@ -1,7 +1,7 @@
-"""The callers' client: ask which entry hosts to use, call one, and know whether an answer is whole.
+"""The callers' client: look up the entry hosts, call one, and detect truncated answers.
 
-Every exchange has a connection of its own. A pooled one may have gone silent or been closed by
-the other end, and then nobody can tell whether a request was sent.
+Every call has a connection of its own. A pooled connection may be dead or already closed by the
+other end, and then the client can't know whether a request was sent.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 CONNECT_TIMEOUT_S = 2.0
 LOOKUP_TIMEOUT_S = 3.0
 ANSWER_TIMEOUT_S = 600.0
-"""The longest wait for the next byte of an answer whose call names no deadline."""
+"""Maximum wait for the next byte of an answer to a call without a deadline."""
 DEADLINE_GRACE_S = 2.0
-"""What the host's own final answer may need after the deadline that a call names."""
+"""Time allowed for the host's final answer to arrive after the deadline of a call."""
 MIN_WAIT_S = 0.1
 KEEPALIVE = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -35,15 +35,15 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 5),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
 )
-"""Probes that end a connection gone silent for good within 35 s, however long an answer takes."""
+"""Keepalive probes that close a dead connection within 35 s, however long an answer takes."""
 NEXT_HOST_KINDS = (Kind.LEAVING, Kind.STARTING)
-"""Kinds that concern one host only: another one is asked at once."""
+"""Errors that concern one host only: the next host is tried at once."""
 RETRY_LATER_KINDS = (Kind.OVERLOADED, Kind.TEAM_LIMIT, Kind.NO_CAPACITY, Kind.ENDPOINT_REFUSED)
-"""Kinds that pass: a new attempt makes sense after Retry-After."""
+"""Temporary errors: the call is retried after Retry-After."""
 
 
 class EntryHost(NamedTuple):
-    """An entry host that callers may use now."""
+    """An entry host that callers may use at present."""
 
     name: str
     address: str
@@ -56,11 +56,11 @@
 
     hosts: tuple[EntryHost, ...]
     lifetime_s: float = 0.0
-    """How long the list may be used before it is asked for again."""
+    """Seconds for which the list may be used before it is requested again."""
 
 
 class Call(NamedTuple):
-    """What is sent to an entry host."""
+    """A call to an entry host."""
 
     path: str
     body: bytes = b""
@@ -68,9 +68,9 @@
     method: str = "POST"
     content_type: str = "application/json"
     deadline_ms: int = 0
-    """Time for the whole answer in milliseconds; 0 leaves it to the profile."""
+    """Time for the complete answer in milliseconds; 0 uses the deadline of the profile."""
     key: str = ""
-    """An idempotency key; a repeat carries the same one."""
+    """An idempotency key; a repeated call carries the same key."""
 
     @classmethod
     def for_chat(
@@ -81,19 +81,19 @@
         stream: bool = False,
         **fields: Any,
     ) -> Call:
-        """Make a chat completion call; the profile names the model."""
+        """Return a chat completion call; the profile selects the model."""
         document = {"messages": list(messages), "stream": stream, **fields}
         return cls("/v1/chat/completions", json.dumps(document).encode(), profile)
 
     @classmethod
     def for_service(cls, profile: str, service: str, path: str, document: Any) -> Call:
-        """Make a call of a plain service."""
+        """Return a call to a plain service."""
         body = json.dumps(document).encode()
         return cls(f"/v1/services/{service}/{path.lstrip('/')}", body, profile)
 
 
 class Client:
-    """Calls on behalf of one team."""
+    """Sends calls on behalf of one team."""
 
     def __init__(
         self,
@@ -107,14 +107,14 @@
         self._addresses = tuple(addresses)
         self._caller_key = caller_key
         self._retry_timeout_s = patience_s
-        """How long attempts and waits between them may take until the last one starts."""
+        """Seconds from the first attempt until the last one may start."""
         self._clock = clock
         self._sleep = sleep
         self._host_list = HostList(())
         self._host_list_read_at = float("-inf")
 
     def list_hosts(self) -> HostList:
-        """Ask known addresses in turn which entry hosts to use; raise CallError if none says."""
+        """Return the entry hosts to use, from the first address that answers; raise CallError."""
         now = self._clock()
         if now < self._host_list_read_at + self._host_list.lifetime_s:
             return self._host_list
@@ -136,14 +136,14 @@
         document = self._ask(address, "POST", "/v1/idempotency-keys")
         keys = document.get("keys") if isinstance(document, dict) else None
         if not keys or not isinstance(keys, list):
-            raise CallError(Kind.INTERNAL, "the host gave no key", ran=Ran.NO, host=address)
+            raise CallError(Kind.INTERNAL, "the host issued no key", ran=Ran.NO, host=address)
         return str(keys[0])
 
     def call(self, call: Call, *, once: bool = False) -> Answer:
-        """Send a call and give its answer as soon as its head arrives.
+        """Send a call and return its answer as soon as the header arrives; raise CallError.
 
-        With `once`, each attempt carries a new idempotency key from the host that is asked. A new
-        attempt is made only after the promise that the one before did not run. Raises CallError.
+        With `once`, each attempt carries a new idempotency key from the host that is called. A new
+        attempt is made only if the host guarantees that the previous one did not run.
         """
         give_up_at = self._clock() + self._retry_timeout_s
         tried: list[str] = []
@@ -156,7 +156,7 @@
                 wait = decide_wait(error, len(untried) > 1, self._clock(), give_up_at)
                 if wait is None:
                     raise
-                log.info("a call is tried again", extra={"kind": error.kind, "wait_s": wait})
+                log.info("retrying a call", extra={"kind": error.kind, "wait_s": wait})
             tried.append(untried[0])
             if wait > 0:
                 self._sleep(wait)
@@ -200,7 +200,7 @@
                 Kind.INTERNAL, f"{path} is not JSON", ran=Ran.NO, host=address
             ) from error
         except CallError as error:
-            # A lookup runs nothing, so whatever became of it, the call itself was not sent.
+            # A lookup runs nothing at an endpoint, so even if it fails, the call was not sent.
             raise CallError(
                 error.kind,
                 error.detail,
@@ -213,7 +213,7 @@
 
 
 def ask(address: str, call: Call, headers: Mapping[str, str]) -> bytes:
-    """Send one call, without a new attempt, and give its whole answer; raise CallError."""
+    """Send one call without retries and return its complete answer; raise CallError."""
     connection = _connect(address, LOOKUP_TIMEOUT_S)
     answer = Answer(_exchange(connection, call, headers), connection, call.path)
     if answer.status >= 400:
@@ -222,9 +222,9 @@
 
 
 def decide_wait(error: CallError, others: bool, now: float, give_up_at: float) -> float | None:
-    """Decide how many seconds to wait before the next attempt, or None to give up.
+    """Return the seconds to wait before the next attempt, or None to give up.
 
-    `others` says whether there is a host that was not tried yet.
+    `others` tells whether there is a host that was not tried yet.
     """
     if error.ran is not Ran.NO:
         return None
@@ -238,7 +238,7 @@
 
 
 def read_host_list(document: Any) -> HostList:
-    """Read the answer to GET /v1/hosts; raise CallError when it has another form."""
+    """Parse the answer to GET /v1/hosts; raise CallError if its form is invalid."""
     try:
         hosts = tuple(
             EntryHost(
@@ -251,11 +251,11 @@
         )
         return HostList(hosts, float(document.get("lifetime_s", 0.0)))
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise CallError(Kind.INTERNAL, "the host list has an unknown form", ran=Ran.NO) from error
+        raise CallError(Kind.INTERNAL, "the host list has an invalid form", ran=Ran.NO) from error
 
 
 def _choose_timeout(call: Call) -> float:
-    """Give the seconds to wait for the next byte of an answer."""
+    """Return the seconds to wait for the next byte of an answer."""
     return call.deadline_ms / 1000 + DEADLINE_GRACE_S if call.deadline_ms else ANSWER_TIMEOUT_S
 
 
@@ -271,7 +271,7 @@
 def _exchange(
     connection: urllib3.HTTPConnectionPool, call: Call, headers: Mapping[str, str]
 ) -> urllib3.BaseHTTPResponse:
-    """Send a call and wait for the head of its answer."""
+    """Send a call and wait for the header of its answer."""
     host = join_address(connection)
     try:
         return connection.request(
@@ -297,7 +297,7 @@
         connection.close()
         raise CallError(
             Kind.TIMED_OUT,
-            f"the host gave no answer ({type(error).__name__})",
+            f"the host did not answer ({type(error).__name__})",
             key=call.key,
             host=host,
             reached=False,
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon `cloverwayd`: puts the tasks of one entry host together, runs and drains them."""
+"""The daemon `cloverwayd`: creates the tasks of one entry host, runs them and drains them."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 INCARNATION_BYTES = 8
 DRAIN_POLL_S = 0.05
 LEAVING_NOTICE_HEARTBEATS = 4
-"""Heartbeat periods that other hosts and callers are given to notice that this host leaves."""
+"""Heartbeat periods in which other hosts and callers learn that this host is leaving."""
 THREAD_STACK_BYTES = 256 * 1024
-"""Stack of each thread; hundreds of them wait for callers."""
+"""Stack size of each thread; hundreds of threads wait for callers."""
 
 
 class Daemon:
-    """One entry host: all its tasks, started and ended together."""
+    """One entry host: all its tasks, started and stopped together."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -64,11 +64,11 @@
 
     @classmethod
     def from_config(cls, path: Path) -> Daemon:
-        """Make a daemon from its settings file; raise ConfigurationError."""
+        """Create a daemon from its settings file; raise ConfigurationError."""
         return cls(Settings.from_toml(path))
 
     def start(self) -> None:
-        """Start every task, or none; raises OSError when an address can't be bound."""
+        """Start all tasks or none; raise OSError if an address can't be bound."""
         components = (
             self.metrics,
             self.dispatcher,
@@ -79,8 +79,8 @@
             self.admin,
             self.callers,
         )
-        # Threads of a part that had started would keep the process there, doing nothing: whatever
-        # watches over it would take it for alive and start no other.
+        # Threads of components that had already started would keep a failed process alive. A
+        # supervisor would then treat it as running and would not restart it.
         with ExitStack() as undo:
             for component in components:
                 component.start()
@@ -89,23 +89,23 @@
         log.info("started", extra={"version": __version__, "callers": self.callers.address})
 
     def begin_leaving(self) -> None:
-        """Take no new work from now on; `wait_for_leave` sees it."""
+        """Accept no new work from now on, and make `wait_for_leave` return."""
         self.control.begin_leaving()
         self.keys.leave()
         self.callers.stop_accepting()
         self._leaving.set()
 
     def wait_for_leave(self) -> None:
-        """Wait until a signal or an operator asks the daemon to leave."""
+        """Wait until a signal or an operator makes the daemon leave."""
         self._leaving.wait()
 
     def drain(
         self, is_interrupted: Callable[[], bool], now: Callable[[], float] = time.monotonic
     ) -> int:
-        """Wait for all requests in progress, and give how many were cut.
+        """Wait for all requests in progress; return how many are left if interrupted.
 
         Each request ends by its own deadline, so the wait is bounded. Until other hosts and
-        callers have noticed, new requests are still answered: refused, with when to come back.
+        callers have noticed, new requests are still answered, with a refusal and Retry-After.
         """
         notice_ends_at = now() + LEAVING_NOTICE_HEARTBEATS * self.settings.timing.heartbeat_s
         warn_at = now() + self.settings.limits.drain_s
@@ -118,20 +118,20 @@
         return self.count_in_progress()
 
     def _has_pending_work(self) -> bool:
-        """Tell whether requests are in progress here, or callers hold keys that were issued here.
+        """Return whether requests are in progress, or callers have unused keys issued here.
 
-        A key whose issuer is gone can't be used: its caller would be told `ran: unknown` of work
-        that nobody has begun.
+        A key whose issuer is gone can't be used: its caller would get `ran: unknown` for work
+        that was never started.
         """
         hold_s = self.settings.limits.key_hold_s
         return self.count_in_progress() > 0 or self.keys.is_needed(hold_s)
 
     def count_in_progress(self) -> int:
-        """Count requests of callers, and those passed on by other hosts."""
+        """Return the number of requests from callers and of those forwarded by other hosts."""
         return max(self.callers.in_progress(), self.dispatcher.in_flight())
 
     def stop(self) -> None:
-        """End every task, the listeners first."""
+        """Stop all tasks, the listeners first."""
         self.callers.stop()
         self.admin.stop()
         self.peer_server.stop()
@@ -149,7 +149,7 @@
         self.metrics = Metrics(time.monotonic, GAP_BOUNDS_S)
         reporter = Reporter(self.metrics, holder)
         self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
-        # What the dispatcher sees of endpoints that end, the control loop tells to other hosts.
+        # The dispatcher records crashes of endpoints; the control loop reports them to other hosts.
         tracker = CrashTracker(settings.quarantine)
         self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
         self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_store)
@@ -200,7 +200,7 @@
         self.admin = AdminServer(self.settings, self.holder, operations)
 
     def _cancel_request(self, request_id: str) -> None:
-        """End what is left to do for a caller that left before its answer began."""
+        """Cancel the request of a caller that disconnected before its answer began."""
         self.dispatcher.cancel(request_id)
         self.endpoints.give_up(request_id)
 
@@ -213,7 +213,7 @@
         return found.peers if found else None
 
     def _may_store(self, team: str, profile: str, host: str) -> bool:
-        """Tell whether data of a team may be held at a host; unknown counts as no."""
+        """Return whether data of a team may be stored at a host; False if that is unknown."""
         published = self.holder.current.published
         if published is None or host not in published.hosts:
             return False
@@ -225,7 +225,7 @@
 
 
 def run(path: Path) -> int:
-    """Run a daemon until it has left; give its exit status."""
+    """Run a daemon until it has left; return its exit status."""
     daemon = Daemon.from_config(path)
     configure_logs(daemon.settings.log_level, daemon.settings.host, daemon.incarnation)
     signals = _count_signals(daemon)
@@ -234,7 +234,7 @@
     interrupted_count = daemon.drain(lambda: len(signals) > 1)
     if interrupted_count:
         log.error(
-            "requests in progress are cut by a second signal", extra={"count": interrupted_count}
+            "a second signal interrupts requests in progress", extra={"count": interrupted_count}
         )
     daemon.stop()
     log.info("stopped")
@@ -242,7 +242,7 @@
 
 
 def _count_signals(daemon: Daemon) -> list[int]:
-    """Leave at the first SIGTERM or SIGINT; the list given grows with each signal."""
+    """Leave at the first SIGTERM or SIGINT; return a list that grows with each signal."""
     signals: list[int] = []
 
     def handle_signal(number: int, frame: object) -> None:
@@ -265,7 +265,7 @@
 ) -> None:
     """Run one entry host of cloverway.
 
-    SIGTERM makes it leave: no request in progress is cut. A second SIGTERM cuts what is left.
+    SIGTERM drains the host: requests in progress are completed. A second SIGTERM interrupts them.
     """
     threading.stack_size(THREAD_STACK_BYTES)
     try:
@@ -280,7 +280,7 @@
 
 
 def main() -> None:
-    """Enter from the command line."""
+    """Run the command line of the daemon."""
     app()
 
 
--- a/cloverway/errors.py
+++ b/cloverway/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, the answer each one gives, and the exception tree."""
+"""Error kinds, the answer that each kind gives to a caller, and the exception hierarchy."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import NamedTuple, TypedDict
 
 DEFAULT_RETRY_AFTER_S = 1.0
-"""When to come back where nothing better is known."""
+"""Seconds for Retry-After where no better time is known."""
 
 
 class Ran(StrEnum):
-    """Whether a request was run by an endpoint; `NO` is a promise."""
+    """Whether an endpoint ran a request; `NO` is a guarantee that it did not."""
 
     NO = "no"
     YES = "yes"
@@ -21,12 +21,12 @@
 
 
 def combine_ran(first: Ran, second: Ran) -> Ran:
-    """Give the claim about a run that covers two attempts."""
+    """Return the statement that is true of both attempts: yes over unknown over no."""
     return max(first, second, key=RAN_ORDER.index)
 
 
 class Kind(StrEnum):
-    """Every way in which a request can fail."""
+    """All the ways in which a request can fail; the list is closed."""
 
     MALFORMED = "malformed"
     UNAUTHENTICATED = "unauthenticated"
@@ -60,7 +60,7 @@
 
 
 class ErrorAnswer(NamedTuple):
-    """What a caller is told for one kind of error."""
+    """The answer that callers get for one kind of error."""
 
     status: int
     title: str
@@ -105,7 +105,7 @@
 
 
 class Problem(TypedDict, total=False):
-    """The body of a failed answer: application/problem+json (RFC 9457)."""
+    """The body of an error answer: application/problem+json (RFC 9457)."""
 
     type: str
     title: str
@@ -122,11 +122,11 @@
 
 
 class UserError(CloverwayError):
-    """A mistake that a person can mend; shown without a traceback."""
+    """A mistake that the user can correct; shown without a traceback."""
 
 
 class ConfigurationError(UserError):
-    """Settings or published documents that can't be used, with every finding."""
+    """Invalid settings or published documents; carries every finding."""
 
     def __init__(self, findings: list[str]) -> None:
         super().__init__("\n".join(findings))
@@ -138,15 +138,15 @@
 
 
 class DocumentError(CloverwayError):
-    """A published document can't be read."""
+    """A published document could not be read."""
 
 
 class PeerError(CloverwayError):
-    """A peer could not be reached, or said something that can't be trusted."""
+    """A peer could not be reached, or sent a message that is invalid or not authentic."""
 
 
 class RequestError(CloverwayError):
-    """A request failed; carries all that its answer needs."""
+    """A request failed; carries the contents of its error answer."""
 
     def __init__(
         self,
@@ -160,13 +160,14 @@
         self.kind = kind
         self.detail = detail
         self.ran = ran if ran is not None else ERROR_ANSWERS[kind].ran
-        # A refusal without a time has callers come back at once or never; each one that promises a
-        # time gets it here, so that no place that raises can forget it. Where the outcome is not
-        # known, a place may mean it: a replaced issuer never knows more, however late one asks.
+        # Callers that get a refusal without Retry-After retry at once or never. The default is set
+        # here so that no code that raises the error can omit it. Where the outcome is unknown, the
+        # omission may be intended: an issuer that was replaced never learns more, so a later retry
+        # makes no difference.
         if retry_after is None and self.ran is Ran.NO and ERROR_ANSWERS[kind].has_retry_after:
             retry_after = DEFAULT_RETRY_AFTER_S
         self.retry_after = retry_after
-        """Seconds until a new attempt makes sense; None for kinds that name no time."""
+        """Seconds until a new attempt is useful; None for kinds without Retry-After."""
 
     @property
     def status(self) -> int:
@@ -174,7 +175,7 @@
         return ERROR_ANSWERS[self.kind].status
 
     def as_problem(self, request_id: str) -> Problem:
-        """Give the body of the answer."""
+        """Return the body of the error answer."""
         answer = ERROR_ANSWERS[self.kind]
         problem = Problem(
             type=f"urn:cloverway:error:{self.kind}",
@@ -191,11 +192,11 @@
 
 
 class EndpointLostError(RequestError):
-    """The connection to an endpoint broke while it ran a request, as when the endpoint ends."""
+    """The connection to an endpoint broke while it ran a request, as in a crash of the endpoint."""
 
 
 class CallError(RequestError):
-    """A call by `cloverway.client` failed; carries what a report or a repeat needs."""
+    """A call by `cloverway.client` failed; carries what a report or a retry needs."""
 
     def __init__(
         self,
@@ -211,9 +212,9 @@
     ) -> None:
         super().__init__(kind, detail, ran=ran, retry_after=retry_after)
         self.key = key
-        """The idempotency key it was sent with, or empty."""
+        """The idempotency key that the call was sent with, or empty."""
         self.request_id = request_id
         self.host = host
-        """The address of the entry host that was asked last."""
+        """The address of the entry host that was called last."""
         self.reached = reached
-        """Whether that host answered; if not, another one may."""
+        """Whether that host answered; if it did not, another host may."""
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -1,7 +1,7 @@
-"""The course of one request: claim its key, get a route, run it, retry where that is safe, settle.
+"""Run one request: claim its idempotency key, get a route, send, retry where safe, settle the key.
 
-The order of the steps carries the promises: the key is claimed before a route is asked for, and
-what the caller is told about `ran` is the worst of all attempts.
+The guarantees depend on the order: the key is claimed before a route is requested, and `ran` in
+the answer covers all attempts.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 PreSendCheck = Callable[[], None]
 
 SETTLEMENT_OUTCOMES = {Ran.NO: Outcome.NOT_SENT, Ran.UNKNOWN: Outcome.FAILED, Ran.YES: Outcome.DONE}
-"""What the issuer of a key is told, by what is known of the run."""
+"""The outcome that is reported to the issuer of a key, by what is known of the run."""
 
 NOT_STARTED_KINDS = frozenset(
     {Kind.ENDPOINT_REFUSED, Kind.LEAVING, Kind.STARTING, Kind.NO_CAPACITY}
 )
-"""Refusals before the start, after which another endpoint may be tried for any profile."""
+"""Refusals before the start, after which a request of any profile may be retried elsewhere."""
 
 IDEMPOTENT_RETRY_KINDS = frozenset({Kind.ENDPOINT_FAILED, Kind.TRUNCATED})
-"""Failures after the start, after which only an idempotent request is tried again."""
+"""Failures after the start, after which only an idempotent request is retried."""
 
 
 class RequestRecord(NamedTuple):
-    """What is logged and measured of one request, when it has ended."""
+    """The data about a finished request that are logged and counted in metrics."""
 
     request: Request
     endpoint: str = ""
@@ -50,26 +50,26 @@
 
 
 class KeyClaims(Protocol):
-    """Asks the issuer of a key for the right to use it."""
+    """Requests from the issuer of a key the right to use it."""
 
     def claim(self, request: Request) -> Granted | Replayed:
-        """Give the right, or the recorded answer of the first use; raise RequestError."""
+        """Return the right, or the recorded answer of the first use; raise RequestError."""
         ...
 
     def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
-        """Tell the issuer how the use ended; returns at once."""
+        """Report to the issuer how the use ended, without waiting."""
         ...
 
 
 class Router(Protocol):
-    """The dispatcher, as the course of a request sees it."""
+    """The part of the dispatcher that the gateway uses."""
 
     def submit(self, request: Request) -> Verdict:
-        """Wait for a route or a refusal."""
+        """Wait for a route or a refusal, and return it."""
         ...
 
     def started(self, ticket: int, at: float) -> None:
-        """Tell that the first byte of the answer came."""
+        """Report that the first byte of the answer arrived."""
         ...
 
     def finished(
@@ -80,9 +80,9 @@
         retry: bool = False,
         pause_s: float | None = None,
     ) -> Verdict | None:
-        """Tell how an attempt ended, and get another route where asked for.
+        """Report how an attempt ended, and return another route if `retry` is set.
 
-        `pause_s` is how long the endpoint wants nothing from this host, where it said so.
+        `pause_s` is how long the endpoint asked this host to send no requests, if it did.
         """
         ...
 
@@ -100,12 +100,15 @@
         priority: int,
         check: PreSendCheck,
     ) -> Reply:
-        """Send and give the answer's head or whole; raise RequestError with `ran` set."""
+        """Send; return once the header of the answer, or all of it, arrived.
+
+        Raises RequestError with `ran` set.
+        """
         ...
 
 
 class Peers(Protocol):
-    """Passes requests on to hosts of other failure domains."""
+    """Forwards requests to hosts of other failure domains."""
 
     def run(
         self,
@@ -116,12 +119,12 @@
         idempotent: bool = False,
         start_by: float | None = None,
     ) -> Reply:
-        """Pass on and give the answer; raise RequestError with `ran` set."""
+        """Forward and return the answer; raise RequestError with `ran` set."""
         ...
 
 
 class Ports(NamedTuple):
-    """All that the course of a request talks to."""
+    """The parts of the daemon that the gateway uses."""
 
     holder: ViewHolder
     router: Router
@@ -146,7 +149,10 @@
         self.max_recorded_bytes = max_recorded_bytes
 
     def run(self, request: Request) -> Reply:
-        """Run a request to the head of its answer; raise RequestError with the truth on `ran`."""
+        """Run a request to the header of its answer.
+
+        Raises RequestError, whose `ran` covers all attempts.
+        """
         request_run = _RequestRun(self, request)
         try:
             return request_run.run()
@@ -160,14 +166,14 @@
 
 
 class _RequestRun:
-    """The state of one request while its worker runs it."""
+    """The state of one request while a worker thread runs it."""
 
     def __init__(self, gateway: RequestGateway, request: Request) -> None:
         self.gateway = gateway
         self.request = request
         self.grant: Granted | None = None
-        # An earlier request with the same key may have run: until its issuer was asked, "no" could
-        # make the caller do the work again under another key.
+        # An earlier request with the same key may have run. Until the issuer of the key has
+        # answered, "no" could make the caller do the work again under another key.
         self.ran = Ran.UNKNOWN if request.key and not request.is_forwarded else Ran.NO
         self.record = RequestRecord(request)
         self.ended = False
@@ -263,10 +269,10 @@
         )
 
     def _check_before_send(self, domain: str) -> None:
-        """Refuse just before the first byte leaves what may no longer be run.
+        """Raise RequestError if the request may no longer run; called before the first byte.
 
-        A process that was paused wakes up here: its deadline has passed or its right to use the
-        key has run out, and without the check the work would run after the caller was told
+        A process that was paused may resume here after the deadline, or after its right to use
+        the key has expired. Without the check the work would run after the caller was told
         otherwise. Nothing has been sent yet, so `ran: no` is true.
         """
         now = self.gateway.clock()
@@ -280,13 +286,13 @@
     def _finish_failed(
         self, admitted: Admitted, profile: Profile, error: RequestError
     ) -> Verdict | None:
-        """Report a failed attempt; give another route, or None when the error is final."""
+        """Report a failed attempt; return another route, or None if the error is final."""
         self.ran = combine_ran(self.ran, error.ran)
-        not_run = error.ran is Ran.NO and error.kind in NOT_STARTED_KINDS
-        failed = profile.idempotent and error.kind in IDEMPOTENT_RETRY_KINDS
+        not_started = error.ran is Ran.NO and error.kind in NOT_STARTED_KINDS
+        may_rerun = profile.idempotent and error.kind in IDEMPOTENT_RETRY_KINDS
         outcome = _choose_outcome(error)
         now = self.gateway.clock()
-        retry = (not_run or failed) and now < self.request.deadline
+        retry = (not_started or may_rerun) and now < self.request.deadline
         pause_s = error.retry_after if error.kind is Kind.ENDPOINT_REFUSED else None
         verdict = self.gateway.ports.router.finished(admitted.ticket, outcome, now, retry, pause_s)
         if isinstance(verdict, Refused):
@@ -303,8 +309,8 @@
             return reply
 
         def end_stream(error: RequestError | None, body: bytes | None = None) -> None:
-            whole = reply._replace(stream=None, body=body) if body is not None else None
-            self._finish_answer(admitted, error, whole)
+            recorded_reply = reply._replace(stream=None, body=body) if body is not None else None
+            self._finish_answer(admitted, error, recorded_reply)
 
         if self.grant is not None:
             recorded = RecordedStream(reply.stream, self.gateway.max_recorded_bytes, end_stream)
@@ -332,7 +338,7 @@
 
 
 def _choose_outcome(error: RequestError, started: bool = False) -> Outcome:
-    """Give how an attempt ended that failed, before or after its answer had started."""
+    """Return the outcome of a failed attempt, before or after its answer had started."""
     if error.kind is Kind.CALLER_LEFT:
         return Outcome.CALLER_LEFT
     if error.ran is Ran.NO and not started:
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -1,7 +1,7 @@
-"""An open-loop load on one or more targets at a time, with histograms of what callers see.
+"""Open-loop load generator for one or more targets, with latency histograms per target.
 
-Arrivals do not wait for answers, so that a slow target can't thin out its own load. Targets are
-sent to in turn, arrival by arrival: what disturbs one disturbs the others as well.
+Arrivals don't wait for answers, so a slow target does not reduce its own load. Arrivals go to the
+targets in turn, so that a disturbance affects all targets alike.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 
 class Target(NamedTuple):
-    """Where a part of the load goes, and with which headers."""
+    """A target of the load, with the headers that it needs."""
 
     name: str
     addresses: tuple[str, ...]
-    """Each as IP:PORT; calls go to them in turn."""
+    """Addresses as IP:PORT; calls use them in turn."""
     headers: Mapping[str, str] = {}
 
 
@@ -47,26 +47,26 @@
 
 
 class LoadPlan(NamedTuple):
-    """The size of a load; both its count and its time are bounded."""
+    """The size of a load, limited in concurrency and in time."""
 
     streams: int
-    """Streams that run at one time on each target, when each lasts as long as expected."""
+    """Concurrent streams on each target, if each takes the expected time."""
     seconds: float
     tokens: int
     token_s: float
-    """Time between tokens that the endpoint is set to, in seconds."""
+    """Expected inter-token latency of the endpoint, in seconds."""
     timeout_s: float = 60.0
     model: str = ""
     prompt: str = "Is insulin in stock?"
 
     @property
     def arrivals_per_s(self) -> float:
-        """Arrivals a second on each target that keep the wanted number of streams running."""
+        """Arrivals per second at each target that keep `streams` streams running."""
         return self.streams / (self.tokens * self.token_s)
 
 
 class LoadStats:
-    """What the callers of one target saw. Times are microseconds."""
+    """Outcomes and latencies measured by the callers of one target, in microseconds."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
@@ -75,16 +75,16 @@
         self.tokens = 0
 
     def record_first_token(self, seconds: float) -> None:
-        """Count the time to a first token."""
+        """Record a time to first token."""
         self.first_token.record_value(max(1, round(seconds * US_PER_SECOND)))
 
     def record_token_gap(self, seconds: float) -> None:
-        """Count the time between two tokens."""
+        """Record the time between two tokens."""
         self.token_gaps.record_value(max(1, round(seconds * US_PER_SECOND)))
 
 
 def schedule_arrivals(plan: LoadPlan, targets: int, random: Random) -> Iterator[tuple[float, int]]:
-    """Give (seconds from the start, target) of each arrival, as a Poisson process."""
+    """Yield (seconds from the start, index of the target) of each arrival of a Poisson process."""
     rate = plan.arrivals_per_s * targets
     at = 0.0
     for target_index in itertools.cycle(range(targets)):
@@ -95,7 +95,7 @@
 
 
 def run_load(targets: Sequence[Target], plan: LoadPlan, random: Random) -> list[LoadStats]:
-    """Run a load to its end and give the figures of each target."""
+    """Run a load to its end and return the measurements of each target."""
     return asyncio.run(_run_all(targets, plan, random))
 
 
@@ -142,22 +142,22 @@
     reader: asyncio.StreamReader, body: BodyParser, stats: LoadStats, started_at: float
 ) -> str:
     events = EventStream(body)
-    seen, last = 0, started_at
+    token_count, last_at = 0, started_at
     while not events.whole:
         data = await reader.read(READ_BYTES)
         if not data:
             return TRUNCATED
         events.feed(data)
-        fresh = events.tokens - seen
-        if not fresh:
+        new_tokens = events.tokens - token_count
+        if not new_tokens:
             continue
         now = time.monotonic()
-        if seen:
-            stats.record_token_gap((now - last) / fresh)
+        if token_count:
+            stats.record_token_gap((now - last_at) / new_tokens)
         else:
             stats.record_first_token(now - started_at)
-        stats.tokens += fresh
-        seen, last = events.tokens, now
+        stats.tokens += new_tokens
+        token_count, last_at = events.tokens, now
     return COMPLETE
 
 
--- a/cloverway/logs.py
+++ b/cloverway/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line on standard error."""
+"""Logging configuration: one JSON object a line on standard error."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def configure_logs(level: str, host: str, incarnation: str, stream: TextIO | None = None) -> None:
-    """Log as JSON, each line with the host and its incarnation.
+    """Log as JSON, with the host and its incarnation in each line.
 
-    Library loggers that write addresses and paths of each call are kept at warnings.
+    Library loggers that would write addresses and paths of each call log only warnings and above.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(make_formatter(host, incarnation))
@@ -28,7 +28,7 @@
 
 
 def make_formatter(host: str, incarnation: str) -> JsonFormatter:
-    """Give the formatter of all lines."""
+    """Return the formatter of all log lines."""
     return JsonFormatter(
         LOG_FORMAT,
         rename_fields=FIELD_NAMES,
--- a/cloverway/messages.py
+++ b/cloverway/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the tasks of a daemon."""
+"""Typed messages that the tasks of a daemon exchange."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 class Request(NamedTuple):
-    """An authenticated request, as all decisions see it. Times are monotonic seconds."""
+    """An authenticated request, as the dispatcher and the gateway use it.
+
+    Times are monotonic seconds.
+    """
 
     id: str
     team: str
     profile: str
     path: str
-    """Path below the endpoint's address, with its query."""
+    """Path below the endpoint's address, with the query string."""
     method: str
     body: bytes
     content_type: str
@@ -26,25 +29,25 @@
     key: str = ""
     """The idempotency key, or empty."""
     is_forwarded: bool = False
-    """Came from another host: run here or refused, never passed on again."""
+    """Whether another host forwarded it; it is then run here or refused, not forwarded again."""
     revision: int = 0
-    """Configuration revision by which the first host admitted it."""
+    """Configuration revision with which the entry host admitted it."""
 
     def compute_digest(self) -> int:
-        """Give a number that all repeats of the request have in common, whatever their ids."""
+        """Return a digest that is the same for all repeats of the request; ids don't count."""
         who = (self.team, self.profile, self.method, self.path)
         return compute_digest(who, self.body)
 
 
 class LocalRoute(NamedTuple):
-    """Run at an endpoint of this failure domain."""
+    """A route to an endpoint of this failure domain."""
 
     endpoint: str
     url: str
 
 
 class RemoteRoute(NamedTuple):
-    """Pass on to a host of another failure domain."""
+    """A route through a host of another failure domain."""
 
     domain: str
     host: str
@@ -59,18 +62,18 @@
 
     DONE = "done"
     NOT_SENT = "not_sent"
-    """No byte left this host: the attempt certainly did not run."""
+    """No byte was sent, so the attempt did not run."""
     REFUSED = "refused"
-    """The endpoint or the other host said that it did not start."""
+    """The endpoint or the other host answered that it did not start the request."""
     FAILED = "failed"
-    """It failed after the first byte may have left."""
+    """It failed after the first byte may have been sent."""
     LOST = "lost"
-    """The same, and the connection to the endpoint broke, as it does when the endpoint ends."""
+    """It failed like `FAILED`, by a broken connection, as in a crash of the endpoint."""
     CALLER_LEFT = "caller_left"
 
 
 class Arrival(NamedTuple):
-    """Worker to dispatcher: a request asks for a route."""
+    """Worker to dispatcher: a request needs a route."""
 
     request: Request
 
@@ -89,26 +92,26 @@
     outcome: Outcome
     at: float
     retry: bool = False
-    """Asks for another route for the same request."""
+    """Whether the worker needs another route for the same request."""
     pause_s: float | None = None
-    """How long the endpoint wants nothing from this host, where it said so."""
+    """Seconds for which the endpoint asked this host to send no requests, if it did."""
 
 
 class Cancelled(NamedTuple):
-    """Worker to dispatcher: the caller left while the request was queued."""
+    """Worker to dispatcher: the caller disconnected while the request was queued."""
 
     request_id: str
 
 
 class Admitted(NamedTuple):
-    """Dispatcher to worker: run it along this route."""
+    """Dispatcher to worker: send the request by this route."""
 
     ticket: int
     route: Route
 
 
 class Refused(NamedTuple):
-    """Dispatcher to worker: the final answer, given at once."""
+    """Dispatcher to worker: refuse the request with this error."""
 
     kind: Kind
     detail: str = ""
@@ -116,7 +119,7 @@
     ran: Ran = Ran.NO
 
     def as_error(self) -> RequestError:
-        """Give the error that answers the caller."""
+        """Return the error that is sent to the caller."""
         return RequestError(self.kind, self.detail, ran=self.ran, retry_after=self.retry_after)
 
 
--- a/cloverway/replies.py
+++ b/cloverway/replies.py
@@ -1,4 +1,4 @@
-"""What flows back to a caller: a whole body, or a stream that is known to be whole or cut."""
+"""Replies to callers: a complete body, or a stream that ends complete or with an error."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 
 
 class Stream(Protocol):
-    """The body of an answer that comes piece by piece.
+    """The body of an answer that arrives piece by piece.
 
-    Iterating raises RequestError when the answer was cut before its end, so that a caller never
-    takes a part for the whole.
+    Iterating raises RequestError if the answer was truncated, so that a caller never treats an
+    incomplete answer as complete.
     """
 
     def __iter__(self) -> Iterator[bytes]:
-        """Give the pieces of the body."""
+        """Yield the pieces of the body."""
         ...
 
     def relay_to(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket in chunked framing, without the last chunk.
+        """Copy the rest of the body to the caller's socket, chunked but without the last chunk.
 
-        Returns when the whole body was copied. Raises RequestError when it was cut, and with
-        Kind.CALLER_LEFT when the caller left.
+        Returns when the complete body was copied. Raises RequestError if it was truncated, and
+        with Kind.CALLER_LEFT if the caller disconnected.
         """
         ...
 
     def close(self) -> None:
-        """Give the answer up; cancels the work where the endpoint can. Harmless when ended."""
+        """Abandon the answer and cancel the work if the endpoint supports it; idempotent."""
         ...
 
 
 class Reply(NamedTuple):
-    """The answer to a request that was run."""
+    """The answer to a request that an endpoint ran."""
 
     status: int
     content_type: str
     body: bytes = b""
     stream: Stream | None = None
     headers: tuple[tuple[str, str], ...] = ()
-    """Further headers, for example where it ran."""
+    """Additional headers, such as the endpoint that ran it."""
 
 
 class Gateway(Protocol):
-    """Runs an authenticated request; raises RequestError for every failure."""
+    """Runs authenticated requests; raises RequestError for every failure."""
 
     def run(self, request: Request) -> Reply:
-        """Run a request to the head of its answer, or to the whole of it."""
+        """Run a request; return once the header of its answer, or all of it, has arrived."""
         ...
--- a/cloverway/task.py
+++ b/cloverway/task.py
@@ -1,4 +1,4 @@
-"""A task: one thread that owns its state and answers typed messages, one after the other."""
+"""A task is an actor: one thread that owns its state and handles typed messages one by one."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Task:
-    """Own a thread and an inbox; hand each message to a handler and its answer to the sender.
+    """A thread with an inbox that passes each message to a handler.
 
-    The handler gets the message and a future, and completes the future now or later. `tick` is
-    called between messages, at least once in each period.
+    The handler gets the message and a future for the answer, which it completes at once or later.
+    `tick` is called after each message, and once in each period without a message.
     """
 
     def __init__(
@@ -42,18 +42,18 @@
         self._thread.start()
 
     def stop(self, timeout_s: float = 5.0) -> None:
-        """End the thread after the messages that are in the inbox now."""
+        """Stop the thread once it has handled the messages that are in the inbox now."""
         self._inbox.put(None)
         self._thread.join(timeout_s)
 
     def send(self, message: Any) -> Future[Any]:
-        """Put a message in the inbox and give the future of its answer."""
+        """Put a message in the inbox and return the future of its answer."""
         answer: Future[Any] = Future()
         self._inbox.put(_Envelope(message, answer))
         return answer
 
     def ask(self, message: Any, timeout_s: float | None = None) -> Any:
-        """Send a message and wait for its answer; raise TimeoutError when none comes."""
+        """Send a message and wait for its answer; raise TimeoutError if it does not arrive."""
         return self.send(message).result(timeout_s)
 
     def _run(self) -> None:
