--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -18,7 +18,7 @@
 from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
 from cloverway.once.claims import Granted, Replayed
 from cloverway.replies import Reply
-from cloverway.upstream.streams import RecordedStream, WatchedStream
+from cloverway.upstream.streams import ObservedStream, RecordedStream
 
 log = logging.getLogger(__name__)
 
@@ -315,7 +315,7 @@
         if self.grant is not None:
             recorded = RecordedStream(reply.stream, self.gateway.max_recorded_bytes, end_stream)
             return reply._replace(stream=recorded)
-        return reply._replace(stream=WatchedStream(reply.stream, end_stream))
+        return reply._replace(stream=ObservedStream(reply.stream, end_stream))
 
     def _finish_answer(
         self, admitted: Admitted, error: RequestError | None, reply: Reply | None
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -143,7 +143,7 @@
 ) -> str:
     events = EventStream(body)
     token_count, last_at = 0, started_at
-    while not events.whole:
+    while not events.complete:
         data = await reader.read(READ_BYTES)
         if not data:
             return TRUNCATED
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -15,7 +15,7 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import Call, Responder, make_json_reply, require_method
 from cloverway.entry.directory import HostList
-from cloverway.entry.listener import Bounds, Listener
+from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, RequestError
 from cloverway.membership.view import View, ViewHolder
 from cloverway.operations.metrics import Gauge
@@ -65,7 +65,7 @@
             "/v1/drain": ("POST", self._drain),
         }
         responder = Responder(settings.host, self._handle, MAX_BODY_BYTES)
-        bounds = Bounds(
+        bounds = ListenerLimits(
             settings.limits.admin_threads,
             MAX_WAITING_CONNECTIONS,
             MAX_IDLE_CONNECTIONS,
