--- a/cloverway/tests/test_addresses.py
+++ b/cloverway/tests/test_addresses.py
@@ -13,7 +13,7 @@
 
 
 @given(number=NUMBERS, port=PORTS)
-def test_an_address_is_read_as_it_was_written(number: str, port: int) -> None:
+def test_an_address_survives_formatting_and_splitting(number: str, port: int) -> None:
     assert split_address(format_address((number, port))) == (number, port)
 
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("family", [socket.AF_INET, socket.AF_INET6])
-def test_what_a_socket_is_bound_to_has_the_form_of_settings(family: int) -> None:
+def test_a_bound_socket_address_has_the_form_of_settings(family: int) -> None:
     number = "127.0.0.1" if family == socket.AF_INET else "::1"
     with socket.socket(family, socket.SOCK_DGRAM) as bound:
         try:
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -72,7 +72,7 @@
     admin.holder.current = make_view()
 
 
-def test_status_has_ages_and_no_infinity(admin):
+def test_status_has_ages_and_valid_json(admin):
     admin.holder.current = make_view(
         hosts={"a": HostState("a", "pl-1", heard_at=99.5), "b": HostState("b", "pl-1")},
         endpoints={"e": EndpointState("e", ready=True, reported_at=99.0)},
@@ -100,11 +100,11 @@
     assert admin.ask("GET", "/v1/nothing")[0] == 404
 
 
-def test_operators_get_answers_while_every_thread_for_callers_is_busy(admin):
-    """Callers wait for endpoints that say nothing, on every thread of the host.
+def test_admin_api_answers_while_all_caller_threads_are_busy(admin):
+    """All threads for callers wait for endpoints that don't answer.
 
-    At this moment an operator asks what goes on, and lets the host leave. With one pool for both,
-    the question would wait as well, and the host would look dead to whoever checks its health.
+    With one thread pool for both, requests of operators would wait too, and health checks of the
+    host would fail.
     """
     with CallerServerHarness() as bench, ThreadPoolExecutor(8) as callers:
         bench.gateway.resume.clear()
--- a/cloverway/tests/test_client.py
+++ b/cloverway/tests/test_client.py
@@ -43,7 +43,7 @@
     first.answer_json("/v1/hosts", {"hosts": addresses, "lifetime_s": 5})
 
 
-def test_call_asks_for_hosts_and_sends_headers(host: FakeHost) -> None:
+def test_call_looks_up_hosts_and_sends_headers(host: FakeHost) -> None:
     host.answer(CHAT, make_stream("Yes, ", "10 boxes."))
     answer = make_client(host).call(chat()._replace(deadline_ms=900))
     assert "".join(answer.read_text()) == "Yes, 10 boxes."
@@ -55,7 +55,7 @@
     assert "idempotency-key" not in headers
 
 
-def test_whole_json_answer(host: FakeHost) -> None:
+def test_complete_json_answer(host: FakeHost) -> None:
     host.answer_json(CHAT, {"choices": [{"message": {"content": "whole"}}]})
     assert list(make_client(host).call(chat(stream=False)).read_text()) == ["whole"]
 
@@ -70,11 +70,11 @@
     ],
     ids=["no closing event", "connection closed", "within an event", "no last chunk"],
 )
-def test_cut_stream_is_never_taken_for_whole(host: FakeHost, raw: bytes) -> None:
-    """The caller sees some text, and then an error, not an end.
+def test_truncated_stream_is_never_treated_as_complete(host: FakeHost, raw: bytes) -> None:
+    """Guards against a truncated stream that looks complete to the caller.
 
-    The endpoint dies midway; the host ends its stream without the closing event and without the
-    last chunk. Without this check the caller would act on half an answer.
+    The endpoint crashes in the middle of the answer, and the host ends its stream without the
+    closing event and without the last chunk. The caller must get an error after the text.
     """
     host.answer(CHAT, raw)
     texts = make_client(host).call(chat()).read_text()
@@ -85,8 +85,8 @@
     assert raised.value.ran is Ran.UNKNOWN
 
 
-def test_short_body_is_never_taken_for_whole(host: FakeHost) -> None:
-    """The connection closes before the announced length: an error, although it might parse."""
+def test_short_body_is_never_treated_as_complete(host: FakeHost) -> None:
+    """A body shorter than Content-Length is an error, even if it parses as JSON."""
     host.answer(CHAT, b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{}")
     with pytest.raises(CallError) as raised:
         make_client(host).call(chat(stream=False)).read()
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_answer_that_is_not_json_is_no_answer(host: FakeHost, stream: bool) -> None:
+def test_answer_that_is_not_json_is_an_error(host: FakeHost, stream: bool) -> None:
     kind = b"text/event-stream" if stream else b"application/json"
     body = b"data: {cut\n\ndata: [DONE]\n\n" if stream else b"{cut"
     head = b"HTTP/1.1 200 OK\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n"
@@ -105,14 +105,14 @@
 
 
 def test_body_without_framing_is_refused(host: FakeHost) -> None:
-    """A body that ends with its connection can't be told from one that was cut."""
+    """A body that ends when its connection closes can't be told from a truncated one."""
     host.answer(CHAT, b'HTTP/1.1 200 OK\r\n\r\n{"choices": []}')
     with pytest.raises(CallError) as raised:
         make_client(host).call(chat(stream=False)).read()
     assert raised.value.kind is Kind.TRUNCATED
 
 
-def test_leaving_host_is_left_for_the_next(host: FakeHost, other: FakeHost) -> None:
+def test_call_to_a_leaving_host_is_retried_at_the_next(host: FakeHost, other: FakeHost) -> None:
     name_hosts(host, other)
     host.refuse(CHAT, "leaving", "no")
     other.answer(CHAT, make_stream("here"))
@@ -131,8 +131,8 @@
     assert waits == [7.0]
 
 
-def test_a_refusal_without_a_wait_makes_no_storm(host: FakeHost) -> None:
-    """Every answer says to come back in 0 s: the attempts are spaced all the same."""
+def test_refusals_without_a_wait_cause_no_retry_storm(host: FakeHost) -> None:
+    """Attempts are spaced even if every answer has Retry-After: 0."""
     host.refuse(CHAT, "overloaded", "no", 429, "Retry-After: 0\r\n")
     host.refuse(CHAT, "overloaded", "no", 429, "Retry-After: 0\r\n")
     host.answer(CHAT, make_stream("later"))
@@ -142,11 +142,11 @@
 
 
 @pytest.mark.parametrize("ran", ["unknown", "yes", "", "nonsense"])
-def test_nothing_is_sent_again_without_the_promise(host: FakeHost, ran: str) -> None:
-    """The host says that the endpoint failed after the first byte had left.
+def test_a_call_is_not_retried_unless_it_did_not_run(host: FakeHost, ran: str) -> None:
+    """The endpoint failed after the first byte had been sent, so the request may have run.
 
-    A second attempt could double an allocation. Only the plain promise `ran: no` allows one; a
-    missing or unreadable word counts as unknown.
+    A second attempt could run an allocation twice. Only an explicit `ran: no` allows one; a
+    missing or unreadable value counts as unknown.
     """
     host.refuse(CHAT, "overloaded", ran, 429, "Retry-After: 1\r\n")
     with pytest.raises(CallError) as raised:
@@ -155,8 +155,10 @@
     assert host.paths().count(CHAT) == 1
 
 
-def test_lost_answer_is_unknown_and_not_sent_again(host: FakeHost, other: FakeHost) -> None:
-    """The host takes the whole request and dies before it answers: it may have been run."""
+def test_call_with_a_lost_answer_is_unknown_and_not_retried(
+    host: FakeHost, other: FakeHost
+) -> None:
+    """The host crashes after it read the complete request: the request may have been run."""
     name_hosts(host, other)
     with pytest.raises(CallError) as raised:
         make_client(host).call(chat())
@@ -193,8 +195,8 @@
     assert raised.value.request_id == "r-1"
 
 
-def test_failed_key_lookup_is_a_promise_that_nothing_ran(host: FakeHost, other: FakeHost) -> None:
-    """The host dies while it is asked for a key: the call itself was never sent."""
+def test_call_is_retried_after_a_failed_key_lookup(host: FakeHost, other: FakeHost) -> None:
+    """The host crashes while it is asked for a key, so the call itself was not sent."""
     name_hosts(host, other)
     other.answer_json(KEYS, {"keys": ["K2"], "lifetime_s": 60})
     other.answer(CHAT, make_stream("there"))
@@ -205,8 +207,8 @@
     assert CHAT not in host.paths()
 
 
-def test_host_that_is_gone_is_left_for_the_next_at_once(host: FakeHost) -> None:
-    """The list still names a host that has died: nothing was sent, so the next one is asked."""
+def test_call_to_a_crashed_host_is_retried_at_the_next_at_once(host: FakeHost) -> None:
+    """The host list still contains a crashed host. Nothing was sent, so the next one is tried."""
     with FakeHost() as gone:
         pass
     host._answers["/v1/hosts"] = []
@@ -218,7 +220,7 @@
     assert waits == []
 
 
-def test_host_list_is_asked_of_the_next_address(other: FakeHost) -> None:
+def test_host_list_is_requested_from_the_next_address(other: FakeHost) -> None:
     with FakeHost() as gone:
         pass
     other.answer(CHAT, make_stream("x"))
@@ -226,7 +228,7 @@
     assert list(client.call(chat()).read_text()) == ["x"]
 
 
-def test_no_host_at_all_is_not_run() -> None:
+def test_call_without_a_reachable_host_is_not_run() -> None:
     with FakeHost() as gone:
         pass
     with pytest.raises(CallError) as raised:
@@ -247,7 +249,7 @@
     retry_after=st.none() | st.floats(0, 100),
     others=st.booleans(),
 )
-def test_a_new_attempt_needs_the_promise(
+def test_a_new_attempt_requires_that_the_call_did_not_run(
     kind: Kind, ran: Ran, retry_after: float | None, others: bool
 ) -> None:
     error = CallError(kind, ran=ran, retry_after=retry_after)
--- a/cloverway/tests/test_daemon.py
+++ b/cloverway/tests/test_daemon.py
@@ -14,11 +14,11 @@
 
 
 @pytest.mark.parametrize("taken", LISTENERS)
-def test_an_address_that_is_taken_ends_the_daemon(tmp_path: Path, taken: str) -> None:
-    """Another process has one of the addresses, as a predecessor that is still leaving does.
+def test_daemon_exits_if_an_address_is_in_use(tmp_path: Path, taken: str) -> None:
+    """Another process, such as a predecessor that is still leaving, uses one of the addresses.
 
-    The daemon can't start. If it stayed, half started, nobody would start it again: to what watches
-    over processes it would look alive, and SIGTERM would find no one who waits for it.
+    The daemon can't start and must exit. If it stayed half started, a supervisor would treat it as
+    running and would not restart it, and SIGTERM would have no effect.
     """
     ports = Ports()
     place = HostPlace(*(f"127.0.0.1:{ports.take()}" for _ in range(3)), published_peers="")
@@ -43,8 +43,8 @@
 def test_a_secret_that_is_too_short_or_too_long_is_refused(tmp_path: Path) -> None:
     """The settings name a wrong file, such as an empty or a large one.
 
-    The daemon took what it read for the secret when it was long enough. No other host then
-    understood it, and nothing said why.
+    The daemon used any content that was long enough as the secret. Other hosts then rejected its
+    messages, and no log line gave the reason.
     """
     place = HostPlace("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", published_peers="")
     secret = tmp_path / "secret"
--- a/cloverway/tests/test_demo.py
+++ b/cloverway/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo says so when an answer is not as expected; what it starts is not started here."""
+"""The demo reports answers that are not as expected; its processes are not started here."""
 
 from __future__ import annotations
 
@@ -53,9 +53,7 @@
         (REFUSED, Outcome("text", "port-louis"), "expected the refusal forbidden"),
     ],
 )
-def test_answers_that_are_not_as_expected_are_told(
-    step: Step, outcome: Outcome, words: str
-) -> None:
+def test_unexpected_answers_are_reported(step: Step, outcome: Outcome, words: str) -> None:
     faults = list(find_faults(step, outcome))
     assert len(faults) == bool(words)
     assert words in "".join(faults)
@@ -65,7 +63,7 @@
     ("runs", "again", "count"),
     [(1, Outcome("one"), 0), (2, Outcome("one"), 1), (1, Outcome("two"), 1), (0, Outcome(), 2)],
 )
-def test_a_second_run_is_told(runs: int, again: Outcome, count: int) -> None:
+def test_a_second_run_is_reported(runs: int, again: Outcome, count: int) -> None:
     deployment: Any = CountingDeployment(runs)
     assert len(list(find_repeat_faults(deployment, RIVIERE.once, Outcome("one"), again))) == count
 
@@ -82,7 +80,7 @@
         (WHOLE, Outcome("text", host="h1"), 0, "another host"),
     ],
 )
-def test_a_stop_that_cuts_a_stream_is_told(
+def test_a_stop_that_truncates_a_stream_is_reported(
     during: Outcome, after: Outcome, status: int, words: str
 ) -> None:
     faults = list(find_stop_faults(during, after, status))
--- a/cloverway/tests/test_docs.py
+++ b/cloverway/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Links in the documentation lead somewhere, and its navigation names pages that are there."""
+"""Links, navigation entries and commands in the documentation refer to things that exist."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
             assert anchor in anchors, f"{page.name} links to {link}; there is no such heading"
 
 
-def test_navigation_names_pages_that_are_there() -> None:
+def test_navigation_names_existing_pages() -> None:
     pages = NAVIGATION.findall((ROOT / "mkdocs.yml").read_text())
     assert pages and len(set(pages)) == len(pages)
     assert all((ROOT / "docs" / page).is_file() for page in pages)
--- a/cloverway/tests/test_errors.py
+++ b/cloverway/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each kind of error answers as its row of the table says."""
+"""Each kind of error gives the answer that the table defines for it."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 @pytest.mark.parametrize("kind", Kind)
-def test_refusal_that_promises_a_time_to_come_back_names_one(kind):
-    """A call to an endpoint that is gone is refused, and the refusal says when to come back.
+def test_refusal_has_retry_after_where_its_kind_requires_it(kind):
+    """Guards against refusals without Retry-After.
 
-    The place that found the closed port knew no time and gave none, so the caller got a 503 without
-    Retry-After. Now the error itself has one, whatever place raises it.
+    The code that found the port of an endpoint closed raised the error without a time, so the
+    caller got a 503 without Retry-After. The error itself now has a default.
     """
     error = RequestError(kind, ran=Ran.NO)
     assert (error.retry_after is not None) is ERROR_ANSWERS[kind].has_retry_after
     assert ("retry_after_s" in error.as_problem("r")) is ERROR_ANSWERS[kind].has_retry_after
 
 
-def test_unknown_outcome_names_no_time_that_it_was_not_given():
+def test_unknown_outcome_has_no_default_retry_after():
     assert RequestError(Kind.KEY_OWNER_LOST).retry_after is None
 
 
-def test_time_that_is_known_is_kept():
+def test_given_retry_after_is_kept():
     assert RequestError(Kind.OVERLOADED, retry_after=0.25).retry_after == 0.25
--- a/cloverway/tests/test_examples.py
+++ b/cloverway/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example deployments and the documented settings are valid and whole."""
+"""The example deployments and the documented settings are valid and complete."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_every_region_can_serve_every_profile_by_itself(published: Published) -> None:
-    """A region that is cut off goes on serving its callers, so it needs each model and service."""
+    """A region that is cut off must still serve its callers, so it needs each model and service."""
     for region in published.regions:
         offered = {
             target
@@ -52,7 +52,7 @@
         assert {profile.target for profile in published.profiles.values()} <= offered
 
 
-def test_replicas_are_those_of_the_brief() -> None:
+def test_replica_counts_are_as_specified() -> None:
     counts = {
         name: Counter(end.kind for end in load_directory(EXAMPLES / name).endpoints.values())
         for name in DEPLOYMENTS
@@ -86,7 +86,7 @@
     assert report.passed and not report.warnings
 
 
-def test_settings_example_has_every_name_at_its_default() -> None:
+def test_settings_example_has_every_setting_at_its_default() -> None:
     values = tomllib.loads((EXAMPLES / "settings.toml").read_text())
     settings = Settings.from_toml(EXAMPLES / "settings.toml")
     for name, value in _iterate_defaults(settings):
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -57,7 +57,7 @@
 
 
 class FakeEndpoints:
-    """Gives or raises the next of its answers, after the check; counts what was sent."""
+    """Returns or raises the next of its answers after the check, and counts sent requests."""
 
     def __init__(self, *answers: Reply | RequestError) -> None:
         self.answers = list(answers)
@@ -156,7 +156,7 @@
     return Bench(router, endpoints, claims), router, endpoints, claims
 
 
-def test_run_whole() -> None:
+def test_complete_answer() -> None:
     bench, router, _, _ = make_bench(DONE)
     reply = bench.gateway.run(make_request())
     assert reply.body == b"{}"
@@ -165,8 +165,8 @@
     assert bench.records[0].ran is Ran.YES
 
 
-def test_the_dispatcher_hears_for_how_long_an_endpoint_wants_nothing() -> None:
-    """Guards against a pause that reaches the caller of one request and no later choice."""
+def test_a_requested_pause_is_reported_to_the_dispatcher() -> None:
+    """Guards against a requested pause that reaches one caller but not the endpoint selection."""
     bench, router, *_ = make_bench(
         RequestError(Kind.ENDPOINT_REFUSED, ran=Ran.NO, retry_after=7.0),
         verdicts=(Admitted(1, HERE), Refused(Kind.NO_CAPACITY, retry_after=1.0)),
@@ -176,12 +176,11 @@
     assert router.pauses == [7.0]
 
 
-def test_a_refusal_after_a_failed_attempt_is_not_called_not_run() -> None:
-    """The first attempt fails after its first byte left; the retry finds no endpoint.
+def test_a_refused_retry_after_a_failed_attempt_is_not_reported_as_not_run() -> None:
+    """The first attempt fails after its first byte was sent; the retry finds no endpoint.
 
-    The dispatcher refuses the retry with `ran: no`, which is true of the retry only. Were it
-    passed on, the caller would be told "not run" of a request that the first endpoint may have
-    run.
+    The dispatcher refuses the retry with `ran: no`, which is true of the retry only. The caller
+    must not get it for a request that the first endpoint may have run.
     """
     bench, *_ = make_bench(
         RequestError(Kind.ENDPOINT_FAILED),
@@ -192,10 +191,10 @@
     assert caught.value.ran is Ran.UNKNOWN
 
 
-def test_ran_is_the_worst_of_all_attempts() -> None:
-    """The first attempt may have run, the second surely did not.
+def test_ran_covers_all_attempts() -> None:
+    """The first attempt may have run, the second certainly did not.
 
-    The last error alone says `ran: no`. The answer must cover both attempts, so it says unknown.
+    The last error has `ran: no`. The answer must cover both attempts, so it has `ran: unknown`.
     """
     bench, *_ = make_bench(
         RequestError(Kind.ENDPOINT_FAILED),
@@ -206,11 +205,11 @@
     assert caught.value.ran is Ran.UNKNOWN
 
 
-def test_a_non_idempotent_request_is_not_sent_again_after_a_failure() -> None:
-    """The endpoint fails after the first byte left, with another endpoint free.
+def test_a_non_idempotent_request_is_not_retried_after_a_failure() -> None:
+    """The endpoint fails after the first byte was sent, while another endpoint is free.
 
-    A second send could allocate twice. The caller is told `ran: unknown`, and so is the issuer of
-    the key.
+    A second attempt could run an allocation twice. The caller and the issuer of the key get an
+    unknown outcome.
     """
     bench, router, endpoints, claims = make_bench(RequestError(Kind.ENDPOINT_FAILED), DONE)
     with pytest.raises(RequestError) as caught:
@@ -221,8 +220,8 @@
     assert claims.settled == [(Outcome.FAILED, None)]
 
 
-def test_a_lost_connection_to_an_endpoint_is_told_from_its_failure() -> None:
-    """The router counts endpoints that end under a request; an answer 500 is none of these."""
+def test_a_lost_connection_is_distinguished_from_a_failure() -> None:
+    """The router counts endpoints that crash during a request; an answer 500 is not a crash."""
     lost = EndpointLostError(Kind.ENDPOINT_FAILED)
     bench, router, _, claims = make_bench(lost, DONE)
     with pytest.raises(RequestError):
@@ -238,7 +237,7 @@
     assert router.ended == [(1, Outcome.LOST, False)]
 
 
-def test_a_refused_start_goes_to_another_endpoint_for_any_profile() -> None:
+def test_a_request_that_was_not_started_is_retried_for_any_profile() -> None:
     bench, _, endpoints, claims = make_bench(
         RequestError(Kind.ENDPOINT_REFUSED, ran=Ran.NO),
         DONE,
@@ -248,11 +247,11 @@
     assert claims.settled == [(Outcome.DONE, reply)]
 
 
-def test_a_request_that_wakes_after_its_deadline_is_not_sent() -> None:
-    """The process is paused between the route and the send, past the deadline, and wakes.
+def test_a_request_resumed_after_its_deadline_is_not_sent() -> None:
+    """The process is paused between the route and the send, and resumes after the deadline.
 
-    The caller has gone by then and may have asked elsewhere. Nothing was sent, so the key is
-    settled as not run and `ran: no` is true.
+    The caller has timed out by then and may have retried elsewhere. Nothing was sent, so the key
+    is settled as not run, and `ran: no` is true.
     """
     bench, _, endpoints, claims = make_bench(DONE)
     endpoints.before_check = lambda: setattr(bench, "now", 111.0)
@@ -263,11 +262,11 @@
     assert claims.settled == [(Outcome.NOT_SENT, None)]
 
 
-def test_a_grant_that_ran_out_while_paused_is_not_used() -> None:
-    """The host is paused after the grant; the issuer has given the key up meanwhile.
+def test_a_grant_that_expired_during_a_pause_is_not_used() -> None:
+    """The host is paused after the grant until the grant has expired at the issuer.
 
-    The request's own deadline is still ahead. Without the second check the work would run
-    though the issuer already answers `unknown` for it.
+    The deadline of the request has not passed yet. Without the second check the work would run
+    although the issuer already answers `unknown` for it.
     """
     bench, _, endpoints, _ = make_bench(DONE, grant=make_grant(104.0))
     endpoints.before_check = lambda: setattr(bench, "now", 105.0)
@@ -284,13 +283,13 @@
 
 
 @pytest.mark.parametrize("published", [None, PUBLISHED._replace(profiles={})])
-def test_a_repeat_that_is_refused_before_its_key_was_looked_up_is_not_called_not_run(
+def test_a_repeat_refused_before_its_key_lookup_is_not_reported_as_not_run(
     published: Published | None,
 ) -> None:
-    """An allocation ran; its answer was lost; the repeat reaches a host that can't look its key up.
+    """The answer of an allocation was lost; its repeat reaches a host that can't look up the key.
 
-    That host has no configuration yet, or the profile was withdrawn. Told `ran: no`, the caller
-    would allocate anew with another key, and twice the cartons would be picked.
+    That host has no configuration yet, or the profile was withdrawn. With `ran: no`, the caller
+    would send the allocation again with another key, and it would run twice.
     """
     bench, _, endpoints, _ = make_bench(DONE)
     bench.holder.current = bench.holder.current._replace(published=published)
@@ -300,9 +299,9 @@
 
 
 def test_a_bound_team_is_refused_where_it_must_not_run() -> None:
-    """A host of region north gets a passed-on request of a team bound to south.
+    """A host of region north gets a forwarded request of a team bound to south.
 
-    The first host may have an older configuration. The receiving host checks again, so that
+    The entry host may have an older configuration. The receiving host checks again, so that
     nothing is sent to an endpoint of north.
     """
     bench, router, endpoints, _ = make_bench(DONE)
@@ -314,21 +313,21 @@
     assert len(router.verdicts) == 2
 
 
-def test_a_bound_team_is_passed_on_to_its_home() -> None:
-    """A host of region north gets a call of a team bound to south, straight from the caller.
+def test_a_bound_team_is_forwarded_to_its_home() -> None:
+    """A host of region north gets a call of a team bound to south directly from the caller.
 
-    Nothing may run in north, but the host may pass it on to south, where the answer comes from.
+    The call may not run in north, but the host may forward it to south.
     """
     bench, _, endpoints, _ = make_bench(DONE, verdicts=(Admitted(1, AWAY),))
     assert bench.gateway.run(make_request(team="bound")).body == DONE.body
     assert endpoints.sent == 1
 
 
-def test_a_bound_team_is_not_sent_where_a_wrong_route_leads() -> None:
+def test_a_wrong_route_of_a_bound_team_is_not_used() -> None:
     """The dispatcher routes a call of a team bound to south to an endpoint of north.
 
-    A change of configuration between the route and the send does the same. The check just before
-    the first byte refuses it, so that no data reaches an endpoint of north.
+    A configuration change between the route and the send has the same effect. The check just
+    before the first byte refuses the call, so that no data reach an endpoint of north.
     """
     bench, _, endpoints, _ = make_bench(DONE)
     with pytest.raises(RequestError) as caught:
@@ -336,11 +335,11 @@
     assert (caught.value.kind, endpoints.sent) == (Kind.RESIDENCY, 0)
 
 
-def test_a_passed_on_request_is_never_passed_on_again() -> None:
-    """The dispatcher wrongly routes a passed-on request to another domain.
+def test_a_forwarded_request_is_not_forwarded_again() -> None:
+    """The dispatcher wrongly routes a forwarded request to another domain.
 
-    Two hosts that each think the other has room would pass it to and fro. The assertion ends the
-    request instead, and gives the ticket back.
+    Two hosts that each see free capacity at the other would forward it back and forth. The
+    assertion ends the request instead and releases the ticket.
     """
     bench, router, endpoints, _ = make_bench(DONE, verdicts=(Admitted(1, AWAY),))
     with pytest.raises(RequestError) as caught:
@@ -350,7 +349,7 @@
     assert endpoints.sent == 0
 
 
-def test_a_cut_stream_is_reported_once() -> None:
+def test_a_truncated_stream_is_reported_once() -> None:
     error = RequestError(Kind.TRUNCATED)
     bench, router, _, _ = make_bench(
         Reply(200, "text/event-stream", stream=FakeStream(b"a", error=error))
@@ -364,11 +363,11 @@
     assert [record.kind for record in bench.records] == [Kind.TRUNCATED]
 
 
-def test_a_keyed_stream_is_recorded_though_the_caller_left() -> None:
-    """The caller of an allocation leaves after the first piece, then repeats with its key.
+def test_a_stream_with_a_key_is_recorded_after_the_caller_disconnected() -> None:
+    """The caller of an allocation disconnects after the first piece, then repeats with its key.
 
-    The run goes on to its end and its answer is recorded, so that the repeat gets the answer of
-    the one run.
+    The run continues to its end and its answer is recorded, so that the repeat gets the answer of
+    the only run.
     """
     bench, _, _, claims = make_bench(
         Reply(200, "text/event-stream", stream=FakeStream(b"one", b"two"))
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def lines():
-    """Everything that is logged by anyone, at every level."""
+    """All lines that any logger writes, at every level."""
     text = io.StringIO()
     handler = logging.StreamHandler(text)
     handler.setFormatter(make_formatter("pl-1-a", "i-1"))
@@ -41,10 +41,10 @@
 
 
 def test_no_body_and_no_key_is_ever_logged(lines):
-    """An operator reads the logs of a day on which all went wrong, and learns no patient's data.
+    """Guards against patients' data and keys in logs, which have other residency rules.
 
-    Requests end in every way: answered, refused before the gateway, cut midway, failed by a fault
-    of the gateway itself. Logs go to places with other rules of residency than the data.
+    Requests end in every way: answered, refused before the gateway, truncated, and failed by an
+    error in the gateway itself.
     """
     body = json.dumps({"messages": [{"content": BODY_SECRET}], "stream": True})
     headers = {**CHAT, "Idempotency-Key": KEY_SECRET}
@@ -86,7 +86,7 @@
         assert secret not in logged
 
 
-def test_one_line_with_all_that_an_operator_asks_for(lines):
+def test_each_request_is_logged_in_one_line_with_all_fields(lines):
     with CallerServerHarness() as bench:
         bench.call("POST", "/v1/chat/completions", b'{"messages": [1]}', CHAT)
         reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
--- a/cloverway/tests/test_main.py
+++ b/cloverway/tests/test_main.py
@@ -81,7 +81,7 @@
     ]
 
 
-def test_check_says_the_form_of_a_value(published: Path) -> None:
+def test_check_reports_the_expected_form_of_a_value(published: Path) -> None:
     text = DEPLOYMENT + '[hosts.h1]\ndomain = "curepipe-a"\ncallers = "localhost:80"\n'
     (published / "all.toml").write_text(text)
     result = run("check", published)
@@ -89,7 +89,7 @@
     assert "hosts.h1.admin: Field required (set it)" in result.stderr
 
 
-def test_check_does_not_show_a_key_that_stands_in_place_of_its_hash(published: Path) -> None:
+def test_check_does_not_show_a_key_published_in_place_of_its_hash(published: Path) -> None:
     text = DEPLOYMENT + '[teams.t1]\nhome = "curepipe"\nkey_hashes = ["cw_secret"]\n'
     (published / "all.toml").write_text(text)
     result = run("check", published)
@@ -97,7 +97,7 @@
     assert "cw_secret" not in result.output
 
 
-def test_check_of_no_directory(tmp_path: Path) -> None:
+def test_check_of_a_missing_directory(tmp_path: Path) -> None:
     result = run("check", tmp_path / "none")
     assert result.exit_code == 1
     assert "Traceback" not in result.output
@@ -127,7 +127,7 @@
 
 
 def test_settings_that_differ_from_what_is_published(tmp_path: Path) -> None:
-    """A host that listens elsewhere than published is never found, and nothing says why."""
+    """A host that listens on another address than published is unreachable, without any error."""
     examples = Path(__file__).parents[2] / "examples"
     text = (examples / "settings.toml").read_text()
     file = tmp_path / "settings.toml"
@@ -162,18 +162,18 @@
     assert json.loads(run("status", "--host", host.address, "--json").stdout) == status
 
 
-def give_status(fake: FakeHost, **fields: object) -> None:
+def answer_status(fake: FakeHost, **fields: object) -> None:
     document = {"host": "h", "revision": 3, "ready": True, "platform_stale": False, **fields}
     fake.answer_json("/v1/status", document)
 
 
-def test_status_of_several_hosts_says_what_to_look_at(host: FakeHost) -> None:
-    """One host lags behind, one is gone: the command names both, and a script sees exit code 1."""
+def test_status_of_several_hosts_names_what_needs_attention(host: FakeHost) -> None:
+    """One host is outdated and one is gone: the command names both and exits with code 1."""
     with FakeHost() as gone:
         pass
     with FakeHost() as newer:
-        give_status(host, host="old")
-        give_status(newer, host="new", revision=4, platform_stale=True)
+        answer_status(host, host="old")
+        answer_status(newer, host="new", revision=4, platform_stale=True)
         addresses = [host.address, newer.address, gone.address]
         result = run("status", *(word for address in addresses for word in ("--host", address)))
     assert result.exit_code == 1
@@ -183,10 +183,10 @@
     assert len(result.stdout.splitlines()) == 4
 
 
-def test_status_of_alike_hosts_is_clean(host: FakeHost) -> None:
+def test_status_of_equal_hosts_has_no_faults(host: FakeHost) -> None:
     with FakeHost() as other:
-        give_status(host)
-        give_status(other)
+        answer_status(host)
+        answer_status(other)
         result = run("status", "--host", host.address, "--host", other.address, "--json")
     assert result.exit_code == 0
     assert json.loads(result.stdout)["faults"] == []
@@ -216,7 +216,7 @@
     assert "give IP:PORT" in run("status", "--host", "localhost:7101").stderr
 
 
-def test_watch_gives_quantiles_of_each_interval(host: FakeHost) -> None:
+def test_watch_prints_quantiles_of_each_interval(host: FakeHost) -> None:
     def metrics(fast: int, slow: int) -> bytes:
         lines = [
             f'first_seconds_bucket{{class="urgent",le="0.1"}} {fast}',
@@ -244,7 +244,7 @@
     assert lines[4].split()[2:5] == ["100", "550.0", "ms"]
 
 
-def test_call_prints_text_and_place(host: FakeHost) -> None:
+def test_call_prints_text_and_origin(host: FakeHost) -> None:
     host.answer(CHAT, make_stream("Yes, ", "in stock."))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
@@ -253,8 +253,8 @@
     assert host.address in result.stderr
 
 
-def test_call_reports_a_cut_answer_by_its_exit_code(host: FakeHost) -> None:
-    """The text ends midway: the part is printed, then an error, and a script sees exit code 3."""
+def test_call_reports_a_truncated_answer_by_its_exit_code(host: FakeHost) -> None:
+    """The part of the text that arrived is printed, then an error; the exit code is 3."""
     host.answer(CHAT, make_stream("Yes, ", done=False))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
@@ -263,7 +263,7 @@
     assert "truncated" in result.stderr
 
 
-def test_call_says_whether_it_ran_and_how_to_repeat(host: FakeHost) -> None:
+def test_failed_call_prints_whether_it_ran_and_how_to_repeat(host: FakeHost) -> None:
     host.answer_json("/v1/idempotency-keys", {"keys": ["K1"], "lifetime_s": 60})
     host.refuse("/v1/services/stock-desk/allocations", "endpoint_failed", "unknown", 502)
     result = run(
@@ -285,7 +285,7 @@
         ("forbidden", "no", 403, "", "Name a profile that operators have published"),
     ],
 )
-def test_call_says_what_to_do(  # noqa: PLR0917
+def test_failed_call_prints_what_to_do(  # noqa: PLR0917
     host: FakeHost, kind: str, ran: str, status: int, headers: str, words: str
 ) -> None:
     host.refuse(CHAT, kind, ran, status, headers)
@@ -295,7 +295,7 @@
     assert f"ran: {ran}" in result.stderr and words in result.stderr
 
 
-def test_call_without_a_key_says_what_to_set(host: FakeHost) -> None:
+def test_call_without_a_key_prints_what_to_set(host: FakeHost) -> None:
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="")
     assert result.exit_code == 1
--- a/cloverway/tests/test_trace.py
+++ b/cloverway/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The command that gathers what hosts logged of one request."""
+"""The command that collects the log lines of one request from several hosts."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
     assert "r2" not in result.output
 
 
-def test_all_tries_of_a_request_are_found_by_their_digest(tmp_path):
-    """A caller sends one request again and again, each time with another id.
+def test_all_attempts_of_a_request_are_found_by_their_digest(tmp_path):
+    """A caller repeats one request, each time with another id.
 
-    Whoever looks for what its tries did has the digest from any of their failures.
+    The log line of any failed attempt contains the digest that all of them share.
     """
     log = tmp_path / "a.log"
     log.write_text(
@@ -56,7 +56,7 @@
     assert json.loads(result.output)[0]["inputs"] == {"left_s": 4.9}
 
 
-def test_a_request_that_no_log_names_is_told(tmp_path):
+def test_a_request_without_log_lines_is_an_error(tmp_path):
     log = tmp_path / "a.log"
     log.write_text(make_line("10:00:00,100", "near", "sent"))
     result = RUN.invoke(app, ["trace", "r9", str(log)])
@@ -64,7 +64,7 @@
     assert "no line of the request 'r9'" in result.output
 
 
-def test_a_log_that_cannot_be_read_is_told(tmp_path):
+def test_an_unreadable_log_is_an_error(tmp_path):
     result = RUN.invoke(app, ["trace", "r1", str(tmp_path / "none.log")])
     assert result.exit_code == 1
     assert "can't be read" in result.output
--- a/cloverway/tests/test_watch.py
+++ b/cloverway/tests/test_watch.py
@@ -33,7 +33,7 @@
     return RequestEnded("t1", "urgent", None, Ran.YES, "e1", 1, 0.001, 0.02, total_s)
 
 
-def test_reads_what_a_host_renders() -> None:
+def test_parses_the_metrics_of_a_host() -> None:
     text = render(*[make_request(0.3)] * 90, *[make_request(4.0)] * 10)
     rows = {(row.histogram, row.labels): row for row in summarise(parse_histograms(text))}
     row = rows["cloverway_class_request_seconds", "class=urgent"]
@@ -44,7 +44,7 @@
     assert not [name for name, _ in rows if "tenant" not in name and "class" not in name]
 
 
-def test_by_a_label_leaves_out_the_others() -> None:
+def test_by_label_excludes_other_histograms() -> None:
     rows = summarise(parse_histograms(render(make_request(0.3))), by="tenant")
     assert rows and all(row.labels.startswith("tenant=") for row in rows)
 
@@ -56,8 +56,8 @@
     assert subtract(later, earlier) == later
 
 
-def test_every_figure_of_the_alerts_page_is_rendered() -> None:
-    """An alert on a figure that no host gives would never fire, and nobody would notice."""
+def test_every_metric_of_the_alerts_page_is_exported() -> None:
+    """An alert on a metric that no host exports would never fire."""
     failed = make_request(1.0)._replace(kind=Kind.TRUNCATED)
     text = render(make_request(1.0), failed, StreamEnded("t1", "urgent", 5, (1, 2, 1), 0.3))
     names = set(OWN_NAME.findall(ALERTS.read_text()))
@@ -68,7 +68,9 @@
 @given(
     st.lists(st.floats(0, 9.9), min_size=1, max_size=50), st.sampled_from((0.01, 0.5, 0.95, 0.99))
 )
-def test_quantile_lies_in_the_bucket_of_the_true_one(values: list[float], quantile: float) -> None:
+def test_estimate_is_in_the_bucket_of_the_true_quantile(
+    values: list[float], quantile: float
+) -> None:
     bounds = [0.5, 1.0, 2.0, 5.0, 10.0, float("inf")]
     buckets = {bound: float(sum(value <= bound for value in values)) for bound in bounds}
     rank = max(1, -int(-quantile * len(values) // 1))
@@ -80,10 +82,10 @@
     assert lower <= estimate <= upper
 
 
-def test_nothing_counted_has_no_quantile() -> None:
+def test_empty_histogram_has_no_quantile() -> None:
     assert estimate_quantile({1.0: 0.0, float("inf"): 0.0}, 0.5) is None
 
 
 @pytest.mark.parametrize("text", ["", "no samples\n", '# HELP x\nx{a="b"} 1\n', 'x_bucket{le="1"}'])
-def test_other_lines_are_passed_over(text: str) -> None:
+def test_other_lines_are_ignored(text: str) -> None:
     assert parse_histograms(text) == {}
--- a/cloverway/tests/test_whole_path.py
+++ b/cloverway/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A call's whole path through real processes: hosts, endpoints and published files."""
+"""End-to-end tests with real processes: hosts, endpoints and published files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def sees_all_regions(fleet: Fleet) -> bool:
-    """Tell whether each host can serve its own region and pass on to the others."""
+    """Return whether each host can serve its own region and forward to the others."""
     return all(
         Caller(fleet.url(host), f"bound-{region}").serve("warm", profile="lookup").whole
         for host in fleet.hosts
@@ -30,7 +30,7 @@
 
 
 def count(fleet: Fleet, part: str, mark: str) -> dict[str, int]:
-    """Give by endpoint how often it ran the calls with a mark."""
+    """Return the number of runs of the calls with a mark, by endpoint."""
     runs = {name: remote.counts().get(part, {}) for name, remote in fleet.remotes.items()}
     return {name: by_mark[mark] for name, by_mark in runs.items() if mark in by_mark}
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_completion_comes_whole_from_the_own_domain(fleet, stream):
+def test_completion_is_served_by_the_own_domain(fleet, stream):
     caller = Caller(fleet.url("ro-a-host-1"), "bound-ro")
     result = caller.chat(f"ann-{stream}", stream=stream)
     assert result.whole, result
@@ -53,10 +53,10 @@
 
 
 def test_service_is_run_once_with_a_key(fleet):
-    """A pharmacist's client repeats an allocation whose answer it did not wait for.
+    """A client repeats an allocation with the same key, at both hosts of the failure domain.
 
-    The repeat goes to the other host of the failure domain, with the same key. It gets the recorded
-    answer of the first run, for only the host that issued the key may grant it.
+    It gets the recorded answer of the first run, because only the host that issued the key may
+    grant its use.
     """
     first, second = (Caller(fleet.url(f"pl-a-host-{n}"), "bound-pl") for n in (1, 2))
     key = first.take_key()
@@ -85,9 +85,9 @@
 
 
 def test_bound_team_is_refused_when_its_region_has_nothing(fleet):
-    """Data of a bound team stays home: with no endpoint there, the call is refused, not sent away.
+    """Data of a bound team stay in its home region, so without an endpoint there it is refused.
 
-    The other regions have free endpoints all the while, and an unbound team's call goes to one.
+    The other regions have free endpoints at the same time, and run the call of an unbound team.
     """
     fleet.kill("ro-a-service-1")
     try:
@@ -102,17 +102,17 @@
     assert count(fleet, "bodies", "stay") == {}
 
 
-def test_a_request_that_ends_its_endpoint_is_refused_at_the_other_host_too(fleet):
-    """A caller is refused where its request ended three endpoints, and asks the next host.
+def test_a_request_that_crashes_endpoints_is_refused_at_all_hosts_of_the_domain(fleet):
+    """A request that crashed three endpoints is refused at another host of the domain as well.
 
-    That one has seen none of them end; it hears of them with the heartbeats of its sibling. Killed
-    in the middle of the run, the endpoint is another life each time.
+    That host saw none of the crashes; it learns of them from the heartbeats of the first host. The
+    endpoint is killed during the run and has a new incarnation each time.
     """
     name = "pl-a-service-1"
     first, second = (Caller(fleet.url(f"pl-a-host-{n}"), "bound-pl") for n in (1, 2))
     for _ in range(3):
-        wait_until(lambda: is_reported(fleet, name), 10, "the life that runs to be known")
-        end_under(fleet, name, first)
+        wait_until(lambda: is_reported(fleet, name), 10, "the running incarnation to be known")
+        crash_endpoint_during_request(fleet, name, first)
     for caller in (first, second):
         wait_until(lambda by=caller: by.serve("harmless", profile="lookup").whole, 10)
         refused = caller.serve("deadly", profile="lookup")
@@ -121,7 +121,7 @@
 
 
 def is_reported(fleet, name):
-    """Tell whether the hosts of an endpoint's domain know the life of it that runs."""
+    """Return whether the hosts of an endpoint's domain know its running incarnation."""
     own = read_json(f"{fleet.remotes[name].url}/load")["incarnation"]
     return all(
         endpoint["incarnation"] == own
@@ -135,8 +135,8 @@
     return urllib3.request("GET", url, retries=False, timeout=5.0).json()
 
 
-def end_under(fleet, name, caller):
-    """Send the deadly request, and kill the endpoint while that runs it."""
+def crash_endpoint_during_request(fleet, name, caller):
+    """Send the request and kill the endpoint while it runs it."""
     fleet.remotes[name].set_faults(hold=True)
     with ThreadPoolExecutor(1) as pool:
         answer = pool.submit(caller.serve, "deadly", profile="lookup")
@@ -164,11 +164,11 @@
     wait_until(lambda: all(caller.chat("late").whole for caller in callers), 8)
 
 
-def test_stop_of_a_host_cuts_off_nothing(fleet):
-    """A host gets SIGTERM while it streams an answer; the caller gets all of it.
+def test_stop_of_a_host_interrupts_no_request(fleet):
+    """A host gets SIGTERM while it streams an answer; the caller gets the complete answer.
 
-    New calls are refused with `ran: no`, the other hosts leave it out of the directory, and the
-    process ends with status 0 when the stream has ended.
+    New calls are refused with `ran: no`, the other hosts remove it from the directory, and the
+    process exits with status 0 when the stream has ended.
     """
     host, other = "cu-a-host-2", Caller(fleet.url("cu-a-host-1"), "bound-cu")
     fleet.remotes["cu-a-engine-1"].set_faults(hold_after=3)
