--- a/cloverway/peers/peer_stream.py
+++ b/cloverway/peers/peer_stream.py
@@ -46,7 +46,7 @@
                 raise RequestError(Kind.TRUNCATED, "the response is too large", ran=Ran.UNKNOWN)
         return b"".join(pieces)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest of the body to the caller in chunked encoding, without the last chunk."""
         watched = not isinstance(caller, ssl.SSLSocket)
         while not self._ended:
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -8,11 +8,11 @@
 import pytest
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.once.keys import Grant
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind, Identity
 from cloverway.peers.peer_client import PeerClient
+from cloverway.replies import Reply
 from cloverway.tests.peer_fakes import (
     CLAIM,
     LIMITS,
@@ -262,7 +262,7 @@
 
     def hand_over():
         try:
-            reply.stream.hand_over(ours)
+            reply.stream.relay_to(ours)
         except RequestError as error:
             results.append(error.kind)
 
@@ -283,7 +283,7 @@
     reply = client.run("h2", server.address, make_request())
     caller, ours = socket.socketpair()
     caller.send(b"GET /next")
-    reply.stream.hand_over(ours)
+    reply.stream.relay_to(ours)
     ours.close()
     assert caller.recv(100) == b"3\r\none\r\n3\r\ntwo\r\n"
     caller.close()
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 
 from cloverway.errors import Kind, RequestError
-from cloverway.exchange import Stream
+from cloverway.replies import Stream
 
 
 class ObservedStream:
@@ -26,10 +26,10 @@
             raise
         self._end(None)
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket; raise RequestError if it is truncated."""
         try:
-            self._stream.hand_over(caller)
+            self._stream.relay_to(caller)
         except RequestError as error:
             self._end(error)
             raise
@@ -70,7 +70,7 @@
         """Iterate over the body; raise RequestError if it is truncated."""
         return self._pieces
 
-    def hand_over(self, caller: socket.socket) -> None:
+    def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest to the caller's socket; read it to the end even if the caller leaves."""
         caller_left = False
         for piece in self._pieces:
