--- a/cloverway/tests/test_reports.py
+++ b/cloverway/tests/test_reports.py
@@ -46,8 +46,8 @@
     def __exit__(self, *_):
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        for held in self._connections:
-            held.close()
+        for connection in self._connections:
+            connection.close()
         self._thread.join()
 
     def _run(self):
