--- a/cloverway/peers/passed_on.py
+++ b/cloverway/peers/passed_on.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.messages import Refused, Request
 from cloverway.peers import wire
 from cloverway.peers.channel import Channel, FrameKind
 from cloverway.peers.peering import PeerHandler, PeerLimits
+from cloverway.replies import Reply
 
 log = logging.getLogger(__name__)
 
@@ -74,7 +74,7 @@
             deadline=reference + call.left_s,
             stream=call.stream,
             key=call.key,
-            passed_on=True,
+            is_forwarded=True,
             revision=call.revision,
         )
 
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -18,8 +18,8 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import Call
 from cloverway.entry.listener import ListenerLimits
-from cloverway.errors import ANSWERS, RequestError
-from cloverway.exchange import Reply
+from cloverway.errors import ERROR_ANSWERS, RequestError
+from cloverway.replies import Reply
 from cloverway.tests.caller_harness import (
     CHAT,
     CHAT_BODY,
@@ -147,7 +147,7 @@
     try:
         request = harness.server._build_request(call, 10.0)
     except RequestError as error:
-        assert error.kind in ANSWERS
+        assert error.kind in ERROR_ANSWERS
         event(error.kind)
         json.dumps(error.as_problem("id"))
         return
--- a/cloverway/tests/test_peering.py
+++ b/cloverway/tests/test_peering.py
@@ -3,13 +3,13 @@
 import pytest
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
-from cloverway.exchange import Reply
 from cloverway.once.keys import Grant, SettleCall, Settlement
 from cloverway.peers import wire
 from cloverway.peers.channel import HEADER, FrameKind
 from cloverway.peers.peer_client import PeerClient
 from cloverway.peers.peer_server import split_pages
 from cloverway.peers.peering import EncodedChanges
+from cloverway.replies import Reply
 from cloverway.tests.peer_fakes import (
     CLAIM,
     LIMITS,
@@ -74,9 +74,11 @@
     reply = client.run("h2", server.address, request)
     assert reply == handler.reply
     (seen,) = handler.requests
-    assert seen.passed_on
+    assert seen.is_forwarded
     assert seen.deadline <= request.deadline
-    expected = request._replace(passed_on=True, arrived_at=seen.arrived_at, deadline=seen.deadline)
+    expected = request._replace(
+        is_forwarded=True, arrived_at=seen.arrived_at, deadline=seen.deadline
+    )
     assert seen == expected
 
 
