--- a/cloverway/sources/__init__.py
+++ b/cloverway/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Ports and adapters to the platform that publishes configuration."""
+"""Interface and adapters to the platform that publishes the configuration."""
--- a/cloverway/sources/codec.py
+++ b/cloverway/sources/codec.py
@@ -1,4 +1,4 @@
-"""The platform's answers: changes and lists as JSON."""
+"""Decode the JSON responses of the platform's service."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def decode_changes(data: bytes, after: int) -> Changes:
-    """Read the changes after a revision; raises PlatformError for any other form."""
+    """Decode the changes after a revision; raise PlatformError if they are malformed."""
     body = _decode(data)
     documents = body.get("documents")
     if not isinstance(documents, list):
-        raise PlatformError("the documents are not a list")
+        raise PlatformError("the documents in the response are not a list")
     revision = _parse_revision(body.get("revision"), minimum=0)
     return Changes(revision, after, tuple(_parse_document(item) for item in documents))
 
 
 def decode_member_states(data: bytes) -> MemberStates:
-    """Read the list of hosts and endpoints; raises PlatformError for any other form."""
+    """Decode the states of hosts and endpoints; raise PlatformError if they are malformed."""
     body = _decode(data)
     return MemberStates(_parse_states(body.get("hosts")), _parse_states(body.get("endpoints")))
 
@@ -31,18 +31,18 @@
     try:
         body = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise PlatformError("the answer is not JSON") from error
+        raise PlatformError("the response is not JSON") from error
     if not isinstance(body, dict):
-        raise PlatformError("the answer is not an object")
+        raise PlatformError("the response is not a JSON object")
     return body
 
 
 def _parse_document(item: Any) -> Document:
     if not isinstance(item, dict) or not isinstance(item.get("key"), str):
-        raise PlatformError("a document has no key")
+        raise PlatformError("a document in the response has no key")
     value = item.get("value")
     if not isinstance(value, dict | None):
-        raise PlatformError(f"the value of {item['key'][:80]!r} is not a table")
+        raise PlatformError(f"the value of {item['key'][:80]!r} is not a JSON object")
     return Document(item["key"], _parse_revision(item.get("revision"), minimum=1), value)
 
 
@@ -54,11 +54,11 @@
 
 def _parse_states(states: Any) -> dict[str, Listed]:
     if not isinstance(states, dict):
-        raise PlatformError("the list of states is not a table")
+        raise PlatformError("the states in the response are not a JSON object")
     return {name: _parse_state(entry) for name, entry in states.items()}
 
 
 def _parse_state(entry: Any) -> Listed:
-    """Read one state; one that is not known is taken as leaving, which sends it no new work."""
+    """Decode one state; an unknown one is treated as leaving, so that it gets no new requests."""
     state = entry.get("state") if isinstance(entry, dict) else entry
     return Listed.LIVE if state == Listed.LIVE else Listed.LEAVING
--- a/cloverway/sources/file.py
+++ b/cloverway/sources/file.py
@@ -1,4 +1,4 @@
-"""The platform as a directory of TOML files: the embedded default."""
+"""A platform adapter that watches a directory of TOML files; the default."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from cloverway.sources.port import Changes, Document, MemberStates
 
 CONTENT_CHECK_S = 2.0
-"""For so long after a change, contents are compared as well: two writes within one tick of the
-file system's clock can leave the same time and size."""
+"""For this long after a change, contents are compared too: two writes within one tick of the file
+system's clock can leave the same time and size."""
 
 MIN_STABLE_FRACTION = 0.9
-"""Part of the time between two looks for which a content has to stay before it counts."""
+"""Fraction of the poll interval for which contents must stay unchanged to be accepted."""
 
 MAX_LISTED_KEYS = 10
-"""Names that a refusal lists."""
+"""Maximum number of changed documents listed in a rejection."""
 
 
 class FileStamp(NamedTuple):
-    """What tells that a file was changed without reading it."""
+    """File metadata that shows whether a file has changed without reading it."""
 
     modified_ns: int
     changed_ns: int
@@ -42,17 +42,17 @@
 
     @classmethod
     def from_file(cls, file: Path) -> FileStamp:
-        """Read the mark of the file that a name leads to now, through links."""
+        """Return the stamp of a file, following symbolic links."""
         stat = file.stat()
         return cls(stat.st_mtime_ns, stat.st_ctime_ns, stat.st_ino, stat.st_size)
 
 
 class FilePlatform:
-    """Watches a directory; the operator raises `revision` with each change.
+    """Watches a directory; the operator increases `revision` with each change.
 
-    A new content counts when it has stayed from one look to the next: a file that is being
-    written, or a directory of which only some files were replaced, is then seen as such. A content
-    that can't be read, or whose revision was not raised, is refused; the last good one stays.
+    New contents are accepted when they are the same in two successive polls, so that a partly
+    written file or a partly replaced directory is not accepted. Contents that can't be read, or
+    whose revision was not increased, are rejected, and the last valid ones stay.
     """
 
     def __init__(
@@ -77,11 +77,11 @@
 
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> FilePlatform:
-        """Watch the directory that the settings name."""
+        """Watch the directory given in the settings."""
         return cls(Path(settings.directory), settings.poll_s)
 
     def read(self, after: int, wait_s: float) -> Changes:
-        """Give the documents after a revision; see `Platform`."""
+        """Return the documents after a revision; see `Platform`."""
         deadline = self._clock() + wait_s
         while True:
             self._poll(self._clock())
@@ -96,7 +96,7 @@
         return Changes(self._revision, after)
 
     def get_member_states(self) -> MemberStates:
-        """Give an empty list: a directory does not know who is live."""
+        """Return no states, because a directory has no information on them."""
         return MemberStates()
 
     def _make_snapshot(self) -> Changes:
@@ -104,7 +104,7 @@
         return Changes(self._revision, 0, documents)
 
     def _poll(self, now: float) -> None:
-        """Read the directory if it may have changed, and judge what stands there for long."""
+        """Read the directory if it may have changed; check contents once they are stable."""
         try:
             stamps = {file: FileStamp.from_file(file) for file in list_files(self._directory)}
         except OSError:
@@ -140,7 +140,7 @@
         self._error = "\n".join(findings.errors)
 
     def _accept(self, merged: MergedFiles, revision: int, findings: Findings) -> None:
-        """Hold a content as the last good one, unless its revision does not allow it."""
+        """Accept contents unless one of the documents or the revision is invalid."""
         accepted = self._entries
         entries = {
             key: DocumentEntry.from_document(Document(key, revision, value))
@@ -162,8 +162,9 @@
             findings.add("revision", f"is still {revision} but {names} changed; raise it")
         if findings.errors or revision == self._revision:
             return
-        # Who skips a revision can't tell what it changed and changed back, while other hosts may
-        # have seen it. All documents then count as new: none is older here than it is there.
+        # If a revision was skipped, it may have changed a document and the next one changed it
+        # back, while other hosts saw both. All documents then count as changed, so that none has
+        # an older revision here than on the other hosts.
         if revision == self._revision + 1:
             entries |= {key: accepted[key] for key in entries if key not in changed}
         self._entries = entries
--- a/cloverway/sources/http.py
+++ b/cloverway/sources/http.py
@@ -1,4 +1,4 @@
-"""The platform as a read-and-watch service over HTTP."""
+"""A platform adapter that reads and watches a service over HTTP."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
 from cloverway.sources.rate_limiter import RateLimiter
 
 MAX_CONFIGURATION_BYTES = 64 * 1024 * 1024
-"""The longest answer that is read: all documents at the two-year size several times over."""
+"""Maximum size of a response with documents: several times all documents of the deployment planned
+for in two years."""
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
-"""The longest list of hosts and endpoints that is read."""
+"""Maximum size of the list of hosts and endpoints."""
 
 CHUNK_BYTES = 64 * 1024
 CONNECT_TIMEOUT_S = 2.0
 
 RESPONSE_TIMEOUT_S = 3.0
-"""Seconds for an answer beyond the wait that was asked for: then the connection is given up."""
+"""Timeout of a response, in addition to the requested wait; the connection is then closed."""
 
 BODY_TIMEOUT_S = 30.0
-"""Seconds for the whole of an answer, however steadily it comes."""
+"""Timeout of a complete response, in addition to the above, even if data keeps arriving."""
 
 MIN_READ_INTERVAL_S = 0.25
 MIN_LIST_INTERVAL_S = 0.5
-"""Least time between two calls: 216 readers then stay below 1,300 calls/s, whatever happens."""
+"""Minimum intervals between two calls: 216 readers make fewer than 1,300 calls/s in any case."""
 
 
 class LimitedPool(NamedTuple):
-    """A connection and its rate limit; the watch and the list have one each, so that none waits."""
+    """A connection with its rate limiter; the watch and the list don't wait for each other."""
 
     pool: urllib3.PoolManager
     limiter: RateLimiter
@@ -65,14 +66,15 @@
 
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> HttpPlatform:
-        """Read the service that the settings name."""
+        """Read the service given in the settings."""
         return cls(settings.url)
 
     def read(self, after: int, wait_s: float) -> Changes:
         """Watch for documents after a revision; see `Platform`.
 
-        A whole is read over a connection of its own: a late answer that was left in another one
-        would be taken for it, and every document that a delta lacks would count as deleted.
+        A snapshot is read over a new connection. On a reused one, a late response to an earlier
+        call could be read instead; if that is a delta, all documents that it lacks would count as
+        deleted.
         """
         if after == 0:
             self._watch.pool.clear()
@@ -81,13 +83,13 @@
         return decode_changes(data, after)
 
     def get_member_states(self) -> MemberStates:
-        """Give the list of live and leaving hosts and endpoints."""
+        """Return the states of hosts and endpoints."""
         return decode_member_states(
             self._get("/v1/hosts", self._list, RESPONSE_TIMEOUT_S, MAX_LIST_BYTES)
         )
 
     def _get(self, path: str, limited: LimitedPool, timeout_s: float, limit: int) -> bytes:
-        """Give the body of an answer, within the pace; raise PlatformError for any other end."""
+        """Wait for the rate limiter and return the body of a response; raise PlatformError."""
         self._sleep(limited.limiter.get_delay(self._clock()))
         started_at = self._clock()
         retry_after_s = 0.0
@@ -116,19 +118,19 @@
         )
 
     def _read(self, response: urllib3.BaseHTTPResponse, limit: int, deadline: float) -> bytes:
-        """Read the body; close the connection when it is refused, so that none is left in it."""
+        """Read the body; on failure close the connection, so that no unread data remains in it."""
         data = bytearray()
         try:
             if response.status != 200:
                 raise PlatformError(f"it answered {response.status}")
             if response.headers.get("Content-Encoding", "identity") != "identity":
-                raise PlatformError("its answer is compressed")
+                raise PlatformError("the response is compressed")
             for chunk in response.stream(CHUNK_BYTES):
                 data += chunk
                 if len(data) > limit:
-                    raise PlatformError(f"its answer is longer than {limit} bytes")
+                    raise PlatformError(f"the response is longer than {limit} bytes")
                 if self._clock() > deadline:
-                    raise PlatformError("its answer does not end")
+                    raise PlatformError("the response was not complete before the timeout")
         except BaseException:
             response.close()
             raise
--- a/cloverway/sources/port.py
+++ b/cloverway/sources/port.py
@@ -1,4 +1,4 @@
-"""The port to the platform: what the system reads from it, and nothing that it writes."""
+"""Interface to the platform: what hosts read from it; they write nothing to it."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class Document(NamedTuple):
-    """One published document with the revision that wrote it."""
+    """A published document, with the revision that wrote it."""
 
     key: str
-    """Table and name, such as "profiles/lookup"; "organisation" and "objective" have no name."""
+    """Table and name, such as "profiles/lookup"; singletons such as "objective" have no name."""
     revision: int
     value: Mapping[str, Any] | None
-    """None when the revision deleted the document."""
+    """None if the revision deleted the document."""
 
 
 class Changes(NamedTuple):
-    """Documents that were written after some revision."""
+    """Documents that were written after a revision: a delta, or a snapshot with all documents."""
 
     revision: int
-    """The revision of the whole configuration that the documents lead to."""
+    """The revision of the configuration after the changes."""
     after: int
-    """The revision that they start from; 0 when these are all documents.
+    """The revision that the delta starts from; 0 for a snapshot.
 
-    Of a whole, a document that is missing was deleted at or before `revision`.
+    A document that a snapshot lacks was deleted at or before `revision`.
     """
     documents: tuple[Document, ...] = ()
     digest: str = ""
-    """Digest of all documents at `revision`, where the source tells it."""
+    """Digest of all documents at `revision`; empty if the source doesn't send one."""
 
     @property
     def complete(self) -> bool:
-        """Whether these are all documents."""
+        """Whether this is a snapshot with all documents."""
         return self.after == 0
 
 
@@ -45,23 +45,23 @@
 
 
 class MemberStates(NamedTuple):
-    """The platform's list of live and leaving members, which lags behind the truth."""
+    """States of hosts and endpoints as listed by the platform, which may be outdated."""
 
     hosts: Mapping[str, Listed] = {}
     endpoints: Mapping[str, Listed] = {}
 
 
 class Platform(Protocol):
-    """Reads the platform; both calls block and raise PlatformError when it can't be read."""
+    """Reads the platform; both methods block, and raise PlatformError if it can't be read."""
 
     def read(self, after: int, wait_s: float) -> Changes:
-        """Give the documents after a revision; wait up to some seconds until there are any.
+        """Return the documents after a revision; wait up to `wait_s` seconds until there are any.
 
-        Gives all documents when `after` is 0. The revision of the answer may be lower than
-        `after`: the platform is then stale.
+        Returns a snapshot if `after` is 0. If the revision returned is lower than `after`, the
+        platform is stale.
         """
         ...
 
     def get_member_states(self) -> MemberStates:
-        """Give the list of live and leaving hosts and endpoints."""
+        """Return the states of hosts and endpoints."""
         ...
--- a/cloverway/sources/rate_limiter.py
+++ b/cloverway/sources/rate_limiter.py
@@ -1,23 +1,23 @@
-"""How often the platform's service is called: its rate is shared by the whole fleet."""
+"""Limit the rate of calls to the platform's service, which all hosts of the fleet share."""
 
 from __future__ import annotations
 
 import random
 
 MAX_DELAY_S = 2.0
-"""Bound on a delay, so that a change is known soon after an outage has ended."""
+"""Maximum backoff delay, so that changes are read soon after the end of an outage."""
 
 MAX_RETRY_AFTER_S = 30.0
-"""Bound on a delay that the service asks for."""
+"""Maximum delay that the service can request."""
 
 MIN_JITTER = 0.5
 
 
 class RateLimiter:
-    """Decide when the next call may start; times are monotonic seconds.
+    """Determines when the next call may start; times are monotonic seconds.
 
-    After a success calls are at least an interval apart. After each failure in a row the delay
-    doubles, with jitter: readers that lost the service at one moment do not come back at one.
+    After a success, calls are at least an interval apart. Each consecutive failure doubles the
+    delay, with jitter, so that readers that lost the service together don't return together.
     """
 
     def __init__(self, interval_s: float, rng: random.Random) -> None:
@@ -27,16 +27,16 @@
         self._next_at = float("-inf")
 
     def get_delay(self, now: float) -> float:
-        """Give the seconds until a call may start."""
+        """Return the seconds until a call may start."""
         return max(0.0, self._next_at - now)
 
     def record_success(self, started_at: float) -> None:
-        """Note that the call that started then was answered."""
+        """Record the success of the call that started at `started_at`."""
         self._failures = 0
         self._next_at = started_at + self._interval_s
 
     def record_failure(self, now: float, retry_after_s: float = 0.0) -> None:
-        """Note that a call failed, and when the service wants the next one."""
+        """Record a failed call, and the delay that the service requested."""
         self._failures += 1
         backoff_s = self._interval_s * 2 ** min(self._failures, 16)
         jitter = MIN_JITTER + (1 - MIN_JITTER) * self._rng.random()
