--- a/cloverway/__main__.py
+++ b/cloverway/__main__.py
@@ -156,12 +156,12 @@
 )
 def _key(json: Json = False) -> None:
     """Generate a caller key and its hash to publish. The key is not stored."""
-    made = key.make_key()
+    new_key = key.make_key()
     if json:
-        typer.echo(output.format_json(made._asdict()))
+        typer.echo(output.format_json(new_key._asdict()))
         return
-    typer.echo(f"Give this key to the team, and keep no copy:\n\n  {made.key}\n")
-    typer.echo(f'Publish its hash in the team\'s table:\n\n  key_hashes = ["{made.key_hash}"]')
+    typer.echo(f"Give this key to the team, and keep no copy:\n\n  {new_key.key}\n")
+    typer.echo(f'Publish its hash in the team\'s table:\n\n  key_hashes = ["{new_key.key_hash}"]')
 
 
 @app.command(
@@ -194,7 +194,7 @@
     statuses = status.query_all(addresses)
     faults = status.find_problems(statuses)
     if json:
-        hosts = [one._asdict() for one in statuses]
+        hosts = [host_status._asdict() for host_status in statuses]
         typer.echo(output.format_json({"hosts": hosts, "faults": faults}))
     else:
         typer.echo(output.format_table(status.COLUMNS, map(status.as_cells, statuses)))
@@ -236,8 +236,8 @@
 
     Nothing is sent to an endpoint.
     """
-    question = {"team": team, "profile": profile}
-    print_document(admin.query_json(host, "/v1/explain", "POST", question), json)
+    query = {"team": team, "profile": profile}
+    print_document(admin.query_json(host, "/v1/explain", "POST", query), json)
 
 
 @app.command(
@@ -383,8 +383,8 @@
         typer.echo(output.format_json(bench.as_document(targets, stats, usage)))
         return
     typer.echo(bench.format_markdown(bench.COLUMNS, bench.make_rows(targets, stats, plan)))
-    for each in usage:
-        typer.echo(f"process {each.pid}: {each.cores:.2f} cores, {each.memory_mb:.0f} MB")
+    for process in usage:
+        typer.echo(f"process {process.pid}: {process.cores:.2f} cores, {process.memory_mb:.0f} MB")
 
 
 def main() -> None:
--- a/cloverway/answers.py
+++ b/cloverway/answers.py
@@ -81,13 +81,13 @@
         if not self.is_stream:
             yield self._read_event(self.read().decode("utf-8", "replace"))
             return
-        ended = False
+        is_done = False
         # Read past the closing event: a stream without its last chunk is truncated as well.
         for data in parse_events(iter(self)):
-            ended = ended or data == END_OF_STREAM
-            if not ended:
+            is_done = is_done or data == END_OF_STREAM
+            if not is_done:
                 yield self._read_event(data)
-        if not ended:
+        if not is_done:
             raise self._make_truncated_error("the stream ended without its closing event")
 
     def close(self) -> None:
--- a/cloverway/client.py
+++ b/cloverway/client.py
@@ -118,9 +118,9 @@
         now = self._clock()
         if now < self._host_list_read_at + self._host_list.lifetime_s:
             return self._host_list
-        known = [host.address for host in self._host_list.hosts]
+        host_addresses = [host.address for host in self._host_list.hosts]
         refusal = CallError(Kind.NO_CAPACITY, "no address of an entry host was given", ran=Ran.NO)
-        for address in dict.fromkeys([*known, *self._addresses]):
+        for address in dict.fromkeys([*host_addresses, *self._addresses]):
             try:
                 document = self._ask(address, "GET", "/v1/hosts")
             except CallError as error:
--- a/cloverway/commands/bench.py
+++ b/cloverway/commands/bench.py
@@ -83,14 +83,14 @@
     targets: Sequence[Target], stats: Sequence[LoadStats], plan: LoadPlan
 ) -> Iterable[tuple[str, ...]]:
     """Yield a row for each target; times are milliseconds."""
-    for target, seen in zip(targets, stats, strict=True):
+    for target, measured in zip(targets, stats, strict=True):
         times = [
             f"{histogram.get_value_at_percentile(quantile) / US_PER_MS:.1f}"
-            for histogram in (seen.first_token, seen.token_gaps)
+            for histogram in (measured.first_token, measured.token_gaps)
             for quantile in QUANTILES
         ]
-        outcomes = ", ".join(f"{count} {name}" for name, count in sorted(seen.outcomes.items()))
-        yield target.name, *times, f"{seen.tokens / plan.seconds:.0f}", outcomes
+        outcomes = ", ".join(f"{count} {name}" for name, count in sorted(measured.outcomes.items()))
+        yield target.name, *times, f"{measured.tokens / plan.seconds:.0f}", outcomes
 
 
 def as_document(
@@ -100,14 +100,14 @@
     return {
         "targets": {
             target.name: {
-                "first_ms": _list_quantiles(seen.first_token),
-                "gap_ms": _list_quantiles(seen.token_gaps),
-                "tokens": seen.tokens,
-                "outcomes": dict(seen.outcomes),
+                "first_ms": _list_quantiles(measured.first_token),
+                "gap_ms": _list_quantiles(measured.token_gaps),
+                "tokens": measured.tokens,
+                "outcomes": dict(measured.outcomes),
             }
-            for target, seen in zip(targets, stats, strict=True)
+            for target, measured in zip(targets, stats, strict=True)
         },
-        "processes": [each._asdict() for each in usage],
+        "processes": [process._asdict() for process in usage],
     }
 
 
--- a/cloverway/commands/call.py
+++ b/cloverway/commands/call.py
@@ -109,13 +109,13 @@
 
 def describe_origin(answer: Answer) -> str:
     """Describe where an answer comes from."""
-    places = {
+    origin = {
         "host": answer.host,
         "region": answer.headers.get("cloverway-region"),
         "endpoint": answer.headers.get("cloverway-endpoint"),
         "request": answer.request_id,
     }
-    return ", ".join(f"{name} {value}" for name, value in places.items() if value)
+    return ", ".join(f"{name} {value}" for name, value in origin.items() if value)
 
 
 def _describe_origin(error: CallError) -> str:
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -49,9 +49,9 @@
             settings = Settings.from_toml(path)
         except ConfigurationError as error:
             return Report(error.findings, warnings, [])
-    place = f"host {settings.host} in {settings.domain}, region {settings.region}"
+    subject = f"host {settings.host} in {settings.domain}, region {settings.region}"
     errors = [f"{path}: {fault}" for fault in _find_mismatches(settings, deployment)]
-    return Report(errors, warnings, [], place)
+    return Report(errors, warnings, [], subject)
 
 
 def describe(published: Published) -> str:
--- a/cloverway/commands/status.py
+++ b/cloverway/commands/status.py
@@ -57,9 +57,9 @@
 
 def find_problems(statuses: Sequence[HostStatus]) -> list[str]:
     """Return what needs attention: silent, outdated or unready hosts, and a stale platform."""
-    silent = [status.address for status in statuses if status.fault]
+    unreachable = [status.address for status in statuses if status.fault]
     newest = max((status.document.get("revision", 0) for status in statuses), default=0)
-    behind = [
+    outdated = [
         status.document["host"]
         for status in statuses
         if not status.fault and status.document.get("revision", 0) < newest
@@ -73,8 +73,8 @@
         status.document["host"] for status in statuses if status.document.get("platform_stale")
     ]
     findings = (
-        (silent, "gave no answer"),
-        (behind, f"behind revision {newest}"),
+        (unreachable, "gave no answer"),
+        (outdated, f"behind revision {newest}"),
         (unready, "take no work"),
         (stale, "see a platform that is stale"),
     )
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -145,10 +145,12 @@
 
     def _make_tasks(self, secret: bytes) -> None:
         settings, holder = self.settings, self.holder
-        bounds = PeerLimits.from_limits(settings.limits)
+        peer_limits = PeerLimits.from_limits(settings.limits)
         self.metrics = Metrics(time.monotonic, GAP_BOUNDS_S)
         reporter = Reporter(self.metrics, holder)
-        self.peer_client = PeerClient(Identity(settings.host, self.incarnation), secret, bounds)
+        self.peer_client = PeerClient(
+            Identity(settings.host, self.incarnation), secret, peer_limits
+        )
         # The dispatcher records crashes of endpoints; the control loop reports them to other hosts.
         tracker = CrashTracker(settings.quarantine)
         self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
@@ -176,7 +178,7 @@
             Identity(settings.host, self.incarnation),
             secret,
             handler,
-            bounds,
+            peer_limits,
         )
         self._make_listeners(reporter)
 
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -65,14 +65,14 @@
             "/v1/drain": ("POST", self._drain),
         }
         responder = Responder(settings.host, self._handle, MAX_BODY_BYTES)
-        bounds = ListenerLimits(
+        listener_limits = ListenerLimits(
             settings.limits.admin_threads,
             MAX_WAITING_CONNECTIONS,
             MAX_IDLE_CONNECTIONS,
             settings.limits.header_bytes,
         )
         self._listener = Listener(
-            settings.listen.admin, responder.make_application(), bounds, "admin"
+            settings.listen.admin, responder.make_application(), listener_limits, "admin"
         )
 
     @property
@@ -120,8 +120,8 @@
         return make_json_reply(status)
 
     def _explain(self, call: Call) -> Reply:
-        question = bodies.parse_json(self._read_body(call), call.get_header("Content-Type"))
-        team, profile = question.get("team"), question.get("profile")
+        query = bodies.parse_json(self._read_body(call), call.get_header("Content-Type"))
+        team, profile = query.get("team"), query.get("profile")
         if not isinstance(team, str) or not isinstance(profile, str):
             raise RequestError(Kind.MALFORMED, 'send {"team": NAME, "profile": NAME}')
         return make_json_reply(self._operations.explain(team, profile))
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -139,9 +139,9 @@
         """Stop the task once it has handled the observations sent so far."""
         self._task.stop()
 
-    def record(self, ended: RequestEnded | StreamEnded) -> None:
+    def record(self, observation: RequestEnded | StreamEnded) -> None:
         """Send an observation without waiting."""
-        self._task.send(ended)
+        self._task.send(observation)
 
     def render(self, gauges: Sequence[Gauge] = ()) -> bytes:
         """Return all metrics as text, with the gauges given."""
@@ -196,28 +196,30 @@
             for pair in (self._first, self._gap, self._total, self._queue):
                 pair.drop_tenant(tenant)
 
-    def _record_request(self, ended: RequestEnded) -> None:
-        kind = str(ended.kind) if ended.kind is not None else SUCCESS
-        urgency = ended.urgency or UNKNOWN_CLASS
-        self._requests.inc({"class": urgency, "kind": kind, "ran": str(ended.ran)})
-        if ended.endpoint:
-            self._outcomes.inc({"endpoint": self._label_endpoint(ended.endpoint), "kind": kind})
-        if ended.attempts:
-            self._attempts.add({"class": urgency}, ended.attempts)
-        if not ended.team:
+    def _record_request(self, observation: RequestEnded) -> None:
+        kind = str(observation.kind) if observation.kind is not None else SUCCESS
+        urgency = observation.urgency or UNKNOWN_CLASS
+        self._requests.inc({"class": urgency, "kind": kind, "ran": str(observation.ran)})
+        if observation.endpoint:
+            self._outcomes.inc(
+                {"endpoint": self._label_endpoint(observation.endpoint), "kind": kind}
+            )
+        if observation.attempts:
+            self._attempts.add({"class": urgency}, observation.attempts)
+        if not observation.team:
             return
-        tenant = self._labels.choose(ended.team)
-        self._total.observe(urgency, tenant, ended.total_s)
-        if ended.attempts:
-            self._queue.observe(urgency, tenant, ended.queue_s)
-        if ended.first_byte_s is not None:
-            self._first.observe(urgency, tenant, ended.first_byte_s)
-
-    def _record_stream(self, ended: StreamEnded) -> None:
-        urgency = ended.urgency or UNKNOWN_CLASS
-        self._tokens.add({"class": urgency}, ended.tokens)
-        tenant = self._labels.get(ended.team)
-        self._gap.merge(urgency, tenant, ended.gaps, ended.gap_sum_s)
+        tenant = self._labels.choose(observation.team)
+        self._total.observe(urgency, tenant, observation.total_s)
+        if observation.attempts:
+            self._queue.observe(urgency, tenant, observation.queue_s)
+        if observation.first_byte_s is not None:
+            self._first.observe(urgency, tenant, observation.first_byte_s)
+
+    def _record_stream(self, observation: StreamEnded) -> None:
+        urgency = observation.urgency or UNKNOWN_CLASS
+        self._tokens.add({"class": urgency}, observation.tokens)
+        tenant = self._labels.get(observation.team)
+        self._gap.merge(urgency, tenant, observation.gaps, observation.gap_sum_s)
 
     def _label_endpoint(self, endpoint: str) -> str:
         """Return the label of a local endpoint, or of a remote endpoint's failure domain."""
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -59,10 +59,12 @@
         self._metrics = metrics
         self._holder = holder
 
-    def report_request(self, ended: EndedRequest) -> None:
+    def report_request(self, request_record: EndedRequest) -> None:
         """Report a request that the gateway ran or refused."""
-        request = ended.request
-        first_ms = _to_ms(ended.first_byte_s) if ended.first_byte_s is not None else None
+        request = request_record.request
+        first_ms = (
+            _to_ms(request_record.first_byte_s) if request_record.first_byte_s is not None else None
+        )
         log.info(
             "request",
             extra={
@@ -70,13 +72,13 @@
                 "team": request.team,
                 "profile": request.profile,
                 "method": request.method,
-                "endpoint": ended.endpoint,
-                "attempts": ended.attempts,
-                "queue_ms": _to_ms(ended.queue_s),
+                "endpoint": request_record.endpoint,
+                "attempts": request_record.attempts,
+                "queue_ms": _to_ms(request_record.queue_s),
                 "first_byte_ms": first_ms,
-                "total_ms": _to_ms(ended.total_s),
-                "outcome": str(ended.kind or "ok"),
-                "ran": str(ended.ran),
+                "total_ms": _to_ms(request_record.total_s),
+                "outcome": str(request_record.kind or "ok"),
+                "ran": str(request_record.ran),
                 "passed_on": request.is_forwarded,
             },
         )
@@ -84,13 +86,13 @@
             RequestEnded(
                 team=request.team,
                 urgency=self._find_urgency(request.profile),
-                kind=ended.kind,
-                ran=ended.ran,
-                endpoint=ended.endpoint,
-                attempts=ended.attempts,
-                queue_s=ended.queue_s,
-                first_byte_s=ended.first_byte_s,
-                total_s=ended.total_s,
+                kind=request_record.kind,
+                ran=request_record.ran,
+                endpoint=request_record.endpoint,
+                attempts=request_record.attempts,
+                queue_s=request_record.queue_s,
+                first_byte_s=request_record.first_byte_s,
+                total_s=request_record.total_s,
             )
         )
 
@@ -119,11 +121,11 @@
             )
         )
 
-    def report_stream(self, request: Request, gaps: EndedStream) -> None:
+    def report_stream(self, request: Request, stream: EndedStream) -> None:
         """Report the tokens of a stream that has ended."""
         urgency = self._find_urgency(request.profile)
         self._metrics.record(
-            StreamEnded(request.team, urgency, gaps.tokens, gaps.gaps, gaps.gap_sum_s)
+            StreamEnded(request.team, urgency, stream.tokens, stream.gaps, stream.gap_sum_s)
         )
 
     def _find_urgency(self, profile: str) -> str:
