--- a/cloverway/tests/bench_change.py
+++ b/cloverway/tests/bench_change.py
@@ -1,7 +1,7 @@
-"""Measure how long a change takes to be in force: `python -m cloverway.tests.bench_change`.
+"""Measure the time until a change is in force: `python -m cloverway.tests.bench_change`.
 
-Changes are published one after the other to the platform's stand-in, and every daemon is asked for
-its revision until all have it. The time holds the asking: about a millisecond for each daemon.
+Changes are published one after the other to the simulated platform, and all daemons are polled for
+their revision until all have it. The time includes the polls, about 1 ms for each daemon.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def wait_for_revision(
     fleet: Fleet, http: urllib3.PoolManager, hosts: list[str], revision: int
 ) -> float:
-    """Give the seconds until every host has a revision in force."""
+    """Return the seconds until all hosts have a revision in force."""
     begin, timer = time.monotonic(), threading.Event()
     remaining = set(hosts)
     while remaining:
--- a/cloverway/tests/bench_configuration.py
+++ b/cloverway/tests/bench_configuration.py
@@ -1,4 +1,4 @@
-"""Measure the store of published configuration against its size.
+"""Measure time and memory of the configuration store for several sizes.
 
 Run: python -m cloverway.tests.bench_configuration
 """
@@ -23,7 +23,7 @@
 
 
 def make_documents(teams: int) -> list[Document]:
-    """Make a configuration in the proportions of the two-year size."""
+    """Make a configuration with the proportions of the deployment planned for in two years."""
     hosts, endpoints = round(teams * HOSTS_PER_TEAM), round(teams * ENDPOINTS_PER_TEAM)
     values: dict[str, Any] = {"organisation": {"name": "riviere"}, "objective": {"cost": 2.0}}
     values |= {f"regions/r{i}": {"title": f"Region {i}"} for i in range(REGIONS)}
@@ -63,7 +63,7 @@
 
 
 def time_us(call: Callable[[int], Any], rounds: int = ROUNDS) -> float:
-    """Give the median time of one call in microseconds of processor time."""
+    """Return the median CPU time of one call in microseconds."""
     times = []
     for i in range(rounds):
         started = time.process_time_ns()
@@ -115,14 +115,14 @@
 
 
 def fit(xs: list[float], ys: list[float]) -> tuple[float, float, float]:
-    """Fit a line; give its start, its slope, and the largest residual as a share."""
+    """Fit a line; return its intercept, its slope and the largest relative residual."""
     slope, start = statistics.linear_regression(xs, ys)
     residual = max(abs(y - start - slope * x) / max(y, 1e-9) for x, y in zip(xs, ys, strict=True))
     return start, slope, residual
 
 
 def main() -> None:
-    measure(TEAMS[0])  # What is made once, such as the schemas, is in none of the rows.
+    measure(TEAMS[0])  # Warm-up, so that no row includes one-time costs such as the schemas.
     rows = [measure(teams) for teams in TEAMS]
     columns = list(rows[0])
     print("| | " + " | ".join(f"{teams:,} teams" for teams in TEAMS) + " | fit | residual |")
--- a/cloverway/tests/test_configuration_machine.py
+++ b/cloverway/tests/test_configuration_machine.py
@@ -1,4 +1,5 @@
-"""Random runs of several stores against a platform that is stale, restored or raced."""
+"""Random runs of several configuration stores with a platform that is stale, restored or written
+concurrently."""
 
 from __future__ import annotations
 
@@ -22,13 +23,13 @@
 
 
 class FakePlatform:
-    """Keeps a log of revisions; may serve an old one, or lose the latest and use them again."""
+    """Keeps a log of revisions; may serve an old one, or lose the latest and reuse them."""
 
     def __init__(self) -> None:
         self.log: list[Document] = []
         self.served: int | None = None
         self.published_sets: dict[tuple[int, str], bool] = {}
-        """Every set that was ever published, and whether it is valid."""
+        """Whether each published set of documents is valid, by revision and digest."""
 
     @property
     def revision(self) -> int:
@@ -65,7 +66,7 @@
             valid = True
         except ConfigurationError:
             valid = False
-        # The store checks what changed, the loader checks all: both must come to one verdict.
+        # The store checks only the changes and the loader checks everything; both must agree.
         assert (store.revision == self.revision) == valid
         self.published_sets[self.revision, digest_of(self.answer(0))] = valid
         self.served = served
@@ -103,7 +104,7 @@
             self.read_platform(i)
             self.stores[i].start_serving()
 
-    # The operators. Most of what they publish is valid, so that runs get far.
+    # Operators. Most of what they publish is valid, so that runs make progress.
 
     @rule(name=st.sampled_from(REGIONS), then=st.integers(0, 2), readers=readers)
     def publish_region(self, name: str, then: int, readers: set[int]) -> None:
@@ -142,7 +143,7 @@
 
     @rule(back=st.integers(1, 4), then=st.integers(0, 5), seen_by=readers, readers=readers)
     def restore(self, back: int, then: int, seen_by: set[int], readers: set[int]) -> None:
-        """The platform is out of reach and comes back with older data; some hosts see it so."""
+        """Restore the platform from older data after an outage; some hosts read that state."""
         self.now += 11
         self.answers = [None] * STORES
         self.platform.restore(max(3, self.platform.revision - back))
@@ -150,7 +151,7 @@
         if then:
             self.publish_region("port-louis", then, readers)
 
-    # The stores.
+    # Stores.
 
     def read_platform(self, i: int) -> None:
         self.request_from_platform(i)
@@ -177,7 +178,7 @@
     @precondition(lambda self: self.network)
     @rule(which=st.integers(0, 99), i=store_index)
     def deliver_late(self, which: int, i: int) -> None:
-        """Deltas come late, twice, in another order, and to others than asked for them."""
+        """Deliver a delta late, again, out of order, or to a store that did not request it."""
         changes = self.network.pop(which % len(self.network))
         self.stores[i].apply(changes, Source.PEER, self.now)
 
@@ -208,7 +209,7 @@
                 assert self.platform.published_sets[store.revision, store.digest]
 
     def teardown(self) -> None:
-        """Mend the platform as the operator's page says, and see that all stores follow."""
+        """Recover the platform as the operator guide describes; check that all stores follow."""
         self.platform.served = None
         self.network.clear()
         while self.platform.revision < max(store.revision for store in self.stores):
--- a/cloverway/tests/test_configuration_reference.py
+++ b/cloverway/tests/test_configuration_reference.py
@@ -1,4 +1,4 @@
-"""The reference has every name of the settings and of published documents, with its default."""
+"""The configuration reference lists all fields of settings and published documents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def list_sections() -> dict[str, Any]:
-    """Give the NamedTuple of each section of the page by its heading."""
+    """Return the NamedTuple of each section of the page by its heading."""
     hints = get_type_hints(Settings)
     parts = {name: hint for name, hint in hints.items() if hasattr(hint, "_fields")}
     published = SINGLETONS | {f"{table}.NAME": model for table, model in TABLES.items()}
--- a/cloverway/tests/test_file_platform.py
+++ b/cloverway/tests/test_file_platform.py
@@ -1,4 +1,4 @@
-"""Failures of a directory as the platform: half-written, replaced, forgotten revisions."""
+"""The file platform: partly written files, replaced directories, revisions that don't increase."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """Time that passes only when the platform waits; acts at given waits."""
+    """A clock that advances only when the platform sleeps; runs an action after each sleep."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -51,7 +51,7 @@
 
 
 def test_change_is_seen_while_waiting(tmp_path: Path, platform: FilePlatform, clock: Clock) -> None:
-    """The revision of what did not change stays, so that peers are told only of what did."""
+    """Unchanged documents keep their revision, so that peers receive only the changed ones."""
     platform.read(0, 2.0)
     text = BASE.format(6) + "[regions.rodrigues]\n"
     clock.actions = [lambda: (tmp_path / "base.toml").write_text(text)]
@@ -63,25 +63,25 @@
     }
 
 
-def test_half_written_file_is_not_taken(
+def test_partly_written_file_is_not_accepted(
     tmp_path: Path, platform: FilePlatform, clock: Clock
 ) -> None:
     """An editor writes the new revision first and the rest half a second later. The first part is
-    valid TOML without the teams: taken as it stands it would withdraw them all."""
+    valid TOML without the teams; accepting it would withdraw all of them."""
     base = tmp_path / "base.toml"
     base.write_text(BASE.format(5) + '[teams.a]\nhome = "curepipe"\n')
     platform.read(0, 2.0)
-    whole = BASE.format(6) + '[teams.a]\nhome = "curepipe"\n[regions.rodrigues]\n'
-    clock.actions = [lambda: base.write_text(BASE.format(6)), lambda: base.write_text(whole)]
+    complete = BASE.format(6) + '[teams.a]\nhome = "curepipe"\n[regions.rodrigues]\n'
+    clock.actions = [lambda: base.write_text(BASE.format(6)), lambda: base.write_text(complete)]
     changes = platform.read(5, 4.0)
     assert {"teams/a", "regions/rodrigues"} <= {d.key for d in changes.documents}
 
 
-def test_two_looks_at_one_moment_are_one(
+def test_two_polls_at_the_same_time_count_as_one(
     tmp_path: Path, platform: FilePlatform, clock: Clock
 ) -> None:
-    """One call ends with a look and the next starts with one. A file that is half written at that
-    moment is the same in both."""
+    """One call ends with a poll and the next starts with one. Both find the same contents in a file
+    that is partly written at that time."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(6))
     for _ in range(3):
@@ -89,7 +89,9 @@
     assert platform.read(5, 0.5).revision == 6
 
 
-def test_broken_file_keeps_the_last_good_one(tmp_path: Path, platform: FilePlatform) -> None:
+def test_malformed_file_leaves_the_last_valid_configuration(
+    tmp_path: Path, platform: FilePlatform
+) -> None:
     platform.read(0, 2.0)
     (tmp_path / "more.toml").write_text("[teams.a\n")
     with pytest.raises(PlatformError, match=r"more\.toml: is not TOML"):
@@ -99,23 +101,23 @@
     assert not platform.read(5, 2.0).documents
 
 
-def test_change_without_a_raised_revision_is_refused(
+def test_change_without_a_higher_revision_is_rejected(
     tmp_path: Path, platform: FilePlatform
 ) -> None:
-    """Hosts that saw the old content under this revision would keep it, others would not."""
+    """Hosts that read the old content under this revision would keep it, and others would not."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(5) + 'title = "new"\n')
     with pytest.raises(PlatformError, match=r"still 5 but regions/curepipe changed; raise it"):
         platform.read(5, 2.0)
 
 
-def test_comment_needs_no_revision(tmp_path: Path, platform: FilePlatform) -> None:
+def test_comment_needs_no_higher_revision(tmp_path: Path, platform: FilePlatform) -> None:
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text("# A comment.\n" + BASE.format(5))
     assert not platform.read(5, 2.0).documents
 
 
-def test_lower_revision_is_refused(tmp_path: Path, platform: FilePlatform) -> None:
+def test_lower_revision_is_rejected(tmp_path: Path, platform: FilePlatform) -> None:
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(4))
     with pytest.raises(PlatformError, match="went back from 5 to 4; raise it over 5"):
@@ -123,16 +125,18 @@
     assert platform.read(0, 0.0).revision == 5
 
 
-def test_skipped_revision_marks_all_as_new(tmp_path: Path, platform: FilePlatform) -> None:
-    """Another host saw revision 6 change a region that 7 changed back: what looks unchanged
-    here must not count as older there."""
+def test_all_documents_are_new_after_a_skipped_revision(
+    tmp_path: Path, platform: FilePlatform
+) -> None:
+    """Another host read revision 6, which changed a region that revision 7 changed back. The region
+    is unchanged here, but must not have a revision older than on the other host."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(7))
     assert {d.revision for d in platform.read(5, 2.0).documents} == {7}
 
 
-def test_directory_swapped_by_a_link(tmp_path: Path, clock: Clock) -> None:
-    """Whoever publishes from version control swaps a link to the whole directory."""
+def test_directory_replaced_with_a_symbolic_link(tmp_path: Path, clock: Clock) -> None:
+    """Operators who publish from version control replace a link to the directory."""
     for revision in (1, 2):
         (tmp_path / str(revision)).mkdir()
         (tmp_path / str(revision) / "base.toml").write_text(BASE.format(revision))
@@ -144,8 +148,11 @@
     assert platform.read(1, 2.0).revision == 2
 
 
-def test_same_size_and_time_is_seen(tmp_path: Path, platform: FilePlatform) -> None:
-    """Two writes within one tick of the clock leave one mark; contents tell for a while."""
+def test_change_with_the_same_size_and_time_is_detected(
+    tmp_path: Path, platform: FilePlatform
+) -> None:
+    """Two writes within one tick of the clock give the same stamp, so that contents are compared
+    for some time."""
     platform.read(0, 2.0)
     base = tmp_path / "base.toml"
     stat = base.stat()
@@ -154,20 +161,20 @@
     assert platform.read(5, 2.0).revision == 6
 
 
-def test_name_that_stands_twice_is_refused(tmp_path: Path, platform: FilePlatform) -> None:
+def test_document_in_two_files_is_rejected(tmp_path: Path, platform: FilePlatform) -> None:
     (tmp_path / "more.toml").write_text("[regions.curepipe]\n")
     with pytest.raises(PlatformError, match=r"regions\.curepipe: stands in .*base\.toml too"):
         platform.read(0, 2.0)
 
 
-def test_missing_directory_is_said(tmp_path: Path, clock: Clock) -> None:
+def test_missing_directory_is_an_error(tmp_path: Path, clock: Clock) -> None:
     platform = FilePlatform(tmp_path / "none", 0.5, clock.read, clock.sleep)
     with pytest.raises(PlatformError, match=r"holds no \*\.toml file"):
         platform.read(0, 2.0)
 
 
-def test_slow_looks_settle_too(tmp_path: Path, clock: Clock) -> None:
-    """With looks further apart than the unsettled time a change is still taken at the second."""
+def test_change_is_accepted_with_a_long_poll_interval(tmp_path: Path, clock: Clock) -> None:
+    """With polls further apart than CONTENT_CHECK_S, a change is still accepted at the second."""
     (tmp_path / "base.toml").write_text(BASE.format(1))
     platform = FilePlatform(tmp_path, 10.0, clock.read, clock.sleep)
     assert platform.read(0, 20.0).revision == 1
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -1,4 +1,4 @@
-"""Failures of the platform's service, over real sockets, and the pace of its callers."""
+"""The HTTP platform: failures of the service, over real sockets, and the rate limiter."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return HttpPlatform(service.url, random.Random(1), sleep=lambda _: None)
 
 
-def test_reads_whole_and_delta(service: Platform, platform: HttpPlatform) -> None:
+def test_reads_snapshot_and_delta(service: Platform, platform: HttpPlatform) -> None:
     snapshot = platform.read(0, 0.0)
     assert snapshot.complete and snapshot.revision == 2 and len(snapshot.documents) == 2
     service.publish("regions/a", None)
@@ -38,7 +38,7 @@
 
 
 def test_watch_ends_with_the_change(service: Platform, platform: HttpPlatform) -> None:
-    """The change comes while the call waits; it must not wait until the call's end."""
+    """A change during a call must end the wait of the call."""
     publisher = threading.Timer(0.05, service.publish, ("regions/b", {}))
     publisher.start()
     changes = platform.read(2, 30.0)
@@ -46,17 +46,17 @@
     assert [document.key for document in changes.documents] == ["regions/b"]
 
 
-def test_list_lets_an_unknown_state_get_no_work(service: Platform, platform: HttpPlatform) -> None:
+def test_unknown_state_is_treated_as_leaving(service: Platform, platform: HttpPlatform) -> None:
     service.list_as(hosts={"a": "live", "b": "leaving"}, endpoints={"e": "rebooting"})
     states = platform.get_member_states()
     assert states.hosts == {"a": Listed.LIVE, "b": Listed.LEAVING}
     assert states.endpoints == {"e": Listed.LEAVING}
 
 
-def test_silent_connection_is_given_up(
+def test_silent_connection_is_closed(
     service: Platform, platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection goes silent for good; the next read goes over a new one."""
+    """The connection becomes silent; the next read uses a new one."""
     monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", 0.1)
     service.faults.silent = True
     with pytest.raises(PlatformError, match="can't be read"):
@@ -65,15 +65,15 @@
     assert platform.read(0, 0.0).revision == 2
 
 
-def test_cut_answer_is_no_answer(service: Platform, platform: HttpPlatform) -> None:
+def test_truncated_response_is_an_error(service: Platform, platform: HttpPlatform) -> None:
     service.faults.short_body = True
     with pytest.raises(PlatformError, match="can't be read"):
         platform.read(0, 0.0)
 
 
-def test_late_answer_is_not_taken_for_the_whole(service: Platform, platform: HttpPlatform) -> None:
-    """An answer comes twice on one connection. The next read of the whole must not find the
-    second copy, which is a delta: all that it lacks would be withdrawn."""
+def test_late_response_is_not_read_as_a_snapshot(service: Platform, platform: HttpPlatform) -> None:
+    """A response is sent twice on one connection. The next read of a snapshot must not get the
+    second copy, which is a delta: all documents that it lacks would be withdrawn."""
     service.publish("regions/b", {})
     service.faults.duplicate = True
     assert len(platform.read(2, 0.0).documents) == 1
@@ -81,19 +81,19 @@
     assert len(platform.read(0, 0.0).documents) == 3
 
 
-def test_refusal_is_an_error(service: Platform, platform: HttpPlatform) -> None:
+def test_error_status_is_an_error(service: Platform, platform: HttpPlatform) -> None:
     service.faults.error = 503
     with pytest.raises(PlatformError, match="answered 503"):
         platform.read(0, 0.0)
 
 
-def test_endless_answer_is_bounded(platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_size_is_limited(platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "MAX_CONFIGURATION_BYTES", 50)
     with pytest.raises(PlatformError, match="longer than 50 bytes"):
         platform.read(0, 0.0)
 
 
-def test_nobody_listens() -> None:
+def test_refused_connection_is_an_error() -> None:
     platform = HttpPlatform("http://127.0.0.1:1", random.Random(1), sleep=lambda _: None)
     with pytest.raises(PlatformError, match="can't be read"):
         platform.read(0, 0.0)
@@ -121,14 +121,14 @@
         '{"revision": ' + "9" * 5000 + "}",
     ],
 )
-def test_decode_refuses_other_forms(text: str) -> None:
+def test_malformed_response_is_an_error(text: str) -> None:
     with pytest.raises(PlatformError):
         decode_changes(text.encode(), 0)
 
 
-def test_pace_spreads_readers_after_an_outage() -> None:
-    """216 readers lose the service at one moment; they must not come back at one, nor stay away
-    longer than a change may take."""
+def test_rate_limiter_spreads_readers_after_an_outage() -> None:
+    """216 readers lose the service at the same time. They must not return at the same time, nor
+    later than a change may take."""
     delays = []
     for seed in range(216):
         limiter = RateLimiter(0.25, random.Random(seed))
@@ -140,7 +140,7 @@
     assert max(sum(d <= at < d + 0.1 for d in delays) for at in (1.0, 1.5, 1.9)) < 60
 
 
-def test_pace_keeps_calls_apart_and_heeds_retry_after() -> None:
+def test_rate_limiter_keeps_an_interval_and_respects_retry_after() -> None:
     limiter = RateLimiter(0.25, random.Random(1))
     assert limiter.get_delay(10.0) == 0.0
     limiter.record_success(10.0)
--- a/cloverway/tests/test_platform_entries.py
+++ b/cloverway/tests/test_platform_entries.py
@@ -1,7 +1,7 @@
-"""What other writers may leave in the platform's store: any bytes; no network.
+"""Malformed documents in the platform's store, which any program may write; no network.
 
-`ENTRY_CASES=100000 python -m pytest -o addopts= cloverway/tests/test_platform_entries.py` runs as
-many cases of the property test.
+`ENTRY_CASES=100000 python -m pytest -o addopts= cloverway/tests/test_platform_entries.py` runs the
+property test with 100,000 cases.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     return publication
 
 
-def is_refused(value, name="e1"):
+def is_unreadable(value, name="e1"):
     return isinstance(decode(value, name), EndpointUnreadable)
 
 
@@ -78,24 +78,24 @@
         pytest.param(encode() + b" " * entries.MAX_ENTRY_BYTES, id="too long"),
     ],
 )
-def test_bytes_that_are_no_entry_name_no_endpoint(value):
-    """Another writer leaves such a value; the task that reads the store ended with its error.
+def test_malformed_bytes_are_an_unreadable_entry(value):
+    """Such a value, left by another writer, raised in the task that reads the store.
 
-    It started again, met the same entry, and no host ever learnt of anything after it.
+    The task restarted and failed at the same entry, so that hosts received no further updates.
     """
-    assert is_refused(value)
+    assert is_unreadable(value)
 
 
 @pytest.mark.parametrize("name", list(ENTRY))
 @pytest.mark.parametrize("value", [None, [], {}, True, "", "x", 1.5, -1])
-def test_a_field_of_another_type_or_none_names_no_endpoint(name, value):
-    """A service that was a dict ended the grouping by service; other fields were used as they came.
+def test_entry_with_a_missing_or_mistyped_field_is_unreadable(name, value):
+    """A dict as the service raised in the grouping by service; other fields were not checked.
 
-    Requests went to addresses that are none, or to endpoints whose state says nothing.
+    Requests were sent to invalid addresses, or to endpoints with an unknown state.
     """
-    assert is_refused(without(name))
+    assert is_unreadable(without(name))
     allowed = {"service": ("x",), "zone": ("x",), "version": ("", "x"), "coldRemainingMs": (1.5,)}
-    assert is_refused(encode(**{name: value})) != (value in allowed.get(name, ()))
+    assert is_unreadable(encode(**{name: value})) != (value in allowed.get(name, ()))
 
 
 @pytest.mark.parametrize(
@@ -106,9 +106,9 @@
         *("example.org:80", "[::1]:80", "10.0.0.1:80:80", " 10.0.0.1:80", "10.0.0.01:80"),
     ],
 )
-def test_an_address_that_is_none_names_no_endpoint(address):
-    """A port over 65,535 raised where the connection was opened, with each request led there."""
-    assert is_refused(encode(address=address))
+def test_entry_with_an_invalid_address_is_unreadable(address):
+    """With a port over 65,535, opening a connection raised for each request to the endpoint."""
+    assert is_unreadable(encode(address=address))
 
 
 @pytest.mark.parametrize(
@@ -119,23 +119,23 @@
         *({"born": 1.5}, {"born": "1"}, {"born": -1}, {"born": True}, {"born": 10**30}),
     ],
 )
-def test_values_out_of_range_name_no_endpoint(fields):
-    assert is_refused(encode(**fields))
+def test_entry_with_a_value_out_of_range_is_unreadable(fields):
+    assert is_unreadable(encode(**fields))
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nX-Evil: 1", "é", "☃", "a" * 200])
-def test_an_id_that_cannot_be_sent_in_a_header_names_no_endpoint(name):
-    """The id goes into a header of each request: it would raise there, or end the header early."""
-    assert is_refused(encode(), name)
+def test_entry_with_an_id_that_cannot_be_sent_in_a_header_is_unreadable(name):
+    """The id is sent in a header of each request: it would raise there, or terminate the header."""
+    assert is_unreadable(encode(), name)
 
 
-def test_fields_that_are_not_known_change_nothing():
+def test_unknown_fields_are_ignored():
     entry = decode(encode(born=1_700_000_000_000, models=[{"name": "m"}], stage=None)).entry
     assert (entry.address, entry.started_ms) == ("10.0.0.1:80", 1_700_000_000_000)
     assert decode(encode(remainingMs=None)).entry.removal_in_s is None
 
 
-# Beside good entries
+# Valid entries next to malformed ones
 
 garbage_json = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
@@ -159,8 +159,8 @@
 
 @settings(max_examples=CASES, deadline=None)
 @given(st.lists(st.tuples(keys, garbage_values), min_size=1, max_size=4), st.booleans())
-def test_good_entries_hold_beside_any_junk(garbage, is_complete):
-    """Whatever is written beside it, a good entry is in force, and nothing raises."""
+def test_valid_entries_are_used_next_to_any_garbage(garbage, is_complete):
+    """A valid entry is in force whatever else is written, and nothing raises."""
     table = DocumentTable(decode_documents)
     directory = Directory(TOPOLOGY)
     documents = [Document(key, 10 + n, value) for n, (key, value) in enumerate(garbage)]
@@ -169,7 +169,7 @@
     usable = {endpoint.entry.id for endpoint in directory.list_usable("desk", 0.0)}
     assert "good" in usable
     for name in usable - {"good"}:
-        # What is used beside it has an entry whose every field is one of an endpoint.
+        # Any other endpoint in use has a valid entry too.
         entry = directory.endpoints[name].entry
         assert entry.address.count(":") == 1
         assert entry.slots >= 1
@@ -188,10 +188,10 @@
     return table, directory
 
 
-def test_an_entry_that_turns_bad_is_told_once_and_is_back_with_the_next_good_one():
+def test_an_entry_that_becomes_malformed_is_reported_once_until_the_next_valid_one():
     """Another writer overwrites the entry ten times a second, and the endpoint writes it again.
 
-    Taken for a removal, the endpoint was used for two more seconds, and then forgotten.
+    Treated as a removal, the endpoint was used for two more seconds and then forgotten.
     """
     table, directory = make_directory()
     endpoint = directory.endpoints["e1"]
@@ -204,42 +204,43 @@
     assert directory.list_usable("desk", 9.0) == [endpoint]
 
 
-def test_an_entry_that_was_bad_and_is_then_removed_is_gone():
+def test_a_malformed_entry_that_is_removed_is_gone():
     table, directory = make_directory()
     read(table, directory, 2, "servers/e1", b"{", now=1.0)
     assert read(table, directory, 3, "servers/e1", None, now=2.0) == ["endpoint_missing"]
     assert [change.what for change in directory.forget_missing(5.0)] == ["endpoint_gone"]
 
 
-def test_a_host_that_follows_another_learns_which_entries_have_turned_bad():
-    """It gets documents from a host that reads the store, and would go on using the endpoint."""
+def test_a_follower_learns_which_entries_became_malformed():
+    """It gets documents from a host that reads the store, and would keep using the endpoint."""
     reader, directory = make_directory()
     follower = DocumentTable(decode_documents)
     follower.apply(reader.export_since(-1))
     assert follower.digest == reader.digest
     read(reader, directory, 2, "servers/e1", b"{", now=1.0)
     assert not follower.adopt_revision(reader.revision, reader.digest)
-    (told,) = follower.apply(reader.export_since(1))
-    assert isinstance(told, EndpointUnreadable)
+    (publication,) = follower.apply(reader.export_since(1))
+    assert isinstance(publication, EndpointUnreadable)
     assert follower.adopt_revision(reader.revision, reader.digest)
 
 
-def test_a_configuration_that_cannot_be_read_never_takes_the_place_of_a_good_one():
-    """A host that starts later asks this one, and must get the good one from it."""
+def test_a_malformed_configuration_never_replaces_a_valid_one():
+    """A host that starts later requests the configuration from this one, and must get the valid
+    one."""
     table = DocumentTable(decode_documents)
-    good = json.dumps({"version": 3, "routes": [], "services": []}).encode()
-    table.apply(Snapshot(1, (Document("op/config", 1, good),), True))
-    told = [
+    valid = json.dumps({"version": 3, "routes": [], "services": []}).encode()
+    table.apply(Snapshot(1, (Document("op/config", 1, valid),), True))
+    publications = [
         item
         for revision, value in ((2, b"{"), (3, b'{"version": "4"}'), (4, DEEP))
         for item in table.apply(Snapshot(revision, (Document("op/config", revision, value),), True))
     ]
-    assert [type(item) for item in told] == [DocumentUnreadable]
-    late = DocumentTable(decode_documents)
-    assert late.apply(table.export_since(-1))[0].configuration.version == 3
+    assert [type(item) for item in publications] == [DocumentUnreadable]
+    joining = DocumentTable(decode_documents)
+    assert joining.apply(table.export_since(-1))[0].configuration.version == 3
 
 
-def test_an_evacuation_of_a_domain_that_is_not_known_does_nothing():
+def test_an_evacuation_of_an_unknown_domain_does_nothing():
     directory = Directory(TOPOLOGY)
     changes = directory.apply(decode_documents([Document("op/evacuate/x", 1, b"{}")]), 0.0)
     assert [change.what for change in changes] == ["evacuation_unknown"]
@@ -247,21 +248,21 @@
 
 
 def test_an_item_whose_value_is_not_base64_leaves_the_others_in_force():
-    """One such item failed the whole answer of the store, at each read again."""
-    good = {"key": "servers/a", "revision": 2, "value": base64.b64encode(encode()).decode()}
-    bad = [
+    """One such item made each response of the store fail."""
+    valid = {"key": "servers/a", "revision": 2, "value": base64.b64encode(encode()).decode()}
+    malformed = [
         {"key": "servers/b", "revision": 3, "value": "***"},
         {"key": "servers/c", "revision": 4, "value": 7},
         {"key": "servers/d", "revision": 5},
         *({"key": 1, "revision": 5, "value": ""}, {"key": "servers/e"}, None, []),
     ]
-    published = decode_documents(_decode_items([*bad, good]))
+    published = decode_documents(_decode_items([*malformed, valid]))
     used = [item.id for item in published if isinstance(item, EndpointPublished)]
     assert used == ["a"]
 
 
-def test_what_others_write_takes_a_bounded_part_of_a_hosts_memory():
-    """A writer leaves more keys than a host could hold; endpoints that it knows stay in use."""
+def test_documents_of_other_writers_use_bounded_memory():
+    """A writer leaves more keys than fit into memory; endpoints that are known stay in use."""
     table, directory = make_directory()
     garbage = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MAX_UNREADABLE))
     directory.apply(table.apply(Snapshot(2, garbage, False)), 1.0)
@@ -274,14 +275,14 @@
     assert "e1" in {endpoint.entry.id for endpoint in directory.list_usable("desk", 1.0)}
 
 
-def test_a_read_of_a_store_that_was_filled_keeps_the_good_entries(monkeypatch):
-    """A writer leaves a million keys; all of them in memory, the host was killed by its machine."""
+def test_a_read_of_a_full_store_keeps_the_valid_entries(monkeypatch):
+    """With a million keys of another writer in memory, the operating system killed the host."""
     monkeypatch.setattr(store, "UNREADABLE_CUTOFF", 500)
     kept = []
     for number in range(100):
         garbage = (Document(f"servers/j{number}-{n}", 2, b"x" * 1_000) for n in range(99))
-        good = Document(f"servers/z{number}", 2, encode())
-        kept += _limit_unreadable((*garbage, good), len(kept))
+        valid = Document(f"servers/z{number}", 2, encode())
+        kept += _limit_unreadable((*garbage, valid), len(kept))
     assert sum(document.value == encode() for document in kept) == 100
     assert len(kept) <= 500 + 100
     assert sum(len(document.value) for document in kept) < 100 * len(encode()) + 1
@@ -303,6 +304,6 @@
         (b"\xff\xfe", None),
     ],
 )
-def test_what_an_endpoint_says_of_its_start_is_a_whole_number_or_nothing(body, started_ms):
-    """Whoever listens at an address may answer anything to the question how it is."""
+def test_start_time_in_a_state_report_is_an_integer_or_none(body, started_ms):
+    """Any program may listen at an address, and respond to the state query with any bytes."""
     assert decode_start_time(body) == started_ms
--- a/cloverway/tests/test_platform_names.py
+++ b/cloverway/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Only the adapter knows the names on the platform's wire."""
+"""Names of the platform's protocol appear only in the adapter, which translates only."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_no_module_outside_the_adapter_knows_a_name_of_the_wire():
+def test_no_module_outside_the_adapter_contains_a_name_of_the_protocol():
     paths = [
         path
         for path in PACKAGE.rglob("*.py")
@@ -36,10 +36,10 @@
     assert len(lines) < 800
 
 
-def test_no_log_line_uses_a_name_that_records_reserve():
-    """A log field named like a part of every record raises, and the task that logs it ends.
+def test_no_log_field_has_a_name_reserved_by_log_records():
+    """A log field with a reserved name raises an exception in the task that logs it.
 
-    Heartbeats stopped so, each time that a host was heard or fell silent.
+    This stopped heartbeats whenever a host was heard from for the first time or became silent.
     """
     reserved = {"name", "msg", "args", "module", "message", "filename", "lineno", "process"}
     calls = re.compile(r"\blog_event\((.*?)\n?\s*\)", re.DOTALL)
--- a/cloverway/tests/test_published.py
+++ b/cloverway/tests/test_published.py
@@ -1,4 +1,4 @@
-"""Settings and published documents: findings, remedies, and input of any form."""
+"""Validation of settings and published documents: findings, remedies and arbitrary input."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         ({"teams": {"t": ["home"]}}, "teams.t: is not a table"),
     ],
 )
-def test_finding_names_the_place_and_the_remedy(changed: dict[str, Any], finding: str) -> None:
+def test_finding_has_the_dotted_name_and_the_remedy(changed: dict[str, Any], finding: str) -> None:
     assert any(found.startswith(f"here: {finding}") for found in list_findings(**changed))
 
 
@@ -67,10 +67,10 @@
     assert finding.startswith("here: hosts.h.callers: ")
 
 
-def test_unknown_name_is_matched_with_those_of_its_table(
+def test_unknown_name_is_compared_with_the_names_of_its_table(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """`slot` is a near miss of a name of endpoints, but no name of a team comes near it."""
+    """`slot` resembles a field of endpoints, but no field of teams."""
     team = {"home": "curepipe", "slot": 3, "profile": []}
     Published.from_documents(VALID | {"teams": {"t": team}}, "here")
     assert caplog.messages == [
@@ -79,7 +79,7 @@
     ]
 
 
-def test_unknown_name_of_settings_is_matched_in_its_table(
+def test_unknown_name_of_settings_is_compared_with_the_names_of_its_table(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     example = Path(__file__).parents[2] / "examples" / "settings.toml"
@@ -89,13 +89,13 @@
     assert "limits.body_byte: is not a known name; did you mean 'body_bytes'?" in caplog.text
 
 
-def test_finding_names_the_file(tmp_path: Path) -> None:
+def test_finding_has_the_file(tmp_path: Path) -> None:
     (tmp_path / "base.toml").write_text('revision = 1\n[organisation]\nname = "riviere"\n')
     (tmp_path / "teams.toml").write_text('[teams.a]\nhome = "nowhere"\n')
     published, findings = load(tmp_path)
     assert published is None
-    place = f"{tmp_path / 'teams.toml'}: teams.a.home"
-    assert findings.errors == [f"{place}: there is no region 'nowhere'; publish it"]
+    location = f"{tmp_path / 'teams.toml'}: teams.a.home"
+    assert findings.errors == [f"{location}: there is no region 'nowhere'; publish it"]
     with pytest.raises(ConfigurationError):
         load_directory(tmp_path)
 
@@ -138,7 +138,7 @@
 
 
 def check_documents(tables: dict[str, Any]) -> None:
-    """No input crashes the checks, and whatever passes them is taken by a store."""
+    """Check that any input is either accepted or raises ConfigurationError with findings."""
     try:
         published = Published.from_documents(VALID | tables)
     except ConfigurationError as error:
--- a/cloverway/tests/test_settings.py
+++ b/cloverway/tests/test_settings.py
@@ -10,11 +10,11 @@
 EXAMPLE = Path(__file__).parents[2] / "examples" / "settings.toml"
 
 
-def test_a_refusal_always_finds_a_thread(tmp_path):
-    """Callers see an overloaded host answer at once, and not after its queue has moved.
+def test_a_thread_is_always_free_to_refuse_a_request(tmp_path):
+    """An overloaded host must refuse requests at once.
 
-    With as many requests admitted and queued as there are threads, the next one would wait in the
-    listener, where admission can't see it.
+    If admitted and queued requests could use all threads, the next request would wait in the
+    listener, which admission control can't see.
     """
     text = EXAMPLE.read_text()
     assert "threads = 192" in text
@@ -24,7 +24,7 @@
         Settings.from_toml(path)
 
 
-def test_a_quarantine_of_every_request_is_refused(tmp_path):
+def test_a_crash_threshold_of_zero_is_rejected(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(EXAMPLE.read_text().replace("\nends = 3", "\nends = 0"))
     with pytest.raises(ConfigurationError, match=r"quarantine.ends: 0 must be at least 1"):
--- a/cloverway/tests/test_table_checks.py
+++ b/cloverway/tests/test_table_checks.py
@@ -1,4 +1,4 @@
-"""Settings as tables, checked field by field; no files."""
+"""Validation of settings tables without pydantic."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     return check_table(Outer, values, findings), findings
 
 
-def test_a_table_that_fits_gives_its_value_with_defaults():
+def test_a_valid_table_gives_a_value_with_defaults():
     value, findings = check(VALID | {"wait_s": 2})
     assert value == Outer("n", Inner("10.0.0.1:1"), 2.0)
     assert findings.errors == []
 
 
-def test_every_error_is_told_with_its_place():
+def test_every_error_has_its_dotted_name():
     value, findings = check({"inner": {"address": "nowhere", "others": ["a:b"]}, "wait_s": -1})
     assert value is None
     assert {error.partition(":")[0] for error in findings.errors} == {
@@ -48,18 +48,18 @@
 
 
 @pytest.mark.parametrize("wait_s", [float("nan"), float("inf"), True, "1", None, [1]])
-def test_a_number_that_is_none_is_refused(wait_s):
-    """TOML knows nan and inf: taken over, a host that leaves would wait for ever, or not at all."""
+def test_an_invalid_number_is_rejected(wait_s):
+    """TOML allows nan and inf: if accepted, a draining host would wait for ever, or not at all."""
     assert check(VALID | {"wait_s": wait_s})[0] is None
 
 
-def test_an_unknown_name_is_a_warning_with_the_nearest_known_one():
+def test_an_unknown_name_is_a_warning_with_the_closest_known_name():
     value, findings = check(VALID | {"wait": 1})
     assert value is not None
     assert "did you mean 'wait_s'?" in findings.warnings[0]
 
 
 @pytest.mark.parametrize("values", [None, 1, [], "x"])
-def test_what_is_no_table_is_told(values):
+def test_a_value_that_is_not_a_table_is_rejected(values):
     assert check(values)[0] is None
     assert check(VALID | {"inner": values})[0] is None
--- a/cloverway/tests/test_updates.py
+++ b/cloverway/tests/test_updates.py
@@ -16,7 +16,7 @@
 
 
 class UnavailablePlatform:
-    """Notes what it is asked for, and gives nothing."""
+    """Records the requested waits, and is never available."""
 
     def __init__(self, requested_waits: asyncio.Queue, loop: asyncio.AbstractEventLoop) -> None:
         self._asked = requested_waits
@@ -24,7 +24,7 @@
 
     def read(self, after: int, wait_s: float) -> Changes:
         self._loop.call_soon_threadsafe(self._asked.put_nowait, wait_s)
-        raise PlatformError("there is nothing yet")
+        raise PlatformError("the platform is unavailable")
 
     def get_member_states(self) -> MemberStates:
         return MemberStates()
@@ -44,25 +44,25 @@
         platform=platform,
         security=Security("none"),
     )
-    silent = UnavailablePlatform(requested_waits, asyncio.get_running_loop())
-    updates = ConfigurationUpdater(settings, ConfigurationStore(), silent, refuse, time.monotonic)
-    updates.start()
-    watch = asyncio.create_task(updates.watch_platform(lambda now: True, lambda published: None))
+    unavailable = UnavailablePlatform(requested_waits, asyncio.get_running_loop())
+    updater = ConfigurationUpdater(
+        settings, ConfigurationStore(), unavailable, refuse, time.monotonic
+    )
+    updater.start()
+    watch = asyncio.create_task(updater.watch_platform(lambda now: True, lambda published: None))
     try:
         return await asyncio.wait_for(requested_waits.get(), READ_TIMEOUT_S)
     finally:
         watch.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await watch
-        updates.stop()
+        updater.stop()
 
 
 @pytest.mark.parametrize(("kind", "expected"), [("file", 0.25), ("http", 7.0)])
-def test_a_read_waits_as_long_as_the_kind_of_platform_asks(kind, expected):
-    """The platform's service gets twice the calls that it needs, or more, from all regions.
-
-    Its readers waited for a change as long as a directory is left unread, in place of the time for
-    which the service holds a call back. At the two-year size 216 hosts read it.
-    """
+def test_read_wait_depends_on_the_kind_of_platform(kind, expected):
+    """With the poll interval of a directory as the wait of a call, the platform's service got at
+    least twice the calls needed, from the readers of all regions; the deployment planned for in two
+    years has 216 of them."""
     platform = PlatformSettings(kind=kind, poll_s=0.25, watch_s=7.0)
     assert asyncio.run(get_read_wait(platform)) == expected
