--- a/cloverway/config/directory.py
+++ b/cloverway/config/directory.py
@@ -54,7 +54,7 @@
         except OSError as error:
             findings.add(str(file), f"can't be read: {error.strerror}")
     if not contents and not findings.errors:
-        findings.add(str(directory), "holds no *.toml file; give the published directory")
+        findings.add(str(directory), "holds no *.toml file; specify the published directory")
     return contents
 
 
--- a/cloverway/config/revisions.py
+++ b/cloverway/config/revisions.py
@@ -122,7 +122,7 @@
         if extends_pending and not changes.documents and changes.revision == pending.revision:
             return Unchanged(self.revision)
         entries = self._encode(changes, pending.entries if extends_pending else {})
-        result = self._evaluate(entries, changes)
+        result = self._apply_entries(entries, changes)
         if (
             isinstance(result, Rejected)
             and result.conflicts
@@ -143,7 +143,7 @@
             return Gap(self.revision, changes.after)
         if changes.revision < self.revision:
             return Stale(self.revision, changes.revision)
-        result = self._evaluate(self._encode(changes, {}), changes)
+        result = self._apply_entries(self._encode(changes, {}), changes)
         if isinstance(result, Accepted) and self._pending.revision <= self.revision:
             self._pending = NO_PENDING
         return result
@@ -162,12 +162,12 @@
         return f"{too_late[0]} has a revision later than that of the changes" if too_late else ""
 
     def _encode(
-        self, changes: Changes, below: Mapping[str, DocumentEntry]
+        self, changes: Changes, base: Mapping[str, DocumentEntry]
     ) -> dict[str, DocumentEntry]:
-        """Return changes as entries on top of `below`, with deletions implied by a snapshot."""
+        """Return changes as entries on top of `base`, with deletions implied by a snapshot."""
         entries = {
             key: entry._replace(revision=changes.revision) if entry.implied else entry
-            for key, entry in below.items()
+            for key, entry in base.items()
         }
         for document in changes.documents:
             known = entries.get(document.key)
@@ -178,7 +178,7 @@
             entries |= {key: deleted for key in self.documents if key not in entries}
         return entries
 
-    def _evaluate(self, entries: Mapping[str, DocumentEntry], changes: Changes) -> ApplyResult:
+    def _apply_entries(self, entries: Mapping[str, DocumentEntry], changes: Changes) -> ApplyResult:
         """Put entries in force if they lead to a valid configuration, or reject all of them."""
         revision = changes.revision
         findings = Findings(f"revision {revision}")
@@ -192,7 +192,7 @@
             return self._reject(revision, findings, conflicts=True)
         if revision == self.revision:
             return Unchanged(revision)
-        return self._validate(newer, revision, findings)
+        return self._validate_and_activate(newer, revision, findings)
 
     def _check_history(
         self, entries: Mapping[str, DocumentEntry], changes: Changes, findings: Findings
@@ -215,7 +215,7 @@
         for key in different:
             findings.add(_format_key(key), f"is in force with other content; {remedy}")
 
-    def _validate(
+    def _validate_and_activate(
         self, newer: Mapping[str, DocumentEntry], revision: int, findings: Findings
     ) -> Accepted | Rejected:
         parsed = self._parse(newer, findings)
--- a/cloverway/config/validation.py
+++ b/cloverway/config/validation.py
@@ -20,7 +20,7 @@
     "string_pattern_mismatch": SEE_REFERENCE,
     "literal_error": "choose one of these",
     "enum": "choose one of these",
-    "finite_number": "give a number",
+    "finite_number": "use a finite number",
 }
 
 VALUE_ERROR_PREFIX = "Value error, "
