--- a/cloverway/tests/fleet/soak.py
+++ b/cloverway/tests/fleet/soak.py
@@ -27,7 +27,7 @@
     fetch,
     make_request,
 )
-from cloverway.tests.fleet.promises import check_ends, find_violations
+from cloverway.tests.fleet.invariants import check_ends, find_violations
 from cloverway.tests.fleet.soak_parts import (
     DEADLY,
     DOMAINS,
--- a/cloverway/tests/matrix/__main__.py
+++ b/cloverway/tests/matrix/__main__.py
@@ -10,10 +10,10 @@
 from collections import defaultdict
 from pathlib import Path
 
-from cloverway.tests.matrix.bench import Bench
 from cloverway.tests.matrix.runner import Outcome, run_cell
 from cloverway.tests.matrix.steps import STEPS
 from cloverway.tests.matrix.table import CELLS, KINDS, NOT_APPLICABLE, NOT_RUN_YET, Cell
+from cloverway.tests.matrix.testbed import Bench
 from cloverway.tests.standins.processes import ROOT
 
 PAGE = ROOT / "docs" / "fault-matrix.md"
--- a/cloverway/tests/matrix/faults.py
+++ b/cloverway/tests/matrix/faults.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from cloverway.tests.matrix.bench import (
+from cloverway.tests.matrix.testbed import (
     ENTRY,
     FAR,
     HOME,
--- a/cloverway/tests/matrix/runner.py
+++ b/cloverway/tests/matrix/runner.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple
 
 from cloverway.errors import ANSWERS, Kind
-from cloverway.tests.matrix.bench import ENTRY, SECOND, Bench, Flight, pause_for
 from cloverway.tests.matrix.faults import FAULTS, LASTING
 from cloverway.tests.matrix.steps import STEPS
 from cloverway.tests.matrix.table import Cell
+from cloverway.tests.matrix.testbed import ENTRY, SECOND, Bench, Flight, pause_for
 from cloverway.tests.standins.clients import NO_ANSWER, Caller, Result
 
 ANSWER_S = 9.0
--- a/cloverway/tests/matrix/steps.py
+++ b/cloverway/tests/matrix/steps.py
@@ -7,7 +7,7 @@
 import select
 from collections.abc import Callable
 
-from cloverway.tests.matrix.bench import ENTRY, SECOND, TOKENS, Bench, Call, Flight
+from cloverway.tests.matrix.testbed import ENTRY, SECOND, TOKENS, Bench, Call, Flight
 from cloverway.tests.standins.clients import NO_ANSWER, Caller, Result
 from cloverway.tests.standins.topology import SERVICE, key_of
 from cloverway.tests.standins.waiting import wait_until
--- a/cloverway/tests/matrix/table.py
+++ b/cloverway/tests/matrix/table.py
@@ -5,8 +5,8 @@
 import itertools
 from typing import NamedTuple
 
-from cloverway.tests.matrix.bench import Call
 from cloverway.tests.matrix.steps import CALLS, STEPS
+from cloverway.tests.matrix.testbed import Call
 
 KINDS = (
     "kill",
--- a/cloverway/tests/test_fault_matrix.py
+++ b/cloverway/tests/test_fault_matrix.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cloverway.tests.matrix.bench import Bench
 from cloverway.tests.matrix.runner import run_cell
 from cloverway.tests.matrix.table import CELLS, find_gaps
+from cloverway.tests.matrix.testbed import Bench
 
 QUICK = [cell for cell in CELLS if cell.quick]
 
--- a/cloverway/tests/test_fleet_soak.py
+++ b/cloverway/tests/test_fleet_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.tests.fleet.promises import check_answer, check_ends
+from cloverway.tests.fleet.invariants import check_answer, check_ends
 from cloverway.tests.fleet.soak import Soak
 from cloverway.tests.fleet.soak_parts import Fault, Seen
 
