--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -35,9 +35,9 @@
 ROUNDS = 2_000
 
 
-def measure(what: str, run: Callable[[], object], rounds: int = ROUNDS) -> None:
+def measure(label: str, run: Callable[[], object], rounds: int = ROUNDS) -> None:
     best = min(_time(run, rounds) for _ in range(3))
-    print(f"{what}: {best / rounds * 1e6:.1f} us")
+    print(f"{label}: {best / rounds * 1e6:.1f} us")
 
 
 def _time(run: Callable[[], object], rounds: int) -> float:
--- a/cloverway/tests/bench_gateway.py
+++ b/cloverway/tests/bench_gateway.py
@@ -11,18 +11,18 @@
 from cloverway.commands import bench
 from cloverway.load import Plan, Target
 from cloverway.tests.standins.fleet import Fleet
-from cloverway.tests.standins.topology import MODEL, Topology, key_of
+from cloverway.tests.standins.topology import MODEL, Topology, make_team_key
 
 TOKEN_S = 0.06
 TOKENS = 50
 SECONDS = 15.0
-SIZES = (10, 100, 400)
+STREAM_COUNTS = (10, 100, 400)
 ENGINES = 4
 CHAT = {"model": MODEL, "idempotent": True, "deadline_ms": 60_000}
 LIMITS = {"threads": 1400, "admitted": 600, "queued": 600}
 
 
-def main(sizes: tuple[int, ...]) -> None:
+def main(stream_counts: tuple[int, ...]) -> None:
     topology = Topology(
         regions=("pl",),
         hosts=1,
@@ -34,11 +34,11 @@
     with Fleet(topology, publish={"profiles": {"chat": CHAT}}) as fleet:
         host = fleet.hosts["pl-a-host-1"]
         pid = fleet.processes["pl-a-host-1"].pid
-        headers = {"Authorization": f"Bearer {key_of('open')}", "Cloverway-Profile": "chat"}
-        engines = (fleet.remotes[name].url for name in topology.names("engines"))
+        headers = {"Authorization": f"Bearer {make_team_key('open')}", "Cloverway-Profile": "chat"}
+        engines = (fleet.remotes[name].url for name in topology.list_names("engines"))
         direct = tuple(url.removeprefix("http://") for url in engines)
         targets = [Target("gateway", (host.callers,), headers), Target("direct", direct)]
-        for streams in sizes:
+        for streams in stream_counts:
             plan = Plan(streams, SECONDS, TOKENS, TOKEN_S, model=MODEL)
             figures, spent = bench.bench(targets, plan, streams, [pid])
             print(f"\n{streams} streams on each target")
@@ -47,4 +47,4 @@
 
 
 if __name__ == "__main__":
-    main(tuple(int(size) for size in sys.argv[1:]) or SIZES)
+    main(tuple(int(size) for size in sys.argv[1:]) or STREAM_COUNTS)
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -47,14 +47,14 @@
     return True
 
 
-def make_keys(host: str) -> LedgerTask:
+def make_ledger_task(host: str) -> LedgerTask:
     ledger = Ledger(host, "i1", secrets.token_bytes(32), BOUNDS, time.monotonic())
     return LedgerTask(ledger, store_anywhere)
 
 
 def serve_issuer(pipe) -> None:
     """Be the issuing host, in a process of its own, until told to stop."""
-    keys = make_keys("h1")
+    keys = make_ledger_task("h1")
     keys.start()
     handler = Handler()
     handler.claim, handler.settle = keys.claim, keys.settle
@@ -72,22 +72,22 @@
     process = context.Process(target=serve_issuer, args=(theirs,))
     process.start()
     address, keys = ours.recv()
-    local = make_keys("h2")
+    local = make_ledger_task("h2")
     local.start()
     client = PeerClient(Identity("h2", "i1"), SECRET, PeerBounds())
     claims = Claims(local, client, {"h1": address}.get, store_anywhere)
-    near_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
-    far_keys = iter(keys)
+    local_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
+    remote_keys = iter(keys)
     settle = SettleCall(keys[0], "t", "p", "nobody", Settlement.NOT_RUN)
 
-    def claim_anew() -> None:
+    def claim_on_new_connection() -> None:
         client.close()
-        claims.claim(make_request(key=next(far_keys)))
+        claims.claim(make_request(key=next(remote_keys)))
 
     steps: dict[str, Callable[[], object]] = {
-        "claim, own ledger": lambda: claims.claim(make_request(key=next(near_keys))),
-        "claim, open connection": lambda: claims.claim(make_request(key=next(far_keys))),
-        "claim, new connection": claim_anew,
+        "claim, own ledger": lambda: claims.claim(make_request(key=next(local_keys))),
+        "claim, open connection": lambda: claims.claim(make_request(key=next(remote_keys))),
+        "claim, new connection": claim_on_new_connection,
         "settlement, open connection": lambda: client.settle("h1", address, settle),
     }
     print("| step | p50 ms | p95 ms | p99 ms | CPU here us | CPU at issuer us |")
@@ -103,17 +103,17 @@
     for _ in range(WARM_UP):
         step()
     issuer.send("time")
-    near, far = time.process_time(), issuer.recv()
+    local_cpu_s, issuer_cpu_s = time.process_time(), issuer.recv()
     times = []
     for _ in range(CLAIMS):
         began = time.perf_counter()
         step()
         times.append(time.perf_counter() - began)
     issuer.send("time")
-    near, far = time.process_time() - near, issuer.recv() - far
+    local_cpu_s, issuer_cpu_s = time.process_time() - local_cpu_s, issuer.recv() - issuer_cpu_s
     cuts = statistics.quantiles(times, n=100)
     figures = [f"{cuts[at] * 1e3:.2f}" for at in (49, 94, 98)]
-    return figures + [f"{spent / CLAIMS * 1e6:.0f}" for spent in (near, far)]
+    return figures + [f"{spent / CLAIMS * 1e6:.0f}" for spent in (local_cpu_s, issuer_cpu_s)]
 
 
 def measure_memory() -> None:
@@ -145,29 +145,29 @@
         ledger.settle(SettleCall(key, "team", "profile", claimant, Settlement.UNKNOWN), 2.0)
 
 
-class Case(NamedTuple):
+class Scenario(NamedTuple):
     """One deployment at the moment when one of its hosts is lost."""
 
     rate: float
     """Requests a second with keys of each host."""
-    hold_s: float
+    key_age_s: float
     """Mean time from getting a key to the first send."""
     drain_s: float | None
     """How long a host that leaves answers claims, or None for one that is lost."""
-    lost_answers: float = 0.01
+    answer_loss_probability: float = 0.01
     hosts: int = 8
-    run_s: float = 2.0
-    repeat_s: float = 3.0
+    execution_s: float = 2.0
+    retry_s: float = 3.0
 
 
-class Deployment:
+class HostLossSimulation:
     """Real ledgers on virtual time; host 0 is replaced at time 0, before which all is in order."""
 
-    def __init__(self, case: Case, seed: int) -> None:
-        self.case = case
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario = scenario
         self.random = random.Random(seed)
-        self.start = -12 * max(case.hold_s, 10.0)
-        self.ledgers = [self.make_ledger(host, "i1") for host in range(case.hosts)]
+        self.start = -12 * max(scenario.key_age_s, 10.0)
+        self.ledgers = [self.make_ledger(host, "i1") for host in range(scenario.hosts)]
         self.numbers = itertools.count()
         self.events: list[tuple[float, int, Callable[[float], None]]] = []
         self.results: Counter[str] = Counter()
@@ -182,33 +182,33 @@
         """Give the count of requests by outcome, for those that were open at the loss."""
         at = self.start
         while at < 60.0:
-            at += self.random.expovariate(self.case.rate * self.case.hosts)
+            at += self.random.expovariate(self.scenario.rate * self.scenario.hosts)
             self.at(at, self.begin)
-        self.at(0.0, self.lose)
+        self.at(0.0, self.restart_host)
         while self.events:
             now, _, step = heapq.heappop(self.events)
             step(now)
         return self.results
 
-    def lose(self, now: float) -> None:
+    def restart_host(self, now: float) -> None:
         self.ledgers[0] = self.make_ledger(0, "i2")
 
     def begin(self, now: float) -> None:
         # A host that leaves issues no keys while it drains.
-        leaving = -(self.case.drain_s or 0) <= now < 0
-        issuer = self.random.randrange(1 if leaving else 0, self.case.hosts)
+        leaving = -(self.scenario.drain_s or 0) <= now < 0
+        issuer = self.random.randrange(1 if leaving else 0, self.scenario.hosts)
         (key,) = self.ledgers[issuer].issue([next(self.numbers).to_bytes(NONCE_BYTES, "big")], now)
-        hold_s = min(self.random.expovariate(1 / self.case.hold_s), BOUNDS.lifetime_s)
-        self.at(now + hold_s, lambda then: self.send(then, issuer, key, first=True))
+        key_age_s = min(self.random.expovariate(1 / self.scenario.key_age_s), BOUNDS.lifetime_s)
+        self.at(now + key_age_s, lambda then: self.send(then, issuer, key, first=True))
 
     def send(self, now: float, issuer: int, key: str, first: bool) -> None:
-        leaving = -(self.case.drain_s or 0) <= now < 0
-        runner = self.random.randrange(1 if leaving else 0, self.case.hosts)
+        leaving = -(self.scenario.drain_s or 0) <= now < 0
+        runner = self.random.randrange(1 if leaving else 0, self.scenario.hosts)
         claimant = f"c{next(self.numbers)}"
         call = ClaimCall(key, "t", "p", b"d", claimant, 30.0)
         result = self.ledgers[issuer].claim(call, now)
         if isinstance(result, Grant):
-            end = now + self.case.run_s
+            end = now + self.scenario.execution_s
             self.at(end, lambda then: self.end(then, issuer, key, claimant, runner))
         elif isinstance(result, Recorded):
             self.results["replayed"] += 1
@@ -218,13 +218,17 @@
             self.results["unknown, first send" if first else "unknown, repeat"] += 1
 
     def end(self, now: float, issuer: int, key: str, claimant: str, runner: int) -> None:
-        killed = runner == 0 and self.case.drain_s is None and now - self.case.run_s < 0 <= now
+        killed = (
+            runner == 0
+            and self.scenario.drain_s is None
+            and now - self.scenario.execution_s < 0 <= now
+        )
         answer = Recorded(200, "application/json", b"{}")
         if not killed:
             call = SettleCall(key, "t", "p", claimant, Settlement.DONE, answer)
             self.ledgers[issuer].settle(call, now)
-        if killed or self.random.random() < self.case.lost_answers:
-            later = now + self.case.repeat_s
+        if killed or self.random.random() < self.scenario.answer_loss_probability:
+            later = now + self.scenario.retry_s
             self.at(later, lambda then: self.send(then, issuer, key, first=False))
         else:
             self.results["answered"] += 1
@@ -235,15 +239,15 @@
     print("| rate a host | key held | stop | unknown, first send | unknown, repeat | of a minute |")
     print("| ---: | ---: | --- | ---: | ---: | ---: |")
     stops = {None: "sudden", 2.0: "planned, stays 2 s", 30.0: "planned, stays 30 s"}
-    for drain_s, rate, hold_s in itertools.product(stops, (1.0, 10.0), (0.05, 5.0, 60.0)):
-        case = Case(rate, hold_s, drain_s)
-        runs = [Deployment(case, seed).run() for seed in range(5)]
+    for drain_s, rate, key_age_s in itertools.product(stops, (1.0, 10.0), (0.05, 5.0, 60.0)):
+        scenario = Scenario(rate, key_age_s, drain_s)
+        runs = [HostLossSimulation(scenario, seed).run() for seed in range(5)]
         first = [run["unknown, first send"] for run in runs]
         repeat = [run["unknown, repeat"] for run in runs]
         share = statistics.mean(map(sum, zip(first, repeat, strict=True)))
-        share /= rate * case.hosts * 60
+        share /= rate * scenario.hosts * 60
         print(
-            f"| {rate:g}/s | {hold_s:g} s | {stops[drain_s]} "
+            f"| {rate:g}/s | {key_age_s:g} s | {stops[drain_s]} "
             f"| {statistics.mean(first):.1f} ({min(first)} to {max(first)}) "
             f"| {statistics.mean(repeat):.1f} ({min(repeat)} to {max(repeat)}) | {share:.2%} |"
         )
--- a/cloverway/tests/bench_model.py
+++ b/cloverway/tests/bench_model.py
@@ -21,16 +21,16 @@
 
 TICK_S = 0.02
 REPORT_S = 0.5
-LAG_S = 0.3
+REPORT_LAG_S = 0.3
 SUMMARY_S = 1.0
-FIRST_S = 0.04
-READ_BYTE_S = 12.5e-6
+FIRST_DECODE_S = 0.04
+PREFILL_S_PER_BYTE = 12.5e-6
 PREFIX_BYTES = 10 * 1024
-OWN_BYTES = 512
-ZIPF = 0.8
+PRIVATE_BYTES = 512
+ZIPF_EXPONENT = 0.8
 
 
-class Plan(NamedTuple):
+class Scenario(NamedTuple):
     """One scenario, but for its policy and seed.
 
     `endpoints` counts them in each region, `rates` gives requests a second and region by profile,
@@ -41,12 +41,12 @@
     hosts: int = 3
     slots: int = 8
     seconds: float = 60.0
-    warm_s: float = 10.0
+    warm_up_s: float = 10.0
     rates: tuple[tuple[str, float], ...] = (("chat", 40.0),)
-    swing: float = 0.0
+    rate_amplitude: float = 0.0
     period_s: float = 120.0
-    prefixes: int = 96
-    cached: int = 12
+    prefix_count: int = 96
+    cached_prefixes: int = 12
     trip_ms: float = 40.0
     objective: tuple[float, float] = (1.0, 1.0)
     fault: str = ""
@@ -64,11 +64,11 @@
 class Engine:
     """Model one replica."""
 
-    def __init__(self, plan, clock):
-        self.plan, self.clock = plan, clock
+    def __init__(self, scenario, clock):
+        self.scenario, self.clock = scenario, clock
         self.cache = OrderedDict()
         self.jobs, self.queue = set(), []
-        self.read_until = 0.0
+        self.prefill_until = 0.0
         self.up, self.slow, self.incarnation, self.up_since = True, 1.0, 0, 0.0
 
     def submit(self, job, rank):
@@ -76,7 +76,7 @@
         self.fill()
 
     def fill(self):
-        while self.queue and len(self.jobs) < self.plan.slots:
+        while self.queue and len(self.jobs) < self.scenario.slots:
             job = heapq.heappop(self.queue)[2]
             call = job.call
             self.jobs.add(job)
@@ -84,18 +84,21 @@
             call.hit = call.prefix in self.cache
             self.cache[call.prefix] = True
             self.cache.move_to_end(call.prefix)
-            while len(self.cache) > self.plan.cached:
+            while len(self.cache) > self.scenario.cached_prefixes:
                 self.cache.popitem(last=False)
-            cold = OWN_BYTES + (0 if call.hit else PREFIX_BYTES)
-            self.read_until = max(self.clock.now, self.read_until) + cold * READ_BYTE_S * self.slow
-            first = self.read_until + FIRST_S * self.slow
+            uncached_bytes = PRIVATE_BYTES + (0 if call.hit else PREFIX_BYTES)
+            self.prefill_until = (
+                max(self.clock.now, self.prefill_until)
+                + uncached_bytes * PREFILL_S_PER_BYTE * self.slow
+            )
+            first = self.prefill_until + FIRST_DECODE_S * self.slow
             self.clock.at(first, job.on_first)
             self.clock.at(first + call.decode_s * self.slow, self.done, job)
 
     def restart(self, up):
         lost = [*self.jobs, *(job for _, _, job in self.queue)]
         self.up, self.incarnation, self.up_since = up, self.incarnation + 1, self.clock.now
-        self.queue, self.read_until = [], 0.0
+        self.queue, self.prefill_until = [], 0.0
         self.jobs.clear()
         self.cache.clear()
         for job in lost:
@@ -135,51 +138,53 @@
 class Attempt:
     """One try to run a call: from a host to an engine, or to a host of another domain."""
 
-    def __init__(self, world, host, call, request, origin=None):
-        self.world, self.host, self.call = world, host, call
+    def __init__(self, simulation, host, call, request, origin=None):
+        self.simulation, self.host, self.call = simulation, host, call
         self.request, self.origin = request, origin
-        self.ticket, self.engine, self.gone = None, None, False
+        self.ticket, self.engine, self.finished = None, None, False
 
     @property
-    def trip(self):
-        return self.world.plan.trip_ms / 1000
+    def latency_s(self):
+        return self.simulation.scenario.trip_ms / 1000
 
-    def take(self, verdict):
-        world, clock = self.world, self.world.clock
+    def apply_verdict(self, verdict):
+        simulation, clock = self.simulation, self.simulation.clock
         if not isinstance(verdict, Admitted):
             self.call.refused = None if self.origin else verdict
             if self.origin:
-                clock.at(clock.now + self.trip, self.origin.end, Outcome.REFUSED)
+                clock.at(clock.now + self.latency_s, self.origin.end, Outcome.REFUSED)
             return
         self.ticket = verdict.ticket
         if isinstance(verdict.route, Away):
             self.call.away = True
-            other = world.hosts[verdict.route.host]
+            other = simulation.hosts[verdict.route.host]
             request = self.request._replace(passed_on=True)
-            passed = Attempt(world, other, self.call, request, self)
-            clock.at(clock.now + self.trip, other.arrive, passed)
+            passed = Attempt(simulation, other, self.call, request, self)
+            clock.at(clock.now + self.latency_s, other.arrive, passed)
             return
         self.call.attempts += 1
-        self.engine = world.engines[verdict.route.endpoint]
+        self.engine = simulation.engines[verdict.route.endpoint]
         if self.engine.up:
-            self.engine.submit(self, -RANK[self.request.profile])
+            self.engine.submit(self, -PRIORITY[self.request.profile])
         else:
             clock.at(clock.now + 0.002, self.end, Outcome.NOT_SENT)
 
     def on_first(self):
-        if not self.gone:
-            self.host.core.start(self.ticket, self.host.view, self.world.clock.now)
-            self.call.first_at = self.world.clock.now + (self.trip if self.origin else 0.0)
+        if not self.finished:
+            self.host.core.start(self.ticket, self.host.view, self.simulation.clock.now)
+            self.call.first_at = self.simulation.clock.now + (
+                self.latency_s if self.origin else 0.0
+            )
 
     def end(self, outcome):
-        if self.gone:
+        if self.finished:
             return
-        self.gone = True
-        clock = self.world.clock
+        self.finished = True
+        clock = self.simulation.clock
         failed = outcome is not Outcome.DONE
         self.host.finish(self, outcome, retry=failed and not self.origin)
         if self.origin:
-            clock.at(clock.now + self.trip, self.origin.end, outcome)
+            clock.at(clock.now + self.latency_s, self.origin.end, outcome)
         elif not failed:
             self.call.done_at = clock.now
 
@@ -187,95 +192,104 @@
 class Host:
     """Run one core, with its late view."""
 
-    def __init__(self, world, name, region, settings):
-        self.world, self.name, self.region = world, name, region
+    def __init__(self, simulation, name, region, settings):
+        self.simulation, self.name, self.region = simulation, name, region
         self.core = DispatchCore.from_config(settings)
-        self.random = Random(f"{world.seed}{name}")
-        self.places, self.attempts = itertools.count(1), {}
-        self.view = View(name, "i", region, region, world.published)
+        self.random = Random(f"{simulation.seed}{name}")
+        self.entry_ids, self.attempts = itertools.count(1), {}
+        self.view = View(name, "i", region, region, simulation.published)
 
     def arrive(self, attempt):
-        place, now = self.keep(attempt), self.world.clock.now
-        self.answer(self.core.arrive(place, attempt.request, self.view, now, self.random))
+        entry_id, now = self.register(attempt), self.simulation.clock.now
+        self.apply_decisions(
+            self.core.arrive(entry_id, attempt.request, self.view, now, self.random)
+        )
 
     def finish(self, ended, outcome, retry):
-        world, now = self.world, self.world.clock.now
-        place = None
+        simulation, now = self.simulation, self.simulation.clock.now
+        entry_id = None
         if retry:
-            place = self.keep(Attempt(world, self, ended.call, ended.request))
-        self.answer(
-            self.core.finish(ended.ticket, outcome, self.view, now, self.random, retry=place)
+            entry_id = self.register(Attempt(simulation, self, ended.call, ended.request))
+        self.apply_decisions(
+            self.core.finish(ended.ticket, outcome, self.view, now, self.random, retry=entry_id)
         )
 
-    def keep(self, attempt):
-        self.attempts[place := next(self.places)] = attempt
-        return place
+    def register(self, attempt):
+        self.attempts[entry_id := next(self.entry_ids)] = attempt
+        return entry_id
 
-    def answer(self, decided):
-        for place, verdict in decided:
-            self.attempts.pop(place).take(verdict)
+    def apply_decisions(self, decisions):
+        for entry_id, verdict in decisions:
+            self.attempts.pop(entry_id).apply_verdict(verdict)
 
     def tick(self):
-        self.answer(self.core.advance(self.view, self.world.clock.now, self.random))
+        self.apply_decisions(self.core.advance(self.view, self.simulation.clock.now, self.random))
 
 
-class World:
+class Simulation:
     """All regions of one run."""
 
-    def __init__(self, plan, policy, seed):
-        self.plan, self.seed, self.clock = plan, seed, Clock()
+    def __init__(self, scenario, policy, seed):
+        self.scenario, self.seed, self.clock = scenario, seed, Clock()
         self.random = Random(seed)
-        self.regions = [f"region-{number}" for number in range(len(plan.endpoints))]
-        self.published = publish(plan, self.regions)
-        self.engines = {name: Engine(plan, self.clock) for name in self.published.endpoints}
+        self.regions = [f"region-{number}" for number in range(len(scenario.endpoints))]
+        self.published = publish(scenario, self.regions)
+        self.engines = {name: Engine(scenario, self.clock) for name in self.published.endpoints}
         self.hosts = {
-            name: Host(self, name, host.domain, make_settings(plan, policy, name, host.domain))
+            name: Host(self, name, host.domain, make_settings(scenario, policy, name, host.domain))
             for name, host in self.published.hosts.items()
         }
-        ranks = range(1, plan.prefixes + 1)
-        self.weights = list(itertools.accumulate(rank**-ZIPF for rank in ranks))
+        ranks = range(1, scenario.prefix_count + 1)
+        self.weights = list(itertools.accumulate(rank**-ZIPF_EXPONENT for rank in ranks))
         self.calls = []
 
     def run(self):
-        for at, what, *arguments in FAULTS.get(self.plan.fault, ()):
+        for at, what, *arguments in FAULTS.get(self.scenario.fault, ()):
             self.clock.at(at, what, self, *arguments)
-        for region, profile in itertools.product(range(len(self.regions)), self.plan.rates):
+        for region, profile in itertools.product(range(len(self.regions)), self.scenario.rates):
             self.arrive(region, *profile, first=True)
         for number, host in enumerate(self.hosts.values()):
-            self.every(TICK_S, host.tick, TICK_S * number / len(self.hosts))
-        self.every(REPORT_S, self.report, 0.0)
-        self.every(SUMMARY_S, self.summarise, 0.0)
-        self.clock.run(self.plan.seconds)
+            self.schedule_every(TICK_S, host.tick, TICK_S * number / len(self.hosts))
+        self.schedule_every(REPORT_S, self.collect_reports, 0.0)
+        self.schedule_every(SUMMARY_S, self.summarize_regions, 0.0)
+        self.clock.run(self.scenario.seconds)
         return self.calls
 
-    def every(self, period, what, offset):
-        def again():
+    def schedule_every(self, period, what, offset):
+        def repeat():
             what()
-            self.clock.at(self.clock.now + period, again)
+            self.clock.at(self.clock.now + period, repeat)
 
-        self.clock.at(offset, again)
+        self.clock.at(offset, repeat)
 
     def arrive(self, region, profile, rate, first=False):
-        now, plan = self.clock.now, self.plan
+        now, scenario = self.clock.now, self.scenario
         if not first:
             home = [host for host in self.hosts.values() if host.region == self.regions[region]]
             call = self.make_call(region, profile, now)
             self.calls.append(call)
             host = self.random.choice(home)
             host.arrive(Attempt(self, host, call, call.request))
-        phase = 2 * math.pi * (now / plan.period_s - region / len(self.regions))
-        swung = (
-            rate * plan.endpoints[region] / max(plan.endpoints) * (1 + plan.swing * math.sin(phase))
+        phase = 2 * math.pi * (now / scenario.period_s - region / len(self.regions))
+        current_rate = (
+            rate
+            * scenario.endpoints[region]
+            / max(scenario.endpoints)
+            * (1 + scenario.rate_amplitude * math.sin(phase))
         )
-        if now < plan.seconds - 15:
+        if now < scenario.seconds - 15:
             self.clock.at(
-                now + self.random.expovariate(max(swung, 0.01)), self.arrive, region, profile, rate
+                now + self.random.expovariate(max(current_rate, 0.01)),
+                self.arrive,
+                region,
+                profile,
+                rate,
             )
 
     def make_call(self, region, profile, now):
-        prefix = self.random.choices(range(self.plan.prefixes), cum_weights=self.weights)[0]
+        prefix = self.random.choices(range(self.scenario.prefix_count), cum_weights=self.weights)[0]
         head = (f"region-{region} prefix-{prefix} " * 400).encode()[:PREFIX_BYTES]
-        body = head + (f"{len(self.calls)} " * 200).encode()[:OWN_BYTES]
+        body = head + (f"{len(self.calls)} " * 200).encode()[:PRIVATE_BYTES]
         deadline = now + PROFILES[profile]["deadline_ms"] / 1000
         team = f"team-{self.random.randrange(4)}"
         request = Request(
@@ -284,7 +298,7 @@
         decode_s = DECODE_S[profile] * min(4.0, 0.4 + self.random.expovariate(1 / 0.6))
         return Call(request, decode_s, (region, prefix))
 
-    def report(self):
+    def collect_reports(self):
         now = self.clock.now
         states = {
             name: EndpointState(
@@ -293,16 +307,16 @@
                 engine.up,
                 running=len(engine.jobs),
                 waiting=len(engine.queue),
-                slots=self.plan.slots,
+                slots=self.scenario.slots,
                 models=("clover",),
                 reported_at=now,
                 started_at=engine.up_since,
             )
             for name, engine in self.engines.items()
         }
-        self.clock.at(now + LAG_S, self.spread, states, now)
+        self.clock.at(now + REPORT_LAG_S, self.deliver_reports, states, now)
 
-    def spread(self, states, now):
+    def deliver_reports(self, states, now):
         loads = {
             name: HostState(name, host.region, "i", load=host.core.get_stats().load, heard_at=now)
             for name, host in self.hosts.items()
@@ -311,12 +325,12 @@
             own = {name: states[name] for name in self.published.endpoints_of(host.region)}
             host.view = host.view._replace(endpoints=own, hosts=loads)
 
-    def summarise(self):
+    def summarize_regions(self):
         now, summaries = self.clock.now, {}
         for region in self.regions:
             engines = [self.engines[name] for name in self.published.endpoints_of(region)]
             up = [engine for engine in engines if engine.up]
-            free = sum(self.plan.slots - len(engine.jobs) for engine in up)
+            free = sum(self.scenario.slots - len(engine.jobs) for engine in up)
             waiting = sum(len(engine.queue) for engine in up)
             queued = sum(
                 host.core.get_stats().queued
@@ -326,39 +340,42 @@
             summaries[region, "clover"] = Summary(
                 region, "clover", len(up), free, waiting + queued, now
             )
-        self.clock.at(now + LAG_S, self.learn, summaries)
+        self.clock.at(now + REPORT_LAG_S, self.deliver_summaries, summaries)
 
-    def learn(self, summaries):
+    def deliver_summaries(self, summaries):
         for host in self.hosts.values():
             host.view = host.view._replace(summaries=summaries)
 
 
-RANK = {"urgent": 2, "chat": 1, "dossier": 0}
+PRIORITY = {"urgent": 2, "chat": 1, "dossier": 0}
 
 
-def publish(plan, regions):
+def publish(scenario, regions):
     ports = itertools.count(10_000)
     return Published.from_documents(
         {
             "revision": 1,
             "organisation": {"name": "bench"},
-            "objective": {"tail_latency": plan.objective[0], "sent_away": plan.objective[1]},
-            "regions": {region: {"trip_ms": plan.trip_ms} for region in regions},
+            "objective": {
+                "tail_latency": scenario.objective[0],
+                "sent_away": scenario.objective[1],
+            },
+            "regions": {region: {"trip_ms": scenario.trip_ms} for region in regions},
             "domains": {region: {"region": region} for region in regions},
             "hosts": {
                 f"{region}-h{number}": {"domain": region}
                 | {name: f"127.0.0.1:{next(ports)}" for name in ("callers", "admin", "peers")}
                 for region in regions
-                for number in range(plan.hosts)
+                for number in range(scenario.hosts)
             },
             "endpoints": {
                 f"{region}-e{number}": {
                     "domain": region,
                     "url": f"http://127.0.0.1:{next(ports)}",
                     "models": ["clover"],
-                    "slots": plan.slots,
+                    "slots": scenario.slots,
                 }
-                for region, count in zip(regions, plan.endpoints, strict=True)
+                for region, count in zip(regions, scenario.endpoints, strict=True)
                 for number in range(count)
             },
             "profiles": {
@@ -372,7 +389,7 @@
     )
 
 
-def make_settings(plan, policy, name, region):
+def make_settings(scenario, policy, name, region):
     return Settings(
         name,
         region,
@@ -380,19 +397,19 @@
         Listen("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"),
         PlatformSettings(directory="none"),
         Security("none"),
-        Limits(admitted=10_000, queued=plan.queued),
+        Limits(admitted=10_000, queued=scenario.queued),
         policy=policy,
     )
 
 
-def restart(world, prefix, up):
-    for name, engine in world.engines.items():
+def restart(simulation, prefix, up):
+    for name, engine in simulation.engines.items():
         if name.startswith(prefix):
             engine.restart(up)
 
 
-def slow_down(world, factor):
-    world.engines["region-0-e0"].slow = factor
+def slow_down(simulation, factor):
+    simulation.engines["region-0-e0"].slow = factor
 
 
 FAULTS = {
--- a/cloverway/tests/bench_requests.py
+++ b/cloverway/tests/bench_requests.py
@@ -22,13 +22,13 @@
 
 def send(caller: Caller, rate: float, until: float) -> int:
     """Send lookups at a rate, one after the other; give how many were whole."""
-    whole, period, due = 0, THREADS / rate, time.monotonic()
+    completed, period, due = 0, THREADS / rate, time.monotonic()
     pause = threading.Event()
     while due < until:
         pause.wait(max(0.0, due - time.monotonic()))
-        whole += caller.serve("a", profile="lookup").whole
+        completed += caller.call_service("a", profile="lookup").complete
         due += period
-    return whole
+    return completed
 
 
 def measure(fleet: Fleet, host: str, rate: int) -> tuple[int, float, float]:
@@ -38,10 +38,10 @@
     before, begin = read_usage(pid), time.monotonic()
     caller = Caller(fleet.url(host))
 
-    def work() -> None:
+    def send_at_rate() -> None:
         counts.append(send(caller, rate, begin + SECONDS))
 
-    threads = [threading.Thread(target=work) for _ in range(THREADS if rate else 0)]
+    threads = [threading.Thread(target=send_at_rate) for _ in range(THREADS if rate else 0)]
     for thread in threads:
         thread.start()
     threading.Event().wait(max(0.0, begin + SECONDS - time.monotonic()))
--- a/cloverway/tests/builders.py
+++ b/cloverway/tests/builders.py
@@ -112,7 +112,9 @@
     return view._replace(endpoints={**view.endpoints, name: changed})
 
 
-def make_request(number, now=0.0, lasts=10.0, *, team="desk", profile="stock", body=b"", **more):
+def make_request(
+    number, now=0.0, timeout_s=10.0, *, team="desk", profile="stock", body=b"", **more
+):
     return Request(
         id=f"r{number}",
         team=team,
@@ -122,6 +124,6 @@
         body=body,
         content_type="application/json",
         arrived_at=now,
-        deadline=now + lasts,
+        deadline=now + timeout_s,
         **more,
     )
--- a/cloverway/tests/conftest.py
+++ b/cloverway/tests/conftest.py
@@ -22,8 +22,8 @@
 
 def pytest_collection_modifyitems(config, items):
     known = list_known_red()
-    wants_known = config.getoption("--known-red")
-    passed_over = [item for item in items if (item.nodeid in known) is not wants_known]
-    if passed_over:
-        config.hook.pytest_deselected(items=passed_over)
-        items[:] = [item for item in items if (item.nodeid in known) is wants_known]
+    runs_known_red = config.getoption("--known-red")
+    deselected = [item for item in items if (item.nodeid in known) is not runs_known_red]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = [item for item in items if (item.nodeid in known) is runs_known_red]
--- a/cloverway/tests/demo.py
+++ b/cloverway/tests/demo.py
@@ -22,9 +22,9 @@
 from cloverway.tests.standins.deployment import Deployment
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
-PATIENCE_S = 20.0
+RETRY_TIMEOUT_S = 20.0
 STOP_S = 15.0
-SHOWN = 160
+MAX_SHOWN_CHARS = 160
 TOKENS = 24
 LONG_TOKENS = 300
 
@@ -177,23 +177,23 @@
     deployment: Deployment,
     step: Step,
     key: str = "",
-    at_first: Callable[[Answer], Any] = lambda answer: None,
+    on_first_chunk: Callable[[Answer], Any] = lambda answer: None,
 ) -> Outcome:
     """Send the call of a step and read its answer to the end.
 
     `at_first` is called when its first piece has come.
     """
-    addresses = deployment.callers_in(step.at)
-    client = Client(addresses, f"cw_example-only-{step.team}", patience_s=PATIENCE_S)
+    addresses = deployment.list_caller_addresses(step.at)
+    client = Client(addresses, f"cw_example-only-{step.team}", patience_s=RETRY_TIMEOUT_S)
     started_at = time.monotonic()
     try:
         answer = client.call(step.call._replace(key=key), once=step.once)
-        return _read(answer, step, started_at, at_first)
+        return _read(answer, step, started_at, on_first_chunk)
     except CallError as error:
         return Outcome(refusal=error, total_s=time.monotonic() - started_at)
 
 
-def find_faults(step: Step, outcome: Outcome) -> Iterator[str]:
+def find_mismatches(step: Step, outcome: Outcome) -> Iterator[str]:
     """Yield what is not as expected of a call."""
     if step.refusal is not None:
         if outcome.refusal is None or outcome.refusal.kind is not step.refusal:
@@ -209,7 +209,7 @@
         yield f"expected it to run in {', '.join(step.regions)}, it ran in {outcome.region}"
 
 
-def find_repeat_faults(
+def find_repeat_mismatches(
     deployment: Deployment, step: Step, first: Outcome, again: Outcome
 ) -> Iterator[str]:
     """Yield what is not as expected of a call that was sent twice with one key."""
@@ -220,7 +220,7 @@
         yield f"expected the same answer for the repeat, got {describe(again)}"
 
 
-def find_stop_faults(during: Outcome, after: Outcome, status: int | None) -> Iterator[str]:
+def find_stop_mismatches(during: Outcome, after: Outcome, status: int | None) -> Iterator[str]:
     """Yield what is not as expected of a stream whose host was told to leave."""
     tokens = len(during.text.split())
     if tokens != LONG_TOKENS:
@@ -237,94 +237,103 @@
         error = outcome.refusal
         return f"{error.kind} (ran: {error.ran}): {error.detail}"
     text = " ".join(outcome.text.split())
-    return text if len(text) <= SHOWN else f"{text[:SHOWN]}..."
+    return text if len(text) <= MAX_SHOWN_CHARS else f"{text[:MAX_SHOWN_CHARS]}..."
 
 
-def run_plan(plan: Plan, say: Callable[[str], Any]) -> list[str]:
+def run_plan(plan: Plan, write_line: Callable[[str], Any]) -> list[str]:
     """Start a deployment, send its calls and stop it; give all faults."""
     started_at = time.monotonic()
     with Deployment(EXAMPLES / plan.name) as deployment:
         published = deployment.published
-        say(
+        write_line(
             f"\n{plan.name}: {len(published.regions)} regions, {len(published.hosts)} hosts and "
             f"{len(published.endpoints)} endpoints, up in {time.monotonic() - started_at:.1f} s"
         )
-        if deployment.moved:
-            say(f"  {len(deployment.moved)} addresses are taken; free ones are used in their place")
-        faults = [fault for step in plan.steps for fault in _run_step(deployment, step, say)]
-        faults += _run_once(deployment, plan.once, say)
-        faults += _run_stop(deployment, plan.stop, say)
+        if deployment.relocated:
+            write_line(
+                f"  {len(deployment.relocated)} addresses are taken; "
+                "free ones are used in their place"
+            )
+        mismatches = [
+            mismatch for step in plan.steps for mismatch in _run_step(deployment, step, write_line)
+        ]
+        mismatches += _run_once(deployment, plan.once, write_line)
+        mismatches += _run_stop(deployment, plan.stop, write_line)
         statuses = deployment.stop()
     failed = {name: status for name, status in statuses.items() if status != 0}
-    faults += [f"{name} ended with status {status}" for name, status in failed.items()]
-    say(f"  Stopped: {len(statuses)} processes, {len(failed)} with a failure.")
-    return faults
+    mismatches += [f"{name} ended with status {status}" for name, status in failed.items()]
+    write_line(f"  Stopped: {len(statuses)} processes, {len(failed)} with a failure.")
+    return mismatches
 
 
 def main() -> int:
     """Run both deployments; give the exit code."""
     started_at = time.monotonic()
-    faults = [fault for plan in (RIVIERE, CARONI) for fault in run_plan(plan, _say)]
-    faults += run_platform_call(_say)
-    for fault in faults:
-        print(f"NOT AS EXPECTED: {fault}", file=sys.stderr)
-    verdict = f"{len(faults)} faults" if faults else "all answers are as expected"
-    _say(f"\n{verdict}; {time.monotonic() - started_at:.0f} s")
-    return 1 if faults else 0
+    mismatches = [
+        mismatch for plan in (RIVIERE, CARONI) for mismatch in run_plan(plan, _write_line)
+    ]
+    mismatches += run_platform_call(_write_line)
+    for mismatch in mismatches:
+        print(f"NOT AS EXPECTED: {mismatch}", file=sys.stderr)
+    verdict = f"{len(mismatches)} faults" if mismatches else "all answers are as expected"
+    _write_line(f"\n{verdict}; {time.monotonic() - started_at:.0f} s")
+    return 1 if mismatches else 0
 
 
-def _run_step(deployment: Deployment, step: Step, say: Callable[[str], Any]) -> list[str]:
+def _run_step(deployment: Deployment, step: Step, write_line: Callable[[str], Any]) -> list[str]:
     outcome = send(deployment, step)
-    _show(step.title, outcome, say)
-    return list(find_faults(step, outcome))
+    _show(step.title, outcome, write_line)
+    return list(find_mismatches(step, outcome))
 
 
-def _run_once(deployment: Deployment, step: Step, say: Callable[[str], Any]) -> list[str]:
+def _run_once(deployment: Deployment, step: Step, write_line: Callable[[str], Any]) -> list[str]:
     first = send(deployment, step)
-    _show(step.title, first, say)
+    _show(step.title, first, write_line)
     again = send(deployment, step, first.key)
-    _show("The same call again, with the same idempotency key", again, say)
-    say(f"    the services counted {deployment.count_runs(step.call.body)} run of it")
+    _show("The same call again, with the same idempotency key", again, write_line)
+    write_line(f"    the services counted {deployment.count_runs(step.call.body)} run of it")
     return [
-        *find_faults(step, first),
-        *find_faults(step, again),
-        *find_repeat_faults(deployment, step, first, again),
+        *find_mismatches(step, first),
+        *find_mismatches(step, again),
+        *find_repeat_mismatches(deployment, step, first, again),
     ]
 
 
-def _run_stop(deployment: Deployment, step: Step, say: Callable[[str], Any]) -> list[str]:
+def _run_stop(deployment: Deployment, step: Step, write_line: Callable[[str], Any]) -> list[str]:
     stopped: list[str] = []
 
     def stop_host(answer: Answer) -> None:
         stopped.append(answer.headers["cloverway-host"])
         deployment.processes[stopped[0]].send(signal.SIGTERM)
 
-    during = send(deployment, step, at_first=stop_host)
-    _show(step.title, during, say)
+    during = send(deployment, step, on_first_chunk=stop_host)
+    _show(step.title, during, write_line)
     status = deployment.processes[stopped[0]].wait(STOP_S) if stopped else None
-    say(f"    its stream had {len(during.text.split())} tokens; it ended with status {status}")
+    write_line(
+        f"    its stream had {len(during.text.split())} tokens; it ended with status {status}"
+    )
     after = send(deployment, step)
-    _show("The same question again", after, say)
+    _show("The same question again", after, write_line)
     return [
-        *find_faults(step, during),
-        *find_faults(step, after),
-        *find_stop_faults(during, after, status),
+        *find_mismatches(step, during),
+        *find_mismatches(step, after),
+        *find_stop_mismatches(during, after, status),
     ]
 
 
 def _read(
-    answer: Answer, step: Step, started_at: float, at_first: Callable[[Answer], Any]
+    answer: Answer, step: Step, started_at: float, on_first_chunk: Callable[[Answer], Any]
 ) -> Outcome:
-    pieces: list[str] = []
+    chunks: list[str] = []
     first_s = 0.0
     texts = answer.read_text() if answer.is_stream else iter([answer.read().decode()])
-    for piece in texts:
-        if not pieces:
+    for chunk in texts:
+        if not chunks:
             first_s = time.monotonic() - started_at
-            at_first(answer)
-        pieces.append(piece)
+            on_first_chunk(answer)
+        chunks.append(chunk)
     return Outcome(
-        _extract("".join(pieces), step.call),
+        _extract("".join(chunks), step.call),
         answer.headers.get("cloverway-region", ""),
         answer.headers.get("cloverway-endpoint", ""),
         answer.headers.get("cloverway-host", answer.host),
@@ -342,17 +351,17 @@
     return json.dumps({name: answer[name] for name in ("path", "echo", "run")})
 
 
-def _show(title: str, outcome: Outcome, say: Callable[[str], Any]) -> None:
-    say(f"  {title}\n    {describe(outcome)}")
+def _show(title: str, outcome: Outcome, write_line: Callable[[str], Any]) -> None:
+    write_line(f"  {title}\n    {describe(outcome)}")
     if outcome.refusal is None:
-        say(
+        write_line(
             f"    ran in {outcome.region} at {outcome.endpoint}, asked at {outcome.host}; "
             f"first piece after {outcome.first_s * 1000:.0f} ms, whole after "
             f"{outcome.total_s * 1000:.0f} ms"
         )
 
 
-def _say(text: str) -> None:
+def _write_line(text: str) -> None:
     print(text, flush=True)
 
 
--- a/cloverway/tests/fleet/demo.py
+++ b/cloverway/tests/fleet/demo.py
@@ -12,14 +12,16 @@
 EVENTS = 3
 
 
-def run_platform_call(say: Callable[[str], Any]) -> list[str]:
+def run_platform_call(write_line: Callable[[str], Any]) -> list[str]:
     """Show a stream over the platform's protocol; give what was not as expected."""
     logging.getLogger("asyncio").setLevel(logging.WARNING)
     reply = asyncio.run(_call())
     events = reply.body.count(b"data:")
-    say("\nOn the users' platform: a host reads the stand-in store and streams an answer")
-    say(f"    status {reply.status}, {events} events, whole: {'yes' if reply.whole else 'no'}")
-    if (reply.status, events, reply.whole) != (200, EVENTS, True):
+    write_line("\nOn the users' platform: a host reads the stand-in store and streams an answer")
+    write_line(
+        f"    status {reply.status}, {events} events, whole: {'yes' if reply.complete else 'no'}"
+    )
+    if (reply.status, events, reply.complete) != (200, EVENTS, True):
         return [f"the platform's call had status {reply.status} and {events} events"]
     return []
 
--- a/cloverway/tests/fleet/deployment.py
+++ b/cloverway/tests/fleet/deployment.py
@@ -32,7 +32,7 @@
 REGIONS = {"d1": "north", "d2": "south"}
 
 
-def play(scenario) -> None:
+def run_scenario(scenario) -> None:
     """Play a scenario of hosts, endpoints and callers in one event loop."""
     asyncio.run(scenario())
 
@@ -41,7 +41,7 @@
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Fleet:
@@ -60,7 +60,7 @@
         endpoint = Endpoint(name, service, domain)
         await endpoint.start()
         self.endpoints[name] = endpoint
-        self.store.put(f"servers/{name}", endpoint.describe(**fields))
+        self.store.put(f"servers/{name}", endpoint.make_entry(**fields))
         return endpoint
 
     def publish(self, routes: list[Any], services: list[Any]) -> None:
@@ -100,8 +100,8 @@
 
     async def call(self, path: str, host: Host | None = None, **options: Any) -> Reply:
         """Send one request as a caller does, and read its whole answer."""
-        sending = await self.begin_call(path, host, **options)
-        return await read_reply(sending)
+        exchange = await self.begin_call(path, host, **options)
+        return await read_reply(exchange)
 
     async def begin_call(
         self,
@@ -123,9 +123,9 @@
         ]
         request = make_request(method, path, fields, body)
         connection = await self.pool.open_new(entry.settings.listen.callers, 1.0)
-        sending = ClientExchange(connection, request, body)
-        sending.write()
-        return sending
+        exchange = ClientExchange(connection, request, body)
+        exchange.write()
+        return exchange
 
     async def stop(self, host: Host) -> None:
         """End a host at once, as a kill does."""
@@ -152,11 +152,11 @@
         server.stop_accepting()
 
 
-async def read_reply(sending: ClientExchange) -> Reply:
-    head = await sending.read_head(lambda head: True)
+async def read_reply(exchange: ClientExchange) -> Reply:
+    head = await exchange.read_head(lambda head: True)
     body = b""
     try:
-        while part := await sending.read_chunk():
+        while part := await exchange.read_chunk():
             body += part
     except ResponseError:
         return Reply(head.status, dict(head.headers), body, False)
--- a/cloverway/tests/fleet/soak.py
+++ b/cloverway/tests/fleet/soak.py
@@ -27,17 +27,17 @@
     fetch,
     make_request,
 )
-from cloverway.tests.fleet.invariants import check_ends, find_violations
+from cloverway.tests.fleet.invariants import check_crashes, find_violations
 from cloverway.tests.fleet.soak_parts import (
-    DEADLY,
+    CRASHING_BODY,
     DOMAINS,
     GRACE_S,
     HOSTS,
     ROUTES,
+    CallRecord,
     CountingEndpoint,
     Fault,
     Host,
-    Seen,
     send,
 )
 from cloverway.tests.fleet.standins import (
@@ -50,11 +50,11 @@
 from cloverway.tests.standins.processes import Ports
 
 CALLERS = 10
-DEADLY_S = 4.0
+CRASHING_CALLER_S = 4.0
 """How long the caller of a deadly request repeats it."""
-DOWN_S = 1.0
+RESTART_S = 1.0
 """Time until an endpoint that a request has ended is back."""
-LATE_ENTRY_S = 1.5
+MAX_ENTRY_DELAY_S = 1.5
 """The longest time from then until its entry tells so."""
 
 
@@ -68,10 +68,10 @@
         self.hosts: list[Host] = []
         self.endpoints: list[CountingEndpoint] = []
         self.links: dict[str, Link] = {}
-        self.seen: list[Seen] = []
+        self.seen: list[CallRecord] = []
         self.faults: list[Fault] = []
         self.violations: list[str] = []
-        self.ends: defaultdict[bytes, list[float]] = defaultdict(list)
+        self.crash_times: defaultdict[bytes, list[float]] = defaultdict(list)
         """When deadly requests ended an endpoint, by their bodies."""
         self.version = 0
         self._restarts: set[asyncio.Task[None]] = set()
@@ -87,9 +87,13 @@
             series = [self._make_faults(until) for _ in range(3)]
             await asyncio.gather(*callers, *series)
             await self._check_recovered()
-        ends = [what for body, at in self.ends.items() for what in check_ends(body.decode(), at)]
+        crash_violations = [
+            what
+            for body, at in self.crash_times.items()
+            for what in check_crashes(body.decode(), at)
+        ]
         seen = find_violations(self.seen, self.endpoints, self.faults)
-        return [*self.violations, *ends, *seen]
+        return [*self.violations, *crash_violations, *seen]
 
     @contextlib.asynccontextmanager
     async def _running(self) -> AsyncIterator[None]:
@@ -107,7 +111,7 @@
             host.write_settings([other.control for other in self.hosts[1:4]])
             host.process.start()
         try:
-            await self._wait_served(20.0)
+            await self._wait_until_served(20.0)
             yield
         finally:
             for host in self.hosts:
@@ -140,7 +144,7 @@
     def _describe(self, endpoint: CountingEndpoint, **fields: Any) -> None:
         """Write the entry of an endpoint."""
         address = self.links[endpoint.name].address
-        entry = endpoint.describe(address=address, born=endpoint.born, **fields)
+        entry = endpoint.make_entry(address=address, born=endpoint.start_time_ms, **fields)
         self.store.put(f"servers/{endpoint.name}", entry)
 
     def _list_live(self) -> list[CountingEndpoint]:
@@ -178,7 +182,7 @@
 
     async def _send(
         self, host: str, route: str, pool: ConnectionPool, content: bytes = b"x"
-    ) -> Seen:
+    ) -> CallRecord:
         return await send(f"c-{next(self._numbers)}", host, route, pool, content)
 
     # Faults
@@ -193,13 +197,13 @@
         while time.monotonic() < until:
             await asyncio.sleep(self.random.uniform(0.1, 0.8))
             fault = self.random.choice(faults)
-            began_at = time.monotonic()
+            started_at = time.monotonic()
             await fault()
             name = fault.__name__.lstrip("_")
-            self.faults.append(Fault(name, began_at, time.monotonic()))
+            self.faults.append(Fault(name, started_at, time.monotonic()))
 
     @contextlib.contextmanager
-    def _take_host(self) -> Iterator[Host | None]:
+    def _reserve_host(self) -> Iterator[Host | None]:
         """Give a host whose process no other fault has, while another one of its domain is up."""
         free = [host for host in self.hosts if not host.is_busy]
         counts = Counter(host.domain for host in free)
@@ -214,33 +218,33 @@
         finally:
             host.is_busy = False
 
-    async def _hold(self, least: float = 0.3, most: float = 2.5) -> None:
-        await asyncio.sleep(self.random.uniform(least, most))
+    async def _wait_fault_duration(self, min_s: float = 0.3, max_s: float = 2.5) -> None:
+        await asyncio.sleep(self.random.uniform(min_s, max_s))
 
     async def _kill(self) -> None:
-        with self._take_host() as host:
+        with self._reserve_host() as host:
             if host is not None:
                 host.process.kill()
-                await self._hold()
+                await self._wait_fault_duration()
                 host.process.start()
                 await self._wait_ready(host)
 
     async def _pause(self) -> None:
-        with self._take_host() as host:
+        with self._reserve_host() as host:
             if host is not None:
                 host.process.send(signal.SIGSTOP)
-                await self._hold()
+                await self._wait_fault_duration()
                 host.process.send(signal.SIGCONT)
 
     async def _replace(self) -> None:
-        with self._take_host() as host:
+        with self._reserve_host() as host:
             if host is None:
                 return
             host.process.send(signal.SIGTERM)
-            began_at = time.monotonic()
+            started_at = time.monotonic()
             while host.process.running:
                 await asyncio.sleep(0.05)
-                if time.monotonic() - began_at > GRACE_S:
+                if time.monotonic() - started_at > GRACE_S:
                     self.violations.append(f"{host.name}: a planned stop took over {GRACE_S} s")
                     host.process.kill()
             if status := host.process.wait():
@@ -249,7 +253,7 @@
             await self._wait_ready(host)
 
     async def _reload(self) -> None:
-        with self._take_host() as host:
+        with self._reserve_host() as host:
             if host is not None:
                 host.write_settings([other.control for other in self.random.sample(self.hosts, 3)])
                 host.process.send(signal.SIGHUP)
@@ -259,13 +263,13 @@
         await self._disturb(links, lambda link: link.cut())
 
     async def _silence_store(self) -> None:
-        ways = self.random.choice([(), (TO_TARGET,), (TO_CALLER,)])
+        directions = self.random.choice([(), (TO_TARGET,), (TO_CALLER,)])
         links = [host.store for host in self.random.sample(self.hosts, self.random.randint(1, 5))]
-        await self._disturb(links, lambda link: link.silence(*ways))
+        await self._disturb(links, lambda link: link.blackhole(*directions))
 
     async def _store_fails(self) -> None:
         self.store.status = self.random.choice([429, 503])
-        await self._hold()
+        await self._wait_fault_duration()
         self.store.status = 200
 
     async def _compact(self) -> None:
@@ -277,8 +281,8 @@
     async def _break_link(self) -> None:
         disturb: Callable[[Link], Any] = self.random.choice(
             [
-                *(lambda link: link.cut(), lambda link: link.silence()),
-                *(lambda link: link.silence(TO_CALLER), lambda link: link.silence_open()),
+                *(lambda link: link.cut(), lambda link: link.blackhole()),
+                *(lambda link: link.blackhole(TO_CALLER), lambda link: link.blackhole_open()),
                 lambda link: link.slow(0.2),
             ]
         )
@@ -287,22 +291,22 @@
     async def _disturb(self, links: list[Link], disturb: Callable[[Link], Any]) -> None:
         for link in links:
             disturb(link)
-        await self._hold()
+        await self._wait_fault_duration()
         for link in links:
             link.restore()
 
     async def _break_endpoint(self) -> None:
         endpoint = self.random.choice(self.endpoints)
-        endpoint.break_part = self.random.uniform(0.2, 1.0)
-        await self._hold()
-        endpoint.break_part = 0.0
+        endpoint.abort_probability = self.random.uniform(0.2, 1.0)
+        await self._wait_fault_duration()
+        endpoint.abort_probability = 0.0
 
     async def _drain_endpoint(self) -> None:
         """Let an endpoint leave, and another one come in its place."""
         leaving = self.random.choice(self._list_live())
         await self._add_endpoint(leaving.service, leaving.domain)
         self._describe(leaving, state="draining")
-        await self._hold(1.0, 3.0)
+        await self._wait_fault_duration(1.0, 3.0)
         self.store.delete(f"servers/{leaving.name}")
 
     async def _spoil_entry(self) -> None:
@@ -311,25 +315,25 @@
         junk = self.random.choice([b"", b"{" * 50_000, b'{"service": []}', b"\xff", b"1e999"])
         self.store.put_bytes(f"servers/{spoilt.name}", junk)
         self.store.put_bytes(f"servers/junk-{self.random.randrange(50)}", junk)
-        await self._hold()
+        await self._wait_fault_duration()
         self._describe(spoilt)
 
     async def _restart_endpoint(self) -> None:
         """Let an endpoint drain, end and start again under its id and at its address."""
         endpoint = self.random.choice(self._list_live())
         self._describe(endpoint, state="draining")
-        await self._hold()
+        await self._wait_fault_duration()
         link = self.links[endpoint.name]
         link.cut()
         link.restore()
-        endpoint.born += 1_000
+        endpoint.start_time_ms += 1_000
         self._describe(endpoint, coldRemainingMs=500)
 
     async def _repeat_deadly(self) -> None:
         """Send one request that ends each endpoint which runs it, again and again."""
-        body = DEADLY + b" %d" % next(self._numbers)
+        body = CRASHING_BODY + b" %d" % next(self._numbers)
         route = self.random.choice(["safe", "once", "stream", "cut"])
-        until = time.monotonic() + DEADLY_S
+        until = time.monotonic() + CRASHING_CALLER_S
         while time.monotonic() < until:
             host = self.random.choice(self.hosts)
             self.seen.append(await self._send(host.callers, route, ConnectionPool(), body))
@@ -337,19 +341,19 @@
 
     def _crash(self, endpoint: CountingEndpoint, body: bytes) -> None:
         """End an endpoint under a request; it comes back, born again."""
-        self.ends[body].append(time.monotonic())
+        self.crash_times[body].append(time.monotonic())
         link = self.links[endpoint.name]
         link.cut()
-        restart = asyncio.create_task(self._bring_back(endpoint))
+        restart = asyncio.create_task(self._restart_crashed(endpoint))
         self._restarts.add(restart)
         restart.add_done_callback(self._restarts.discard)
 
-    async def _bring_back(self, endpoint: CountingEndpoint) -> None:
-        await asyncio.sleep(DOWN_S)
+    async def _restart_crashed(self, endpoint: CountingEndpoint) -> None:
+        await asyncio.sleep(RESTART_S)
         self.links[endpoint.name].restore()
-        endpoint.born += 1_000
+        endpoint.start_time_ms += 1_000
         # What it has published names the life before until its next heartbeat.
-        await asyncio.sleep(self.random.uniform(0.0, LATE_ENTRY_S))
+        await asyncio.sleep(self.random.uniform(0.0, MAX_ENTRY_DELAY_S))
         if f"servers/{endpoint.name}" in self.store.items:
             self._describe(endpoint)
 
@@ -359,42 +363,44 @@
         """Wait until a host that was started serves; one that can't yet is seen in the end."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(5.0):
-                while not (await self._send(host.callers, "safe", ConnectionPool())).whole:
+                while not (await self._send(host.callers, "safe", ConnectionPool())).complete:
                     await asyncio.sleep(0.1)
 
-    async def _wait_served(self, seconds: float) -> list[str]:
+    async def _wait_until_served(self, seconds: float) -> list[str]:
         """Give the hosts that don't serve the newest route within some seconds."""
-        left = list(self.hosts)
+        unserved = list(self.hosts)
         until = time.monotonic() + seconds
-        while left and time.monotonic() < until:
+        while unserved and time.monotonic() < until:
             replies = [
-                await self._send(h.callers, f"v{self.version}", ConnectionPool()) for h in left
+                await self._send(h.callers, f"v{self.version}", ConnectionPool()) for h in unserved
+            ]
+            unserved = [
+                host for host, seen in zip(unserved, replies, strict=True) if seen.status != 200
             ]
-            left = [host for host, seen in zip(left, replies, strict=True) if seen.status != 200]
             await asyncio.sleep(0.1)
-        return [host.name for host in left]
+        return [host.name for host in unserved]
 
     async def _check_recovered(self) -> None:
         """All faults are over: within the bound for changes all hosts serve the newest route."""
-        unserved = await self._wait_served(8.0)
+        unserved = await self._wait_until_served(8.0)
         self.violations += [f"{name}: does not serve the newest route" for name in unserved]
 
 
 def main(seconds: float, seeds: list[int]) -> int:
     """Run each seed; give 1 when a promise was broken."""
-    bad = 0
+    failed_seeds = 0
     for seed in seeds:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         soak = Soak(seed, folder)
         violations = asyncio.run(soak.run(seconds))
-        outcomes = Counter(f"{seen.status}{'' if seen.whole else ' cut'}" for seen in soak.seen)
+        outcomes = Counter(f"{seen.status}{'' if seen.complete else ' cut'}" for seen in soak.seen)
         kinds = Counter(fault.name for fault in soak.faults)
         print(f"seed {seed}: {len(soak.seen)} requests {dict(outcomes)}; faults {dict(kinds)}")
         for violation in violations[:10]:
             print(f"VIOLATION {violation}; logs in {folder}")
         print(f"seed {seed}: {len(violations)} violations", flush=True)
-        bad += bool(violations)
-    return 1 if bad else 0
+        failed_seeds += bool(violations)
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/cloverway/tests/fleet/soak_parts.py
+++ b/cloverway/tests/fleet/soak_parts.py
@@ -35,23 +35,23 @@
 }
 
 
-DEADLY = b"deadly"
+CRASHING_BODY = b"deadly"
 """How the bodies of requests begin that end the endpoint which runs them."""
 
 
-class Seen(NamedTuple):
+class CallRecord(NamedTuple):
     """What a caller saw of one request; status 0 when there was no answer."""
 
     id: str
     route: str
     host: str
-    began_at: float
+    started_at: float
     ended_at: float
     status: int
-    whole: bool
+    complete: bool
     body: bytes
     error: str = ""
-    is_deadly: bool = False
+    crashes_endpoints: bool = False
     """Whether it ends the endpoints that run it."""
 
 
@@ -59,7 +59,7 @@
     """When a fault was there, and what it was."""
 
     name: str
-    began_at: float
+    started_at: float
     ended_at: float
 
 
@@ -69,8 +69,8 @@
     def __init__(self, name: str, service: str, domain: str) -> None:
         super().__init__(name, service, domain)
         self.runs: list[str] = []
-        self.break_part = 0.0
-        self.born = 1_700_000_000_000
+        self.abort_probability = 0.0
+        self.start_time_ms = 1_700_000_000_000
         self.random = Random(name)
         self.answer = self.answer_by_route
         self.on_crash: Callable[[CountingEndpoint, bytes], None] = lambda endpoint, body: None
@@ -83,24 +83,24 @@
             await exchange.answer(421, [], b"")
             return
         self.runs.append(call)
-        if exchange.body.startswith(DEADLY):
+        if exchange.body.startswith(CRASHING_BODY):
             await asyncio.sleep(0.02)
             self.on_crash(self, exchange.body)
             return
-        breaks = self.random.random() < self.break_part
+        aborts = self.random.random() < self.abort_probability
         if self.service == "desk":
             await asyncio.sleep(0.02)
-            if breaks:
+            if aborts:
                 exchange.connection.abort()
                 return
-            await exchange.answer(200, self.head(exchange), f"ran for {call}".encode())
+            await exchange.answer(200, self.make_head(exchange), f"ran for {call}".encode())
             return
         first = int(fields.get(b"last-event-id", b"0")) + 1
-        exchange.start(200, [*self.head(exchange), (b"Content-Type", b"text/event-stream")])
+        exchange.start(200, [*self.make_head(exchange), (b"Content-Type", b"text/event-stream")])
         for number in range(first, EVENTS + 1):
             await exchange.send(b"id: %d\ndata: for %s\n\n" % (number, call.encode()))
             await asyncio.sleep(0.05)
-            if breaks:
+            if aborts:
                 exchange.connection.abort()
                 return
         exchange.finish()
@@ -148,7 +148,9 @@
 """)
 
 
-async def send(call: str, host: str, route: str, pool: ConnectionPool, content: bytes) -> Seen:
+async def send(
+    call: str, host: str, route: str, pool: ConnectionPool, content: bytes
+) -> CallRecord:
     """Send one request as a caller does; give what that saw."""
     fields = [
         (b"Host", b"shop.example"),
@@ -156,20 +158,22 @@
         (b"X-Cloverway-Deadline-Ms", b"3000"),
     ]
     request = make_request("POST", f"/{route}/a", fields, content)
-    began_at = time.monotonic()
-    sending: ClientExchange | None = None
-    status, whole, body, error = 0, False, b"", ""
+    started_at = time.monotonic()
+    exchange: ClientExchange | None = None
+    status, complete, body, error = 0, False, b"", ""
     try:
         async with asyncio.timeout(4.0):
-            sending = ClientExchange(await pool.acquire(Destination(host), 1.0), request, content)
-            sending.write()
-            reply = await read_reply(sending)
-        status, whole, body = reply.status, reply.whole, reply.body
+            exchange = ClientExchange(await pool.acquire(Destination(host), 1.0), request, content)
+            exchange.write()
+            reply = await read_reply(exchange)
+        status, complete, body = reply.status, reply.complete, reply.body
     except (ConnectError, ResponseError, TimeoutError) as failure:
         error = repr(failure)
     finally:
-        if sending is not None:
-            pool.release(Destination(host), sending)
-    is_deadly = content.startswith(DEADLY)
+        if exchange is not None:
+            pool.release(Destination(host), exchange)
+    crashes_endpoints = content.startswith(CRASHING_BODY)
     ended_at = time.monotonic()
-    return Seen(call, route, host, began_at, ended_at, status, whole, body, error, is_deadly)
+    return CallRecord(
+        call, route, host, started_at, ended_at, status, complete, body, error, crashes_endpoints
+    )
--- a/cloverway/tests/fleet/standins.py
+++ b/cloverway/tests/fleet/standins.py
@@ -19,8 +19,8 @@
 SIGNATURE = (b"X-Cloverway-Response-Seal", b"1.2.3")
 
 
-RESERVED: list[socket.socket] = []
-OWN_PORTS = (3_000, 12_000)
+RESERVED_SOCKETS: list[socket.socket] = []
+PORT_RANGE = (3_000, 12_000)
 """Below those of the tests with processes, and below those that the system gives away."""
 
 
@@ -34,7 +34,7 @@
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = random.randrange(*OWN_PORTS)
+        port = random.randrange(*PORT_RANGE)
         sock = socket.socket()
         try:
             sock.bind(("127.0.0.1", port))
@@ -42,7 +42,7 @@
             sock.close()
             continue
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        RESERVED.append(sock)
+        RESERVED_SOCKETS.append(sock)
         ports.append(port)
     return ports
 
@@ -67,7 +67,7 @@
         self.silent = False
         self.delay_s = 0.0
         """Time before each answer."""
-        self.page = 3
+        self.page_size = 3
         self.calls: list[str] = []
         self.server = make_server(self._handle)
         self._changed = asyncio.Event()
@@ -86,13 +86,13 @@
         """Write what another writer may leave there."""
         self.revision += 1
         self.items[key] = (self.revision, data)
-        self._note(key, data)
+        self._record(key, data)
         return self.revision
 
     def delete(self, key: str) -> None:
         self.revision += 1
         self.items.pop(key, None)
-        self._note(key, None)
+        self._record(key, None)
 
     def compact(self) -> None:
         """Forget the history, which cuts the watches."""
@@ -100,7 +100,7 @@
         self.history.clear()
         self._wake()
 
-    def _note(self, key: str, data: bytes | None) -> None:
+    def _record(self, key: str, data: bytes | None) -> None:
         self.history.append((key, self.revision, data))
         self._wake()
 
@@ -125,8 +125,8 @@
     async def _range(self, query: dict[str, str]) -> tuple[int, Any]:
         prefix, after = query.get("prefix", ""), query.get("after", "")
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
-        items = [self._item(key, *self.items[key]) for key in keys[: self.page]]
-        return 200, {"items": items, "hasMore": len(keys) > self.page, "at": self.revision}
+        items = [self._item(key, *self.items[key]) for key in keys[: self.page_size]]
+        return 200, {"items": items, "hasMore": len(keys) > self.page_size, "at": self.revision}
 
     async def _watch(self, query: dict[str, str]) -> tuple[int, Any]:
         after = int(query["after"])
@@ -157,12 +157,12 @@
         self.domain = domain
         self.port = take_ports(1)[0]
         self.requests: list[Exchange] = []
-        self.answer: Callable[[Exchange], Awaitable[None]] = self.answer_plainly
+        self.answer: Callable[[Exchange], Awaitable[None]] = self.answer_ok
         self.cancelled = 0
-        self.is_gone = False
-        self.born = 1
+        self.is_down = False
+        self.start_time_ms = 1
         """The start of the life that runs, which an entry may be late to tell."""
-        self.questions = 0
+        self.state_requests = 0
         """How often it was asked how it is."""
         self.server = make_server(self._handle)
 
@@ -173,7 +173,7 @@
     async def start(self) -> None:
         await self.server.start(self.address)
 
-    def describe(self, **fields: Any) -> Any:
+    def make_entry(self, **fields: Any) -> Any:
         return {
             "service": self.service,
             "address": self.address,
@@ -185,32 +185,32 @@
             "sequence": 1,
         } | fields
 
-    def head(self, exchange: Exchange) -> list[tuple[bytes, bytes]]:
+    def make_head(self, exchange: Exchange) -> list[tuple[bytes, bytes]]:
         named = dict(exchange.headers).get(b"x-cloverway-request-id", b"")
         return [SIGNATURE, (b"X-Cloverway-Request-Id", named)]
 
-    async def answer_plainly(self, exchange: Exchange) -> None:
-        await exchange.answer(200, self.head(exchange), b"ran at " + self.name.encode())
+    async def answer_ok(self, exchange: Exchange) -> None:
+        await exchange.answer(200, self.make_head(exchange), b"ran at " + self.name.encode())
 
-    async def answer_not_run(self, exchange: Exchange) -> None:
+    async def answer_not_executed(self, exchange: Exchange) -> None:
         await exchange.answer(503, [(b"X-Cloverway-Not-Executed", b"1")], b"")
 
-    async def answer_never(self, exchange: Exchange) -> None:
+    async def never_answer(self, exchange: Exchange) -> None:
         await asyncio.sleep(3600)
 
-    async def break_off(self, exchange: Exchange) -> None:
+    async def abort_connection(self, exchange: Exchange) -> None:
         exchange.connection.abort()
 
-    def stream(self, first: int, last: int, *, breaks: bool = False, gap_s: float = 0.0):
+    def stream(self, first: int, last: int, *, aborts: bool = False, gap_s: float = 0.0):
         """Answer with the events of some ids; broken off in the middle of the next event."""
 
         async def answer(exchange: Exchange) -> None:
             kind = (b"Content-Type", b"text/event-stream")
-            exchange.start(200, [*self.head(exchange), kind])
+            exchange.start(200, [*self.make_head(exchange), kind])
             for number in range(first, last + 1):
                 await exchange.send(b"id: %d\ndata: token %d\n\n" % (number, number))
                 await asyncio.sleep(gap_s)
-            if breaks:
+            if aborts:
                 await exchange.send(b"id: %d\ndata: to" % (last + 1))
                 await asyncio.sleep(0.05)
                 exchange.connection.abort()
@@ -221,28 +221,28 @@
 
     def crash(self) -> None:
         """End like a process that crashes: all connections break, and nobody listens any more."""
-        self.is_gone = True
+        self.is_down = True
         self.server.stop_accepting()
         for exchange in self.requests:
             exchange.connection.abort()
 
-    async def start_again(self) -> None:
+    async def restart(self) -> None:
         """Listen again at the address after a crash, as another process does."""
         self.requests.clear()
-        self.born += 1
+        self.start_time_ms += 1
         self.server = make_server(self._handle)
         await self.start()
-        self.is_gone = False
+        self.is_down = False
 
-    async def tell_state(self, exchange: Exchange) -> None:
+    async def answer_state(self, exchange: Exchange) -> None:
         """Say how it is, as endpoints do beside the requests that they run."""
-        self.questions += 1
-        state = {"stage": "combined", "waiting": 0, "running": 0, "born": self.born}
+        self.state_requests += 1
+        state = {"stage": "combined", "waiting": 0, "running": 0, "born": self.start_time_ms}
         await exchange.answer(200, [], json.dumps(state).encode())
 
     async def _handle(self, exchange: Exchange) -> None:
         if exchange.target == "/report":
-            await self.tell_state(exchange)
+            await self.answer_state(exchange)
             return
         self.requests.append(exchange)
         try:
@@ -252,7 +252,7 @@
             raise
 
 
-def share_part(own: int, tokens: int) -> tuple[Header, ...]:
+def make_shared_prefix_headers(own: int, tokens: int) -> tuple[Header, ...]:
     """Give the headers of a request whose prompt has one part in common with others."""
     return (
         (b"X-Cloverway-Token-Usage", b"%d,30" % (6_000 + tokens)),
--- a/cloverway/tests/matrix/__main__.py
+++ b/cloverway/tests/matrix/__main__.py
@@ -13,7 +13,7 @@
 from cloverway.tests.matrix.runner import Outcome, run_cell
 from cloverway.tests.matrix.steps import STEPS
 from cloverway.tests.matrix.table import CELLS, KINDS, NOT_APPLICABLE, NOT_RUN_YET, Cell
-from cloverway.tests.matrix.testbed import Bench
+from cloverway.tests.matrix.testbed import FaultTestbed
 from cloverway.tests.standins.processes import ROOT
 
 PAGE = ROOT / "docs" / "fault-matrix.md"
@@ -41,7 +41,7 @@
     cells = [cell for cell in CELLS if all(word in cell.name for word in given.words)]
     cells = [cell for cell in cells if cell.quick or not given.quick]
     outcomes = run_all(cells * (2 if given.twice else 1))
-    failed = [cell for cell, outcome in outcomes if outcome.faults]
+    failed = [cell for cell, outcome in outcomes if outcome.violations]
     print(f"{len(outcomes)} cells run, {len(failed)} failed")
     if not (given.words or given.quick or given.no_page):
         PAGE.write_text("\n".join(render(outcomes)) + "\n")
@@ -50,30 +50,30 @@
 
 def run_all(cells: list[Cell]) -> list[tuple[Cell, Outcome]]:
     """Run cells one after the other on one fleet; a cell that breaks it gets a new one."""
-    bench = Bench.from_scratch()
+    testbed = FaultTestbed.start()
     outcomes = []
     try:
         for cell in cells:
             try:
-                bench.reset()
-                outcome = run_cell(bench, cell)
+                testbed.reset()
+                outcome = run_cell(testbed, cell)
             except Exception as error:
                 traceback.print_exc(limit=3)
-                outcome = Outcome("", 0, faults=(f"the cell could not be run: {error!r}",))
-                bench.close()
-                bench = Bench.from_scratch()
+                outcome = Outcome("", 0, violations=(f"the cell could not be run: {error!r}",))
+                testbed.close()
+                testbed = FaultTestbed.start()
             outcomes.append((cell, outcome))
             _print(cell, outcome)
     finally:
-        bench.close()
+        testbed.close()
     return outcomes
 
 
 def _print(cell: Cell, outcome: Outcome) -> None:
-    word = "FAILED" if outcome.faults else "ok"
+    word = "FAILED" if outcome.violations else "ok"
     print(f"{word:7}{outcome.answer_s:5.1f} s  {cell.name}: {outcome.told}, ran {outcome.runs}")
-    for fault in outcome.faults:
-        print(f"        {fault[:600]}")
+    for violation in outcome.violations:
+        print(f"        {violation[:600]}")
     sys.stdout.flush()
 
 
@@ -82,7 +82,7 @@
     by_pair = defaultdict(list)
     for cell, outcome in outcomes:
         by_pair[cell.kind, cell.step].append((cell, outcome))
-    failed = sum(bool(outcome.faults) for _, outcome in outcomes)
+    failed = sum(bool(outcome.violations) for _, outcome in outcomes)
     pairs = len(KINDS) * len(STEPS)
     lines = INTRODUCTION.format(hosts=4).splitlines()
     lines += [
@@ -107,7 +107,7 @@
 
 def _mark(by_pair: dict, kind: str, step: str) -> str:
     found = by_pair.get((kind, step), [])
-    if any(outcome.faults for _, outcome in found):
+    if any(outcome.violations for _, outcome in found):
         return "!"
     if found:
         return str(len(found))
@@ -131,7 +131,7 @@
     told = " or ".join(cell.told)
     where = cell.fault + (f" of {cell.subject}" if cell.subject else "")
     may = " or ".join(str(count) for count in cell.runs)
-    verdict = "holds" if not outcome.faults else "FAILED: " + outcome.faults[0][:200]
+    verdict = "holds" if not outcome.violations else "FAILED: " + outcome.violations[0][:200]
     repeats = ", ".join(label for label, _ in itertools.groupby(outcome.repeats))
     return (
         f"| {cell.step} | {where} | {told}, ran {may} | {outcome.told} | {outcome.runs} "
--- a/cloverway/tests/matrix/faults.py
+++ b/cloverway/tests/matrix/faults.py
@@ -11,171 +11,171 @@
 
 from cloverway.tests.matrix.testbed import (
     ENTRY,
-    FAR,
     HOME,
-    SECOND,
+    REMOTE,
+    SECOND_ENTRY,
     TOPOLOGY,
-    Bench,
     Call,
-    Flight,
+    FaultTestbed,
+    PendingCall,
 )
 from cloverway.tests.standins.topology import make_profiles, make_teams
 from cloverway.tests.standins.waiting import wait_until
 
-Apply = Callable[[Bench, Flight, str], None]
+InjectFault = Callable[[FaultTestbed, PendingCall, str], None]
 
 
-def find_subjects(bench: Bench, flight: Flight, subject: str) -> list[str]:
+def list_subjects(testbed: FaultTestbed, pending: PendingCall, subject: str) -> list[str]:
     """List the processes that a subject stands for."""
-    endpoints = bench.endpoints(flight.call)
-    others = [host for host in bench.fleet.hosts if host != ENTRY]
+    endpoints = testbed.endpoints(pending.call)
+    others = [host for host in testbed.fleet.hosts if host != ENTRY]
     return {
         "host": [ENTRY],
         "endpoint": endpoints,
         "one endpoint": endpoints[:1],
-        "far": bench.hosts(FAR),
+        "far": testbed.hosts(REMOTE),
         "peers": others,
-        "second": [SECOND],
+        "second": [SECOND_ENTRY],
     }[subject]
 
 
-def kill(bench: Bench, flight: Flight, subject: str) -> None:
-    for name in find_subjects(bench, flight, subject):
-        bench.kill(name, flight.mark)
+def kill(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
+    for name in list_subjects(testbed, pending, subject):
+        testbed.kill(name, pending.tag)
 
 
-def pause(bench: Bench, flight: Flight, subject: str) -> None:
+def pause(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Stop a process until the call's deadline has passed; the runner wakes it then."""
-    for name in find_subjects(bench, flight, subject):
-        bench.pause(name)
+    for name in list_subjects(testbed, pending, subject):
+        testbed.pause(name)
 
 
-def cut(bench: Bench, flight: Flight, subject: str) -> None:
+def cut(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Reset what is open and refuse what is new; between two hosts for these two only."""
     if "endpoint" in subject:
-        for name in find_subjects(bench, flight, subject):
-            bench.fleet.links[name].cut()
+        for name in list_subjects(testbed, pending, subject):
+            testbed.fleet.links[name].cut()
         return
     if subject == "host":
         subject = "peers"
-    for name in find_subjects(bench, flight, subject):
-        bench.fleet.cut([ENTRY], [name])
+    for name in list_subjects(testbed, pending, subject):
+        testbed.fleet.cut([ENTRY], [name])
 
 
-def drop_requests(bench: Bench, flight: Flight, subject: str) -> None:
+def drop_requests(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Drop all that the host sends; what comes back still arrives."""
     if subject == "host":
         subject = "peers"
-    bench.fleet.silence([ENTRY], find_subjects(bench, flight, subject), one_way=True)
+    testbed.fleet.blackhole([ENTRY], list_subjects(testbed, pending, subject), one_way=True)
 
 
-def drop_answers(bench: Bench, flight: Flight, subject: str) -> None:
+def drop_answers(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Drop all that comes back to the host; what it sends still arrives."""
     if subject == "host":
         subject = "peers"
-    bench.fleet.silence(find_subjects(bench, flight, subject), [ENTRY], one_way=True)
+    testbed.fleet.blackhole(list_subjects(testbed, pending, subject), [ENTRY], one_way=True)
 
 
-def silence_open(bench: Bench, flight: Flight, subject: str) -> None:
+def blackhole_open(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Have the open connections pass nothing for good, while new ones work."""
     if subject == "host":
         subject = "peers"
-    for name in find_subjects(bench, flight, subject):
-        bench.fleet.links[name].silence_open()
+    for name in list_subjects(testbed, pending, subject):
+        testbed.fleet.links[name].blackhole_open()
 
 
-def slow(bench: Bench, flight: Flight, subject: str) -> None:
+def slow(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     if subject == "host":
         subject = "peers"
-    for name in find_subjects(bench, flight, subject):
-        bench.fleet.links[name].slow(0.05)
+    for name in list_subjects(testbed, pending, subject):
+        testbed.fleet.links[name].slow(0.05)
 
 
-def stop_platform(bench: Bench, flight: Flight, subject: str) -> None:
-    bench.fleet.links["platform"].cut()
+def stop_platform(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
+    testbed.fleet.links["platform"].cut()
 
 
-def make_platform_stale(bench: Bench, flight: Flight, subject: str) -> None:
+def make_platform_stale(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Publish a change, and have the platform serve what was before it."""
-    bench.publish_deadline(4500)
-    revision = bench.fleet.revision
-    wait_until(lambda: bench.has_revision(revision), 5, "the change to be in force")
-    bench.fleet.remotes["platform"].post("/test/freeze", revision=revision - 1)
+    testbed.publish_deadline(4500)
+    revision = testbed.fleet.revision
+    wait_until(lambda: testbed.has_revision(revision), 5, "the change to be in force")
+    testbed.fleet.remotes["platform"].post("/test/freeze", revision=revision - 1)
 
 
-def list_wrongly(bench: Bench, flight: Flight, subject: str) -> None:
+def list_leaving_endpoint(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Have an endpoint leave while the platform's list calls it live."""
-    first = bench.endpoints(flight.call)[0]
-    bench.fleet.remotes["platform"].post("/test/list", endpoints={first: "live"})
-    bench.leave(first)
+    first = testbed.endpoints(pending.call)[0]
+    testbed.fleet.remotes["platform"].post("/test/list", endpoints={first: "live"})
+    testbed.mark_leaving(first)
 
 
-def answer_late(bench: Bench, flight: Flight, subject: str) -> None:
+def answer_late(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Have the answer come after the deadline; the runner lets it go then."""
 
 
-def answer_twice(bench: Bench, flight: Flight, subject: str) -> None:
-    bench.set_faults(bench.endpoints(flight.call), duplicate=True)
+def answer_twice(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
+    testbed.set_faults(testbed.endpoints(pending.call), duplicate=True)
 
 
-def settle_late(bench: Bench, flight: Flight, subject: str) -> None:
+def delay_settlement(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Have all that passes between the hosts of the region come late."""
-    for name in bench.hosts(HOME):
-        bench.fleet.links[name].slow(0.3)
+    for name in testbed.hosts(HOME):
+        testbed.fleet.links[name].slow(0.3)
 
 
-def fill_host(bench: Bench, flight: Flight, subject: str) -> None:
+def fill_host(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Hold the answers of a region's endpoints, and send calls until its hosts refuse them."""
-    region = FAR if subject == "far" else HOME
+    region = REMOTE if subject == "far" else HOME
     filler = Call("lookup", team=f"bound-{region}", deadline_ms=9000)
-    bench.set_faults(bench.endpoints(filler), hold=True)
-    for name in bench.hosts(region) if subject == "far" else [ENTRY]:
-        bench.fill(name, filler)
+    testbed.set_faults(testbed.endpoints(filler), hold=True)
+    for name in testbed.hosts(region) if subject == "far" else [ENTRY]:
+        testbed.fill_queue(name, filler)
 
 
-def race(bench: Bench, flight: Flight, subject: str) -> None:
+def publish_concurrently(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Have two operators publish the same document at once, and go on when it is in force."""
     values = (4200, 4700)
-    list(bench.pool.map(bench.publish_deadline, values))
-    wait_until(lambda: bench.has_revision(bench.platform_revision()), 5, "all to agree")
+    list(testbed.pool.map(testbed.publish_deadline, values))
+    wait_until(lambda: testbed.has_revision(testbed.platform_revision()), 5, "all to agree")
 
 
-def withdraw(bench: Bench, flight: Flight, subject: str) -> None:
+def withdraw_profile(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Take the profile away from the team while another operator changes the profile."""
-    team = make_teams(TOPOLOGY)[flight.call.team]
-    fewer = {**team, "profiles": [name for name in make_profiles() if name != flight.call.profile]}
-    bench.fleet.publish({"teams": {flight.call.team: fewer}})
-    bench.publish_deadline(4300)
-    wait_until(lambda: bench.has_revision(bench.fleet.revision), 5, "all to agree")
+    team = make_teams(TOPOLOGY)[pending.call.team]
+    fewer = {**team, "profiles": [name for name in make_profiles() if name != pending.call.profile]}
+    testbed.fleet.publish({"teams": {pending.call.team: fewer}})
+    testbed.publish_deadline(4300)
+    wait_until(lambda: testbed.has_revision(testbed.fleet.revision), 5, "all to agree")
 
 
-def bind_elsewhere(bench: Bench, flight: Flight, subject: str) -> None:
+def restrict_to_other_region(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Restrict the profile to the other region."""
-    region = FAR if flight.call.region == HOME else HOME
-    bench.fleet.publish({"profiles": {flight.call.profile: {"regions": [region]}}})
-    wait_until(lambda: bench.has_revision(bench.fleet.revision), 5, "all to agree")
+    region = REMOTE if pending.call.region == HOME else HOME
+    testbed.fleet.publish({"profiles": {pending.call.profile: {"regions": [region]}}})
+    wait_until(lambda: testbed.has_revision(testbed.fleet.revision), 5, "all to agree")
 
 
-FAULTS: dict[str, Apply] = {
+FAULTS: dict[str, InjectFault] = {
     "kill": kill,
     "pause and wake": pause,
     "link cut": cut,
     "one-way cut: requests lost": drop_requests,
     "one-way cut: answers lost": drop_answers,
-    "silent connection": silence_open,
+    "silent connection": blackhole_open,
     "slow link": slow,
     "platform down": stop_platform,
     "platform stale": make_platform_stale,
-    "list lagging": list_wrongly,
+    "list lagging": list_leaving_endpoint,
     "late answer": answer_late,
     "duplicate answer": answer_twice,
-    "late settlement": settle_late,
+    "late settlement": delay_settlement,
     "memory limit: host full": fill_host,
-    "memory limit": lambda bench, flight, subject: None,
-    "operator race": race,
-    "operator race: team withdrawn": withdraw,
-    "operator race: region withdrawn": bind_elsewhere,
+    "memory limit": lambda testbed, pending, subject: None,
+    "operator race": publish_concurrently,
+    "operator race: team withdrawn": withdraw_profile,
+    "operator race: region withdrawn": restrict_to_other_region,
 }
 
-LASTING = {"pause and wake", "late answer"}
+ENDED_AFTER_DEADLINE = {"pause and wake", "late answer"}
 """Faults that the runner ends when the call's deadline has passed."""
--- a/cloverway/tests/matrix/table.py
+++ b/cloverway/tests/matrix/table.py
@@ -22,12 +22,12 @@
     "memory limit",
     "operator race",
 )
-WHOLE = ("whole",)
+COMPLETE = ("whole",)
 BROKEN = ("broken",)
 NOT_RUN = ("*/no",)
 UNKNOWN = ("*/unknown",)
 NEVER, ONCE, MAYBE = (0,), (1,), (0, 1)
-SHORT_MS = 1200
+SHORT_DEADLINE_MS = 1200
 
 
 class Cell(NamedTuple):
@@ -52,7 +52,7 @@
         return f"{self.kind}{what}{where} at {self.step}"
 
 
-def _cell(
+def _make_cell(
     kind: str,
     step: str,
     subject: str,
@@ -69,121 +69,168 @@
 
 
 KILL = [
-    _cell("kill", "lookup", "host", WHOLE, ONCE, quick=True),
-    _cell("kill", "admit", "host", BROKEN, NEVER),
-    _cell("kill", "queue", "host", BROKEN, NEVER),
-    _cell("kill", "queue", "one endpoint", WHOLE, ONCE),
-    _cell("kill", "choose", "one endpoint", WHOLE, ONCE, quick=True),
-    _cell("kill", "connect", "endpoint", NOT_RUN, NEVER, quick=True),
-    _cell("kill", "send", "endpoint", UNKNOWN, NEVER),
-    _cell("kill", "send", "host", BROKEN, MAYBE),
-    _cell("kill", "first byte", "endpoint", UNKNOWN, ONCE, quick=True),
-    _cell("kill", "first byte", "host", BROKEN, ONCE),
-    _cell("kill", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
-    _cell("kill", "mid-stream", "host", BROKEN, ONCE),
-    _cell("kill", "end", "endpoint", BROKEN, ONCE),
-    _cell("kill", "end", "host", BROKEN, ONCE),
-    _cell("kill", "passing on", "far", UNKNOWN, ONCE),
-    _cell("kill", "passing on", "host", BROKEN, ONCE),
-    _cell("kill", "recording", "host", UNKNOWN, ONCE, quick=True),
+    _make_cell("kill", "lookup", "host", COMPLETE, ONCE, quick=True),
+    _make_cell("kill", "admit", "host", BROKEN, NEVER),
+    _make_cell("kill", "queue", "host", BROKEN, NEVER),
+    _make_cell("kill", "queue", "one endpoint", COMPLETE, ONCE),
+    _make_cell("kill", "choose", "one endpoint", COMPLETE, ONCE, quick=True),
+    _make_cell("kill", "connect", "endpoint", NOT_RUN, NEVER, quick=True),
+    _make_cell("kill", "send", "endpoint", UNKNOWN, NEVER),
+    _make_cell("kill", "send", "host", BROKEN, MAYBE),
+    _make_cell("kill", "first byte", "endpoint", UNKNOWN, ONCE, quick=True),
+    _make_cell("kill", "first byte", "host", BROKEN, ONCE),
+    _make_cell("kill", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
+    _make_cell("kill", "mid-stream", "host", BROKEN, ONCE),
+    _make_cell("kill", "end", "endpoint", BROKEN, ONCE),
+    _make_cell("kill", "end", "host", BROKEN, ONCE),
+    _make_cell("kill", "passing on", "far", UNKNOWN, ONCE),
+    _make_cell("kill", "passing on", "host", BROKEN, ONCE),
+    _make_cell("kill", "recording", "host", UNKNOWN, ONCE, quick=True),
 ]
 
 PAUSE = [
-    _cell("pause and wake", "lookup", "host", WHOLE, ONCE),
-    _cell("pause and wake", "admit", "host", NOT_RUN, NEVER, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "queue", "host", NOT_RUN, NEVER, deadline_ms=2500, quick=True),
-    _cell(
+    _make_cell("pause and wake", "lookup", "host", COMPLETE, ONCE),
+    _make_cell("pause and wake", "admit", "host", NOT_RUN, NEVER, deadline_ms=SHORT_DEADLINE_MS),
+    _make_cell("pause and wake", "queue", "host", NOT_RUN, NEVER, deadline_ms=2500, quick=True),
+    _make_cell(
         "pause and wake",
         "choose",
         "one endpoint",
-        (*WHOLE, *UNKNOWN),
+        (*COMPLETE, *UNKNOWN),
         MAYBE,
-        deadline_ms=SHORT_MS,
+        deadline_ms=SHORT_DEADLINE_MS,
     ),
-    _cell("pause and wake", "connect", "endpoint", UNKNOWN, MAYBE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "send", "endpoint", UNKNOWN, MAYBE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "send", "host", (*UNKNOWN, *WHOLE), MAYBE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "first byte", "endpoint", UNKNOWN, ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "first byte", "host", (*UNKNOWN, *WHOLE), ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "mid-stream", "endpoint", BROKEN, ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "mid-stream", "host", (*BROKEN, *WHOLE), ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "end", "endpoint", BROKEN, ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "end", "host", (*BROKEN, *WHOLE), ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "passing on", "far", UNKNOWN, ONCE, deadline_ms=SHORT_MS),
-    _cell("pause and wake", "recording", "host", UNKNOWN, ONCE, deadline_ms=SHORT_MS),
+    _make_cell(
+        "pause and wake", "connect", "endpoint", UNKNOWN, MAYBE, deadline_ms=SHORT_DEADLINE_MS
+    ),
+    _make_cell("pause and wake", "send", "endpoint", UNKNOWN, MAYBE, deadline_ms=SHORT_DEADLINE_MS),
+    _make_cell(
+        "pause and wake",
+        "send",
+        "host",
+        (*UNKNOWN, *COMPLETE),
+        MAYBE,
+        deadline_ms=SHORT_DEADLINE_MS,
+    ),
+    _make_cell(
+        "pause and wake", "first byte", "endpoint", UNKNOWN, ONCE, deadline_ms=SHORT_DEADLINE_MS
+    ),
+    _make_cell(
+        "pause and wake",
+        "first byte",
+        "host",
+        (*UNKNOWN, *COMPLETE),
+        ONCE,
+        deadline_ms=SHORT_DEADLINE_MS,
+    ),
+    _make_cell(
+        "pause and wake", "mid-stream", "endpoint", BROKEN, ONCE, deadline_ms=SHORT_DEADLINE_MS
+    ),
+    _make_cell(
+        "pause and wake",
+        "mid-stream",
+        "host",
+        (*BROKEN, *COMPLETE),
+        ONCE,
+        deadline_ms=SHORT_DEADLINE_MS,
+    ),
+    _make_cell("pause and wake", "end", "endpoint", BROKEN, ONCE, deadline_ms=SHORT_DEADLINE_MS),
+    _make_cell(
+        "pause and wake", "end", "host", (*BROKEN, *COMPLETE), ONCE, deadline_ms=SHORT_DEADLINE_MS
+    ),
+    _make_cell("pause and wake", "passing on", "far", UNKNOWN, ONCE, deadline_ms=SHORT_DEADLINE_MS),
+    _make_cell("pause and wake", "recording", "host", UNKNOWN, ONCE, deadline_ms=SHORT_DEADLINE_MS),
 ]
 
 CUT = [
-    _cell("link cut", "lookup", "host", WHOLE, ONCE),
-    _cell("link cut", "admit", "host", WHOLE, ONCE),
-    _cell("link cut", "admit", "endpoint", NOT_RUN, NEVER),
-    _cell("link cut", "queue", "endpoint", NOT_RUN, NEVER),
-    _cell("link cut", "choose", "one endpoint", WHOLE, ONCE, quick=True),
-    _cell("link cut", "connect", "endpoint", NOT_RUN, NEVER),
-    _cell("link cut", "send", "endpoint", UNKNOWN, NEVER),
-    _cell("link cut", "first byte", "endpoint", UNKNOWN, ONCE),
-    _cell("link cut", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
-    _cell("link cut", "end", "endpoint", BROKEN, ONCE),
-    _cell("link cut", "passing on", "far", UNKNOWN, ONCE, quick=True),
-    _cell("link cut", "recording", "second", UNKNOWN, ONCE),
+    _make_cell("link cut", "lookup", "host", COMPLETE, ONCE),
+    _make_cell("link cut", "admit", "host", COMPLETE, ONCE),
+    _make_cell("link cut", "admit", "endpoint", NOT_RUN, NEVER),
+    _make_cell("link cut", "queue", "endpoint", NOT_RUN, NEVER),
+    _make_cell("link cut", "choose", "one endpoint", COMPLETE, ONCE, quick=True),
+    _make_cell("link cut", "connect", "endpoint", NOT_RUN, NEVER),
+    _make_cell("link cut", "send", "endpoint", UNKNOWN, NEVER),
+    _make_cell("link cut", "first byte", "endpoint", UNKNOWN, ONCE),
+    _make_cell("link cut", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
+    _make_cell("link cut", "end", "endpoint", BROKEN, ONCE),
+    _make_cell("link cut", "passing on", "far", UNKNOWN, ONCE, quick=True),
+    _make_cell("link cut", "recording", "second", UNKNOWN, ONCE),
 ]
 
-REQUESTS, ANSWERS = "one-way cut: requests lost", "one-way cut: answers lost"
+REQUESTS_LOST, ANSWERS_LOST = "one-way cut: requests lost", "one-way cut: answers lost"
 ONE_WAY = [
-    _cell("one-way cut", "lookup", "host", WHOLE, ONCE, fault=REQUESTS),
-    _cell("one-way cut", "admit", "host", WHOLE, ONCE, fault=REQUESTS),
-    _cell("one-way cut", "queue", "host", WHOLE, ONCE, fault=ANSWERS),
-    _cell("one-way cut", "choose", "endpoint", UNKNOWN, NEVER, fault=REQUESTS, deadline_ms=1200),
-    _cell("one-way cut", "connect", "endpoint", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
-    _cell("one-way cut", "send", "endpoint", UNKNOWN, NEVER, fault=REQUESTS, deadline_ms=1200),
-    _cell("one-way cut", "first byte", "endpoint", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
-    _cell("one-way cut", "mid-stream", "endpoint", BROKEN, ONCE, fault=ANSWERS, quick=True),
-    _cell("one-way cut", "end", "endpoint", BROKEN, ONCE, fault=ANSWERS),
-    _cell("one-way cut", "passing on", "far", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
-    _cell("one-way cut", "recording", "second", UNKNOWN, ONCE, fault=ANSWERS, deadline_ms=1200),
+    _make_cell("one-way cut", "lookup", "host", COMPLETE, ONCE, fault=REQUESTS_LOST),
+    _make_cell("one-way cut", "admit", "host", COMPLETE, ONCE, fault=REQUESTS_LOST),
+    _make_cell("one-way cut", "queue", "host", COMPLETE, ONCE, fault=ANSWERS_LOST),
+    _make_cell(
+        "one-way cut", "choose", "endpoint", UNKNOWN, NEVER, fault=REQUESTS_LOST, deadline_ms=1200
+    ),
+    _make_cell(
+        "one-way cut", "connect", "endpoint", UNKNOWN, ONCE, fault=ANSWERS_LOST, deadline_ms=1200
+    ),
+    _make_cell(
+        "one-way cut", "send", "endpoint", UNKNOWN, NEVER, fault=REQUESTS_LOST, deadline_ms=1200
+    ),
+    _make_cell(
+        "one-way cut", "first byte", "endpoint", UNKNOWN, ONCE, fault=ANSWERS_LOST, deadline_ms=1200
+    ),
+    _make_cell(
+        "one-way cut", "mid-stream", "endpoint", BROKEN, ONCE, fault=ANSWERS_LOST, quick=True
+    ),
+    _make_cell("one-way cut", "end", "endpoint", BROKEN, ONCE, fault=ANSWERS_LOST),
+    _make_cell(
+        "one-way cut", "passing on", "far", UNKNOWN, ONCE, fault=ANSWERS_LOST, deadline_ms=1200
+    ),
+    _make_cell(
+        "one-way cut", "recording", "second", UNKNOWN, ONCE, fault=ANSWERS_LOST, deadline_ms=1200
+    ),
 ]
 
 SILENT = [
-    _cell("silent connection", "lookup", "host", WHOLE, ONCE),
-    _cell("silent connection", "admit", "endpoint", WHOLE, ONCE),
-    _cell("silent connection", "queue", "endpoint", WHOLE, ONCE),
-    _cell("silent connection", "choose", "endpoint", WHOLE, ONCE, quick=True),
-    _cell("silent connection", "connect", "endpoint", WHOLE, (1, 2), profile="lookup"),
-    _cell("silent connection", "send", "endpoint", UNKNOWN, NEVER, deadline_ms=1200),
-    _cell("silent connection", "first byte", "endpoint", UNKNOWN, ONCE, deadline_ms=1200),
-    _cell("silent connection", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
-    _cell("silent connection", "end", "endpoint", BROKEN, ONCE),
-    _cell("silent connection", "passing on", "far", UNKNOWN, ONCE, deadline_ms=1500),
-    _cell("silent connection", "recording", "host", WHOLE, ONCE),
+    _make_cell("silent connection", "lookup", "host", COMPLETE, ONCE),
+    _make_cell("silent connection", "admit", "endpoint", COMPLETE, ONCE),
+    _make_cell("silent connection", "queue", "endpoint", COMPLETE, ONCE),
+    _make_cell("silent connection", "choose", "endpoint", COMPLETE, ONCE, quick=True),
+    _make_cell("silent connection", "connect", "endpoint", COMPLETE, (1, 2), profile="lookup"),
+    _make_cell("silent connection", "send", "endpoint", UNKNOWN, NEVER, deadline_ms=1200),
+    _make_cell("silent connection", "first byte", "endpoint", UNKNOWN, ONCE, deadline_ms=1200),
+    _make_cell("silent connection", "mid-stream", "endpoint", BROKEN, ONCE, quick=True),
+    _make_cell("silent connection", "end", "endpoint", BROKEN, ONCE),
+    _make_cell("silent connection", "passing on", "far", UNKNOWN, ONCE, deadline_ms=1500),
+    _make_cell("silent connection", "recording", "host", COMPLETE, ONCE),
 ]
 
 
-def _spread(
-    kind: str, subject: str, but: tuple[str, ...] = (), fault: str = "", quick: tuple[str, ...] = ()
+def _make_harmless_cells(
+    kind: str,
+    subject: str,
+    excluded: tuple[str, ...] = (),
+    fault: str = "",
+    quick: tuple[str, ...] = (),
 ) -> list[Cell]:
     """Make a cell at each step for a fault that must change nothing for a caller."""
     return [
-        _cell(kind, step, subject, WHOLE, ONCE, fault=fault, quick=step in quick)
+        _make_cell(kind, step, subject, COMPLETE, ONCE, fault=fault, quick=step in quick)
         for step in STEPS
-        if step not in but
+        if step not in excluded
     ]
 
 
 SLOW = [
-    *_spread("slow link", "endpoint", ("lookup", "passing on", "recording")),
-    _cell("slow link", "lookup", "host", WHOLE, ONCE),
-    _cell("slow link", "passing on", "far", WHOLE, ONCE),
-    _cell("slow link", "recording", "host", WHOLE, ONCE),
+    *_make_harmless_cells("slow link", "endpoint", ("lookup", "passing on", "recording")),
+    _make_cell("slow link", "lookup", "host", COMPLETE, ONCE),
+    _make_cell("slow link", "passing on", "far", COMPLETE, ONCE),
+    _make_cell("slow link", "recording", "host", COMPLETE, ONCE),
 ]
 
 OUTSIDE = [
-    *_spread("platform down", "", quick=("passing on",)),
-    *_spread("platform stale", "", quick=("choose",)),
-    *_spread("list lagging", ""),
+    *_make_harmless_cells("platform down", "", quick=("passing on",)),
+    *_make_harmless_cells("platform stale", "", quick=("choose",)),
+    *_make_harmless_cells("list lagging", ""),
 ]
 
 LATE = [
-    _cell(
+    _make_cell(
         "late or duplicate answer",
         "first byte",
         "",
@@ -194,49 +241,62 @@
         quick=True,
     ),
     *(
-        _cell("late or duplicate answer", step, "", told, ONCE, fault=fault, **short)
+        _make_cell("late or duplicate answer", step, "", told, ONCE, fault=fault, **short)
         for step, told, fault, short in (
-            ("first byte", WHOLE, "duplicate answer", {}),
+            ("first byte", COMPLETE, "duplicate answer", {}),
             ("mid-stream", BROKEN, "late answer", {"deadline_ms": 1200}),
-            ("mid-stream", WHOLE, "duplicate answer", {}),
+            ("mid-stream", COMPLETE, "duplicate answer", {}),
             ("end", BROKEN, "late answer", {"deadline_ms": 1200}),
-            ("end", WHOLE, "duplicate answer", {}),
+            ("end", COMPLETE, "duplicate answer", {}),
             ("passing on", UNKNOWN, "late answer", {"deadline_ms": 1200}),
-            ("passing on", WHOLE, "duplicate answer", {}),
-            ("recording", WHOLE, "late settlement", {}),
+            ("passing on", COMPLETE, "duplicate answer", {}),
+            ("recording", COMPLETE, "late settlement", {}),
         )
     ),
 ]
 
-FULL = "memory limit: host full"
-LATEST = Call("lookup", deadline_ms=5000)
+HOST_FULL = "memory limit: host full"
+LONG_DEADLINE_CALL = Call("lookup", deadline_ms=5000)
 """A call with an earlier deadline would take the place of one that waits."""
 MEMORY = [
-    _cell("memory limit", "lookup", "", WHOLE, ONCE, fault=FULL, team="bound-cu"),
-    _cell(
+    _make_cell("memory limit", "lookup", "", COMPLETE, ONCE, fault=HOST_FULL, team="bound-cu"),
+    _make_cell(
         "memory limit",
         "admit",
         "",
         ("too_large/no",),
         NEVER,
-        size=600_000,
+        body_size=600_000,
         profile="lookup",
         quick=True,
     ),
-    _cell("memory limit", "choose", "", NOT_RUN, NEVER, fault=FULL, call=LATEST, quick=True),
-    _cell("memory limit", "passing on", "far", (*WHOLE, *NOT_RUN), MAYBE, fault=FULL),
-    _cell("memory limit", "recording", "", ("answer_gone/yes",), ONCE, size=100_000),
+    _make_cell(
+        "memory limit",
+        "choose",
+        "",
+        NOT_RUN,
+        NEVER,
+        fault=HOST_FULL,
+        call=LONG_DEADLINE_CALL,
+        quick=True,
+    ),
+    _make_cell("memory limit", "passing on", "far", (*COMPLETE, *NOT_RUN), MAYBE, fault=HOST_FULL),
+    _make_cell("memory limit", "recording", "", ("answer_gone/yes",), ONCE, body_size=100_000),
 ]
 
-WITHDRAWN = "operator race: team withdrawn"
-MOVED = "operator race: region withdrawn"
+TEAM_WITHDRAWN = "operator race: team withdrawn"
+REGION_WITHDRAWN = "operator race: region withdrawn"
 RACE = [
-    *_spread("operator race", "", quick=("mid-stream",)),
-    _cell("operator race", "admit", "", (*WHOLE, "forbidden/no"), MAYBE, fault=WITHDRAWN),
-    _cell("operator race", "queue", "", ("residency/no",), NEVER, fault=MOVED, quick=True),
-    _cell("operator race", "choose", "", ("residency/no",), NEVER, fault=MOVED),
-    _cell("operator race", "first byte", "", WHOLE, ONCE, fault=MOVED),
-    _cell("operator race", "passing on", "", WHOLE, ONCE, fault=MOVED),
+    *_make_harmless_cells("operator race", "", quick=("mid-stream",)),
+    _make_cell(
+        "operator race", "admit", "", (*COMPLETE, "forbidden/no"), MAYBE, fault=TEAM_WITHDRAWN
+    ),
+    _make_cell(
+        "operator race", "queue", "", ("residency/no",), NEVER, fault=REGION_WITHDRAWN, quick=True
+    ),
+    _make_cell("operator race", "choose", "", ("residency/no",), NEVER, fault=REGION_WITHDRAWN),
+    _make_cell("operator race", "first byte", "", COMPLETE, ONCE, fault=REGION_WITHDRAWN),
+    _make_cell("operator race", "passing on", "", COMPLETE, ONCE, fault=REGION_WITHDRAWN),
 ]
 
 CELLS = [*KILL, *PAUSE, *CUT, *ONE_WAY, *SILENT, *SLOW, *OUTSIDE, *LATE, *MEMORY, *RACE]
@@ -258,7 +318,7 @@
 }
 
 
-def find_gaps() -> list[tuple[str, str]]:
+def list_missing_pairs() -> list[tuple[str, str]]:
     """List the pairs of fault and step that the table says nothing of."""
     told = {(cell.kind, cell.step) for cell in CELLS} | set(NOT_APPLICABLE) | set(NOT_RUN_YET)
     return [pair for pair in itertools.product(KINDS, STEPS) if pair not in told]
--- a/cloverway/tests/soak.py
+++ b/cloverway/tests/soak.py
@@ -21,17 +21,17 @@
 
 CALLERS = 8
 WEIGHTS = (5, 2, 3)
-WARM_S = 1.0
-FAULT_S = (0.3, 2.5)
-CALM_S = (0.1, 0.8)
-SETTLE_S = 12.0
+WARM_UP_S = 1.0
+FAULT_DURATION_S = (0.3, 2.5)
+FAULT_INTERVAL_S = (0.1, 0.8)
+RECOVERY_S = 12.0
 TEAMS = ("open", "bound-pl", "bound-cu", "bound-ro")
 
 
-class Entry(NamedTuple):
+class CallRecord(NamedTuple):
     """One attempt of one piece of work, and what its caller saw."""
 
-    work: str
+    work_id: str
     kind: str
     team: str
     host: str
@@ -44,62 +44,62 @@
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet = fleet
         self.seed = seed
-        self.histories: list[list[Entry]] = []
+        self.histories: list[list[CallRecord]] = []
         self.faults: Counter[str] = Counter()
-        self.ending = threading.Event()
-        self.calm = threading.Event()
+        self.stopping = threading.Event()
+        self.timer = threading.Event()
 
     def run(self, seconds: float) -> list[str]:
         """Run for some seconds and give what was violated."""
         threads = [self._start_caller(number) for number in range(CALLERS)]
-        self.calm.wait(WARM_S)
+        self.timer.wait(WARM_UP_S)
         self._make_faults(time.monotonic() + seconds, Random(self.seed))
-        self.ending.set()
+        self.stopping.set()
         for thread in threads:
             thread.join(60.0)
         assert not any(thread.is_alive() for thread in threads), "a caller was never answered"
         return list(self._find_violations())
 
     def _start_caller(self, number: int) -> threading.Thread:
-        history: list[Entry] = []
+        history: list[CallRecord] = []
         self.histories.append(history)
         random = Random(f"{self.seed}/{number}")
         thread = threading.Thread(target=self._call, args=(number, history, random), daemon=True)
         thread.start()
         return thread
 
-    def _call(self, number: int, history: list[Entry], random: Random) -> None:
+    def _call(self, number: int, history: list[CallRecord], random: Random) -> None:
         hosts = list(self.fleet.hosts)
         callers = {
             (host, team): Caller(self.fleet.url(host), team) for host in hosts for team in TEAMS
         }
         operations = (self._look_up, self._chat, self._allocate)
         turn = 0
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             turn += 1
-            work, team = f"w-{number}-{turn}", random.choice(TEAMS)
+            work_id, team = f"w-{number}-{turn}", random.choice(TEAMS)
             operation = random.choices(operations, WEIGHTS)[0]
             order = random.sample(hosts, len(hosts))
-            history += operation(work, team, order, callers, random)
+            history += operation(work_id, team, order, callers, random)
 
-    def _look_up(self, work, team, order, callers, random) -> Iterator[Entry]:
-        result = callers[order[0], team].serve(work, profile="lookup")
-        yield Entry(work, "lookup", team, order[0], result)
+    def _look_up(self, work_id, team, order, callers, random) -> Iterator[CallRecord]:
+        result = callers[order[0], team].call_service(work_id, profile="lookup")
+        yield CallRecord(work_id, "lookup", team, order[0], result)
 
-    def _chat(self, work, team, order, callers, random) -> Iterator[Entry]:
+    def _chat(self, work_id, team, order, callers, random) -> Iterator[CallRecord]:
         stream = random.random() < 0.7
-        result = callers[order[0], team].chat(work, tokens=random.randint(1, 30), stream=stream)
-        yield Entry(work, "chat", team, order[0], result)
+        result = callers[order[0], team].chat(work_id, tokens=random.randint(1, 30), stream=stream)
+        yield CallRecord(work_id, "chat", team, order[0], result)
 
-    def _allocate(self, work, team, order, callers, random) -> Iterator[Entry]:
+    def _allocate(self, work_id, team, order, callers, random) -> Iterator[CallRecord]:
         """Send one allocation one to three times, at one host or at several."""
         issued = callers[order[0], team].request("POST", "/v1/idempotency-keys", json={})
         if issued.status not in (200, 201) or issued.error:
             return
         key = issued.body.decode().partition('"key": "')[2].partition('"')[0]
         for host in random.choices(order[:3], k=random.randint(1, 3)):
-            result = callers[host, team].serve(work, profile="allocate", key=key)
-            yield Entry(work, "allocate", team, host, result)
+            result = callers[host, team].call_service(work_id, profile="allocate", key=key)
+            yield CallRecord(work_id, "allocate", team, host, result)
 
     def _make_faults(self, until: float, random: Random) -> None:
         faults = (
@@ -110,9 +110,9 @@
             fault = random.choice(faults)
             self.faults[fault.__name__.lstrip("_")] += 1
             undo = fault(random)
-            self.calm.wait(random.uniform(*FAULT_S))
+            self.timer.wait(random.uniform(*FAULT_DURATION_S))
             undo()
-            self.calm.wait(random.uniform(*CALM_S))
+            self.timer.wait(random.uniform(*FAULT_INTERVAL_S))
 
     def _choose_host(self, random: Random) -> str:
         return random.choice(list(self.fleet.hosts))
@@ -125,7 +125,7 @@
     def _pause(self, random: Random) -> Callable[[], None]:
         host = self._choose_host(random)
         self.fleet.pause(host)
-        return lambda: self.fleet.wake(host)
+        return lambda: self.fleet.resume(host)
 
     def _replace(self, random: Random) -> Callable[[], None]:
         """Stop a host as planned, and start a new one at its address."""
@@ -149,16 +149,16 @@
         """Keep connections to the hosts of a region open, but pass nothing, or nothing one way."""
         directions = random.choice([(), (TO_TARGET,), (TO_CALLER,)])
         for link in self._find_links(random):
-            link.silence(*directions)
+            link.blackhole(*directions)
         return self.fleet.heal
 
     def _find_links(self, random: Random) -> list[Link]:
-        alone = random.choice(self.fleet.topology.regions)
-        return [self.fleet.links[host] for host in self.fleet.hosts if region_of(host) == alone]
+        isolated = random.choice(self.fleet.topology.regions)
+        return [self.fleet.links[host] for host in self.fleet.hosts if region_of(host) == isolated]
 
     def _break_endpoint(self, random: Random) -> Callable[[], None]:
         topology = self.fleet.topology
-        name = random.choice([*topology.names("engines"), *topology.names("services")])
+        name = random.choice([*topology.list_names("engines"), *topology.list_names("services")])
         switches = random.choice(
             [
                 *({"refuse": True}, {"error": 500}, {"silent": True}, {"cut_after": 3}),
@@ -171,7 +171,7 @@
 
     def _drain_endpoint(self, random: Random) -> Callable[[], None]:
         """Let a service leave, and come back as a new incarnation."""
-        name = random.choice(self.fleet.topology.names("services"))
+        name = random.choice(self.fleet.topology.list_names("services"))
         self.fleet.remotes[name].set_state(leaving=True)
 
         def come_back() -> None:
@@ -181,55 +181,55 @@
 
     def _lose_platform(self, random: Random) -> Callable[[], None]:
         self.fleet.pause("platform")
-        return lambda: self.fleet.wake("platform")
+        return lambda: self.fleet.resume("platform")
 
     def _find_violations(self) -> Iterator[str]:
         entries = [entry for history in self.histories for entry in history]
-        runs, places = self._count_runs()
-        attempts: dict[str, list[Entry]] = defaultdict(list)
+        runs, regions = self._count_runs()
+        attempts: dict[str, list[CallRecord]] = defaultdict(list)
         for entry in entries:
-            attempts[entry.work].append(entry)
+            attempts[entry.work_id].append(entry)
             result = entry.result
-            if result.status == 200 and not result.error and not result.whole:
+            if result.status == 200 and not result.error and not result.complete:
                 yield f"{entry}: a part or another's answer was given as whole"
             if result.status not in (200, 0) and not result.problem and not result.error:
                 yield f"{entry}: no problem document"
-        for work, tries in attempts.items():
-            yield from self._check_work(work, tries, runs[work], places[work])
+        for work_id, tries in attempts.items():
+            yield from self._check_work(work_id, tries, runs[work_id], regions[work_id])
 
-    def _check_work(self, work: str, tries: list[Entry], runs: int, places: set[str]):
+    def _check_work(self, work_id: str, tries: list[CallRecord], runs: int, regions: set[str]):
         first = tries[0]
         if first.kind == "allocate" and runs > 1:
-            yield f"{work}: ran {runs} times: {tries}"
+            yield f"{work_id}: ran {runs} times: {tries}"
         if runs and all(entry.result.ran == "no" for entry in tries):
-            yield f"{work}: ran though each caller was told it did not: {tries}"
-        if not runs and any(entry.result.whole for entry in tries):
-            yield f"{work}: answered though it never ran: {tries}"
-        if first.team.startswith("bound-") and places - {first.team.removeprefix("bound-")}:
-            yield f"{work}: data of {first.team} was served in {places}"
-        bodies = {entry.result.body for entry in tries if entry.result.whole}
+            yield f"{work_id}: ran though each caller was told it did not: {tries}"
+        if not runs and any(entry.result.complete for entry in tries):
+            yield f"{work_id}: answered though it never ran: {tries}"
+        if first.team.startswith("bound-") and regions - {first.team.removeprefix("bound-")}:
+            yield f"{work_id}: data of {first.team} was served in {regions}"
+        bodies = {entry.result.body for entry in tries if entry.result.complete}
         if first.kind == "allocate" and len(bodies) > 1:
-            yield f"{work}: two answers to one allocation: {bodies}"
+            yield f"{work_id}: two answers to one allocation: {bodies}"
 
     def _count_runs(self) -> tuple[Counter[str], dict[str, set[str]]]:
         runs: Counter[str] = Counter()
-        places: dict[str, set[str]] = defaultdict(set)
+        regions: dict[str, set[str]] = defaultdict(set)
         topology = self.fleet.topology
-        for name in [*topology.names("engines"), *topology.names("services")]:
+        for name in [*topology.list_names("engines"), *topology.list_names("services")]:
             counts = self.fleet.remotes[name].counts()
-            for work, count in counts.get("bodies", counts.get("users", {})).items():
-                runs[work] += count
-                places[work].add(region_of(domain_of(name)))
-        return runs, places
+            for work_id, count in counts.get("bodies", counts.get("users", {})).items():
+                runs[work_id] += count
+                regions[work_id].add(region_of(domain_of(name)))
+        return runs, regions
 
 
 def check_recovered(fleet: Fleet) -> list[str]:
     """Give the hosts that serve nobody some time after the last fault."""
-    left = set(fleet.hosts)
-    give_up_at = time.monotonic() + SETTLE_S
-    while left and time.monotonic() < give_up_at:
-        left = {host for host in left if not Caller(fleet.url(host)).chat("after").whole}
-    return [f"{host}: serves nobody after the faults" for host in sorted(left)]
+    unserved = set(fleet.hosts)
+    give_up_at = time.monotonic() + RECOVERY_S
+    while unserved and time.monotonic() < give_up_at:
+        unserved = {host for host in unserved if not Caller(fleet.url(host)).chat("after").complete}
+    return [f"{host}: serves nobody after the faults" for host in sorted(unserved)]
 
 
 def main(seconds: float, seed: int) -> int:
@@ -238,7 +238,7 @@
         violations = soak.run(seconds) + check_recovered(fleet)
     entries = [entry for history in soak.histories for entry in history]
     outcomes = Counter(
-        (entry.kind, entry.result.kind or ("whole" if entry.result.whole else "no whole answer"))
+        (entry.kind, entry.result.kind or ("whole" if entry.result.complete else "no whole answer"))
         for entry in entries
     )
     print(f"seed {seed}: {len(entries)} requests, {sum(soak.faults.values())} faults")
--- a/cloverway/tests/standins/base.py
+++ b/cloverway/tests/standins/base.py
@@ -15,7 +15,7 @@
 from cloverway.tests.standins.waiting import end_tasks
 
 REASONS = {200: "OK", 404: "Not Found", 409: "Conflict", 429: "Too Many Requests"}
-HEAD_LIMIT = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class Request:
@@ -37,7 +37,7 @@
             return {}
 
 
-class Channel(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection: parses requests, one after the other, and writes the answers."""
 
     def __init__(self, server: Server) -> None:
@@ -52,12 +52,12 @@
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        self._server.channels.add(self)
+        self._server.open_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.gone.set()
         self._writable.set()
-        self._server.channels.discard(self)
+        self._server.open_connections.discard(self)
 
     def pause_writing(self) -> None:
         self._writable.clear()
@@ -67,9 +67,9 @@
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        self._next()
+        self._serve_next()
 
-    def _next(self) -> None:
+    def _serve_next(self) -> None:
         if self._task is not None or self.gone.is_set():
             return
         request = self._parse()
@@ -81,7 +81,7 @@
     def _parse(self) -> Request | None:
         end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._buffer) > HEAD_LIMIT:
+            if len(self._buffer) > MAX_HEAD_BYTES:
                 self.cut()
             return None
         lines = self._buffer[:end].decode("latin-1").split("\r\n")
@@ -108,7 +108,7 @@
             self._task = None
         if request.headers.get("connection", "").lower() == "close":
             self._transport.close()
-        self._next()
+        self._serve_next()
 
     def send(
         self, status: int, content_type: str, body: bytes, headers: dict[str, str] | None = None
@@ -129,7 +129,7 @@
         if faults.stall_after is not None:
             await self.gone.wait()
         if faults.hold_after is not None:
-            await self._server.faults.wait_unheld(self.gone)
+            await self._server.faults.wait_released(self.gone)
             self.write(body[end:])
         if faults.short_body or faults.cut_after is not None:
             self._transport.close()
@@ -142,15 +142,15 @@
         lines.extend(f"{name}: {value}" for each in more for name, value in (each or {}).items())
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def start_stream(self, content_type: str) -> None:
+    def start_chunked(self, content_type: str) -> None:
         self.write(self.head(200, content_type, {"Transfer-Encoding": "chunked"}))
 
-    async def send_piece(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         self.write(b"%x\r\n%s\r\n" % (len(data), data))
         if not self._writable.is_set():
             await self._writable.wait()
 
-    def end_stream(self) -> None:
+    def end_chunked(self) -> None:
         self.write(b"0\r\n\r\n")
 
     def write(self, data: bytes) -> None:
@@ -178,7 +178,7 @@
         self.host = host
         self.port = port
         self.faults = Faults()
-        self.channels: set[Channel] = set()
+        self.open_connections: set[Connection] = set()
         self.connections = 0
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, name="stand-in", daemon=True)
@@ -232,10 +232,10 @@
     def on_start(self) -> None:
         """Start what runs beside the server; on the loop."""
 
-    async def answer(self, request: Request, channel: Channel) -> None:
+    async def answer(self, request: Request, connection: Connection) -> None:
         """Answer one request; an unanswered one becomes 404."""
 
-    def answer_test(self, request: Request, channel: Channel) -> bool:
+    def answer_fault_switches(self, request: Request, connection: Connection) -> bool:
         """Answer the fault switches below /test."""
         if request.path != "/test/faults" or request.method != "POST":
             return False
@@ -243,7 +243,7 @@
         if switches.pop("clear", False):
             self.faults.clear()
         self.faults.set(**switches)
-        channel.send_json(200, {name: getattr(self.faults, name) for name in Faults.DEFAULTS})
+        connection.send_json(200, {name: getattr(self.faults, name) for name in Faults.DEFAULTS})
         return True
 
     def _run(self) -> None:
@@ -253,7 +253,7 @@
 
     async def _open(self) -> None:
         self._listener = await self._loop.create_server(
-            lambda: Channel(self), self.host, self.port, backlog=1024, reuse_address=True
+            lambda: Connection(self), self.host, self.port, backlog=1024, reuse_address=True
         )
         self.port = self._listener.sockets[0].getsockname()[1]
 
@@ -261,11 +261,11 @@
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        for channel in list(self.channels):
-            channel.cut()
+        for connection in list(self.open_connections):
+            connection.cut()
 
 
-def parser(description: str) -> argparse.ArgumentParser:
+def make_parser(description: str) -> argparse.ArgumentParser:
     """Give the options that all stand-ins have as programs."""
     options = argparse.ArgumentParser(description=description)
     options.add_argument("--port", type=int, default=0)
--- a/cloverway/tests/standins/batching.py
+++ b/cloverway/tests/standins/batching.py
@@ -37,33 +37,33 @@
     def __init__(self, blocks: int = 1024, gap_every: int = 0) -> None:
         self.blocks = blocks
         self.gap_every = gap_every
-        self._held: OrderedDict[str, None] = OrderedDict()
+        self._blocks: OrderedDict[str, None] = OrderedDict()
         self._events: list[CacheEvent] = []
         self._sequence = itertools.count(1)
         self.hit_words = 0
         self.all_words = 0
 
-    def take(self, words: list[str], now: float) -> int:
+    def record_prompt(self, words: list[str], now: float) -> int:
         """Note a prompt and give how many of its words were held."""
         chain = list(prefix_blocks(words))
-        hits = sum(1 for _ in itertools.takewhile(lambda block: block in self._held, chain))
+        hits = sum(1 for _ in itertools.takewhile(lambda block: block in self._blocks, chain))
         for block in chain:
-            self._hold(block, now)
+            self._store(block, now)
         self.hit_words += hits * BLOCK_WORDS
         self.all_words += len(words)
         return hits * BLOCK_WORDS
 
-    def _hold(self, block: str, now: float) -> None:
-        if block in self._held:
-            self._held.move_to_end(block)
+    def _store(self, block: str, now: float) -> None:
+        if block in self._blocks:
+            self._blocks.move_to_end(block)
             return
-        self._held[block] = None
-        self._note("stored", block, now)
-        if len(self._held) > self.blocks:
-            oldest, _ = self._held.popitem(last=False)
-            self._note("removed", oldest, now)
+        self._blocks[block] = None
+        self._record_event("stored", block, now)
+        if len(self._blocks) > self.blocks:
+            oldest, _ = self._blocks.popitem(last=False)
+            self._record_event("removed", oldest, now)
 
-    def _note(self, kind: str, block: str, now: float) -> None:
+    def _record_event(self, kind: str, block: str, now: float) -> None:
         sequence = next(self._sequence)
         if self.gap_every and sequence % self.gap_every == 0:
             return
@@ -75,15 +75,15 @@
 
     @property
     def used(self) -> float:
-        return len(self._held) / self.blocks if self.blocks else 1.0
+        return len(self._blocks) / self.blocks if self.blocks else 1.0
 
 
 def prefix_blocks(words: list[str]) -> list[str]:
     """Name each whole block of a prompt by all that stands before its end."""
-    whole = len(words) // BLOCK_WORDS
+    full_blocks = len(words) // BLOCK_WORDS
     chain = hashlib.sha256()
     names = []
-    for number in range(whole):
+    for number in range(full_blocks):
         chain.update(" ".join(words[number * BLOCK_WORDS : (number + 1) * BLOCK_WORDS]).encode())
         names.append(chain.hexdigest()[:16])
     return names
@@ -97,36 +97,36 @@
         self.before = 0  # tokens that the prompt already holds of the answer
         self.words = prompt.split()
         self.user = user
-        self.mark = mark(prompt, user)
+        self.token_prefix = make_token_prefix(prompt, user)
         self.total = total
         self.priority = priority
-        self.produced = 0
+        self.generated = 0
         self.state = "waiting"
         self.ended_at = 0.0
-        self.grown = asyncio.Event()
+        self.progress = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     def tokens(self, start: int, end: int) -> list[str]:
-        return [f"{self.mark}{self.before + n} " for n in range(start, end)]
+        return [f"{self.token_prefix}{self.before + n} " for n in range(start, end)]
 
-    def note(self) -> None:
+    def notify(self) -> None:
         """Wake who waits for this run."""
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.progress.set()
+        self.progress = asyncio.Event()
 
     @property
     def ended(self) -> bool:
         return self.state in ("done", "cancelled", "lost")
 
 
-def mark(prompt: str, user: str) -> str:
+def make_token_prefix(prompt: str, user: str) -> str:
     """Give what stands in each token, so that a caller knows its own answer."""
     return f"{user}-{hashlib.sha256(prompt.encode()).hexdigest()[:8]}-"
 
 
 def expected_text(prompt: str, user: str, total: int) -> str:
     """Give the whole answer to a request."""
-    return "".join(f"{mark(prompt, user)}{number} " for number in range(total))
+    return "".join(f"{make_token_prefix(prompt, user)}{number} " for number in range(total))
 
 
 class Batch:
@@ -154,7 +154,7 @@
         return sum(1 for *_, run in self._queue if run.state == "waiting")
 
     def add(self, run: Run, token_s: float | None = None) -> None:
-        self._forget_old(time.monotonic())
+        self._evict_expired(time.monotonic())
         self.runs[run.id] = run
         self._interval[run] = self.timing.token_s if token_s is None else token_s
         self._enqueue(run)
@@ -196,20 +196,20 @@
 
     def _start(self, run: Run) -> None:
         run.state = "running"
-        if not run.produced:
+        if not run.generated:
             self.started[run.id] += 1
         self._running.add(run)
         self.most_running = max(self.most_running, len(self._running))
-        run.task = asyncio.get_running_loop().create_task(self._produce(run))
+        run.task = asyncio.get_running_loop().create_task(self._generate(run))
 
-    async def _produce(self, run: Run) -> None:
-        if not run.produced:
-            held = self.cache.take(run.words, time.monotonic())
+    async def _generate(self, run: Run) -> None:
+        if not run.generated:
+            held = self.cache.record_prompt(run.words, time.monotonic())
             await asyncio.sleep(self.timing.prefill_s * max(0, len(run.words) - held))
-        while run.produced < run.total:
+        while run.generated < run.total:
             await asyncio.sleep(self._interval.get(run, self.timing.token_s))
-            run.produced += 1
-            run.note()
+            run.generated += 1
+            run.notify()
         self._end(run, "done")
 
     def _end(self, run: Run, state: str) -> None:
@@ -220,10 +220,10 @@
         run.state = state
         run.ended_at = time.monotonic()
         self._running.discard(run)
-        run.note()
+        run.notify()
         self._fill()
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         limit = now - self.timing.resume_s
         ended = ("done", "cancelled", "lost", "interrupted")
         old = [run for run in self.runs.values() if run.state in ended and run.ended_at < limit]
--- a/cloverway/tests/standins/clients.py
+++ b/cloverway/tests/standins/clients.py
@@ -8,7 +8,7 @@
 import urllib3
 
 from cloverway.tests.standins.batching import expected_text
-from cloverway.tests.standins.topology import MODEL, SERVICE, key_of
+from cloverway.tests.standins.topology import MODEL, SERVICE, make_team_key
 
 NO_ANSWER = 0
 """Status of a call that got no answer, or only a part of one."""
@@ -21,7 +21,7 @@
     body: bytes = b""
     headers: dict[str, str] = {}
     text: str = ""
-    whole: bool = False
+    complete: bool = False
     """Whether the answer is complete and belongs to this call."""
     problem: dict[str, Any] = {}
     error: str = ""
@@ -43,12 +43,12 @@
         self.team = team
         self._http = urllib3.PoolManager(retries=False, timeout=timeout_s, maxsize=32)
 
-    def hosts(self) -> dict[str, Any]:
+    def list_hosts(self) -> dict[str, Any]:
         answer = self.request("GET", "/v1/hosts")
         assert answer.status == 200, answer
         return json.loads(answer.body)
 
-    def take_key(self, profile: str = "allocate") -> str:
+    def request_key(self, profile: str = "allocate") -> str:
         """Get an idempotency key from the host."""
         answer = self.request("POST", "/v1/idempotency-keys", profile=profile, json={})
         assert answer.status in (200, 201), answer
@@ -71,10 +71,10 @@
         if result.status != 200:
             return result
         text, ended = (read_events if stream else read_completion)(result.body)
-        whole = ended and text == expected_text(prompt, user, tokens) and not result.error
-        return result._replace(text=text, whole=whole)
+        complete = ended and text == expected_text(prompt, user, tokens) and not result.error
+        return result._replace(text=text, complete=complete)
 
-    def serve(
+    def call_service(
         self, body: str, *, profile: str = "allocate", path: str = "orders", **options: Any
     ) -> Result:
         """Call the plain service; `whole` says whether the answer is to this body."""
@@ -82,7 +82,7 @@
         result = self.request("POST", target, profile=profile, body=body.encode(), **options)
         if result.status != 200 or result.error:
             return result
-        return result._replace(whole=json.loads(result.body)["echo"] == body)
+        return result._replace(complete=json.loads(result.body)["echo"] == body)
 
     def request(
         self,
@@ -93,14 +93,14 @@
         key: str = "",
         deadline_ms: int | None = None,
         headers: dict[str, str] | None = None,
-        pieces: list[bytes] | None = None,
+        chunks: list[bytes] | None = None,
         **options: Any,
     ) -> Result:
         """Send one call, once; never raise for what the network does.
 
         The pieces of the answer's body are put into `pieces` as they come.
         """
-        sent = {"Authorization": f"Bearer {key_of(self.team)}"}
+        sent = {"Authorization": f"Bearer {make_team_key(self.team)}"}
         sent |= {"Cloverway-Profile": profile} if profile else {}
         sent |= {"Idempotency-Key": key} if key else {}
         sent |= {"Cloverway-Deadline-Ms": str(deadline_ms)} if deadline_ms else {}
@@ -111,19 +111,19 @@
             )
         except urllib3.exceptions.HTTPError as error:
             return Result(NO_ANSWER, error=repr(error))
-        return _read(answer, [] if pieces is None else pieces)
+        return _read(answer, [] if chunks is None else chunks)
 
 
-def _read(answer: Any, pieces: list[bytes]) -> Result:
+def _read(answer: Any, chunks: list[bytes]) -> Result:
     error = ""
     try:
-        pieces.extend(iter(lambda: answer.read1(4096), b""))
+        chunks.extend(iter(lambda: answer.read1(4096), b""))
     except urllib3.exceptions.HTTPError as cut:
         error = repr(cut)
         answer.close()
     finally:
         answer.release_conn()
-    body = b"".join(pieces)
+    body = b"".join(chunks)
     headers = dict(answer.headers)
     is_problem = answer.headers.get("Content-Type", "").startswith("application/problem+json")
     problem = json.loads(body) if is_problem and not error else {}
--- a/cloverway/tests/standins/completions.py
+++ b/cloverway/tests/standins/completions.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from cloverway.tests.standins.base import Channel
+from cloverway.tests.standins.base import Connection
 from cloverway.tests.standins.batching import Run
 from cloverway.tests.standins.faults import Faults
 
@@ -42,18 +42,18 @@
     """Send what a run produces over one connection, as the fault switches have it."""
 
     def __init__(
-        self, run: Run, form: str, channel: Channel, faults: Faults, *, live: Faults
+        self, run: Run, form: str, connection: Connection, faults: Faults, *, live: Faults
     ) -> None:
         self._run = run
         self._form = form
-        self._channel = channel
+        self._channel = connection
         self._faults = faults
         self._live = live
 
     async def send(self, *, stream: bool) -> None:
         """Answer as a stream or whole."""
         if self._faults.close_at_once:
-            await self._grow_to(1)
+            await self._wait_for_tokens(1)
             self._channel.cut()
         elif self._faults.silent:
             await self._channel.gone.wait()
@@ -63,8 +63,8 @@
             await self._send_whole()
 
     async def _send_whole(self) -> None:
-        await self._grow_to(self._run.total)
-        await self._wait_first()
+        await self._wait_for_tokens(self._run.total)
+        await self._delay_first_byte()
         if self._faults.error or self._run.state in ("lost", "cancelled"):
             self._channel.send_json(self._faults.error or 500, {"error": {"type": "failed"}})
             return
@@ -73,41 +73,41 @@
 
     async def stream(self, start: int) -> None:
         """Send the tokens from one on as they come, and the end."""
-        await self._grow_to(start + 1)
-        await self._wait_first()
+        await self._wait_for_tokens(start + 1)
+        await self._delay_first_byte()
         if self._faults.error:
             self._channel.send_json(self._faults.error, {"error": {"type": "failed"}})
             return
-        self._channel.start_stream("text/event-stream")
+        self._channel.start_chunked("text/event-stream")
         sent = start
         while sent < self._run.total:
-            end = min(await self._grow_to(sent + 1), self._run.total)
+            end = min(await self._wait_for_tokens(sent + 1), self._run.total)
             for number, token in enumerate(self._run.tokens(sent, end), sent):
-                if await self._fail_midway(number):
+                if await self._apply_midstream_fault(number):
                     return
-                await self._channel.send_piece(make_event(self._run, token, self._form))
+                await self._channel.send_chunk(make_event(self._run, token, self._form))
             if end <= sent:
                 self._channel.cut()
                 return
             sent = end
-        if await self._fail_midway(self._run.total):
+        if await self._apply_midstream_fault(self._run.total):
             return
-        await self._channel.send_piece(make_last_event(self._run))
-        await self._channel.send_piece(DONE)
-        self._channel.end_stream()
+        await self._channel.send_chunk(make_last_event(self._run))
+        await self._channel.send_chunk(DONE)
+        self._channel.end_chunked()
         if self._faults.duplicate:
-            self._channel.start_stream("text/event-stream")
-            await self._channel.send_piece(make_event(self._run, "late ", self._form))
-            self._channel.end_stream()
+            self._channel.start_chunked("text/event-stream")
+            await self._channel.send_chunk(make_event(self._run, "late ", self._form))
+            self._channel.end_chunked()
 
-    async def _wait_first(self) -> None:
+    async def _delay_first_byte(self) -> None:
         await asyncio.sleep(self._faults.first_byte_s)
         if self._faults.hold:
-            await self._live.wait_unheld(self._channel.gone)
+            await self._live.wait_released(self._channel.gone)
 
-    async def _fail_midway(self, sent: int) -> bool:
+    async def _apply_midstream_fault(self, sent: int) -> bool:
         if self._faults.hold_after == sent:
-            await self._live.wait_unheld(self._channel.gone)
+            await self._live.wait_released(self._channel.gone)
         if self._faults.stall_after == sent:
             await self._channel.gone.wait()
             return True
@@ -116,18 +116,18 @@
             return True
         return False
 
-    async def _grow_to(self, tokens: int) -> int:
+    async def _wait_for_tokens(self, tokens: int) -> int:
         """Wait until a run has so many tokens, ended, or its reader left."""
         while (
-            self._run.produced < min(tokens, self._run.total)
+            self._run.generated < min(tokens, self._run.total)
             and not self._run.ended
             and self._run.state != "interrupted"
         ):
-            grown = asyncio.ensure_future(self._run.grown.wait())
+            progress = asyncio.ensure_future(self._run.progress.wait())
             gone = asyncio.ensure_future(self._channel.gone.wait())
-            await asyncio.wait((grown, gone), return_when=asyncio.FIRST_COMPLETED)
-            grown.cancel()
+            await asyncio.wait((progress, gone), return_when=asyncio.FIRST_COMPLETED)
+            progress.cancel()
             gone.cancel()
             if self._channel.gone.is_set():
                 raise ConnectionError("the reader left")
-        return self._run.produced
+        return self._run.generated
--- a/cloverway/tests/standins/deployment.py
+++ b/cloverway/tests/standins/deployment.py
@@ -21,10 +21,10 @@
 from cloverway.tests.standins.topology import PEER_SECRET, to_toml
 
 ADDRESS = re.compile(r"\b(127\.\d+\.\d+\.\d+):(\d+)\b")
-CLAIM = ("127.0.0.10", 8000)
+CLAIM_ADDRESS = ("127.0.0.10", 8000)
 """Listened on by the run that has the published addresses."""
-START_S = 60.0
-STOP_S = 15.0
+START_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 15.0
 TOKEN_S = "0.005"
 LIMITS = {"threads": 32, "admin_threads": 4, "admitted": 16, "queued": 8}
 
@@ -37,7 +37,7 @@
         self._http = urllib3.PoolManager(retries=False, timeout=2.0)
         self.processes: dict[str, Process] = {}
         self._hosts: list[str] = []
-        self.moved: dict[str, str] = {}
+        self.relocated: dict[str, str] = {}
         """New addresses by those that were taken."""
 
     def __enter__(self) -> Deployment:
@@ -67,7 +67,7 @@
             self._claim.close()
         return statuses
 
-    def callers_in(self, region: str) -> list[str]:
+    def list_caller_addresses(self, region: str) -> list[str]:
         """List the callers' addresses of a region's hosts."""
         return [
             host.callers
@@ -88,15 +88,15 @@
         target = self._folder / "published"
         target.mkdir()
         for file in sorted(self._directory.glob("*.toml")):
-            text = ADDRESS.sub(self._place, file.read_text())
+            text = ADDRESS.sub(self._relocate, file.read_text())
             (target / file.name).write_text(text)
 
-    def _place(self, found: re.Match[str]) -> str:
+    def _relocate(self, found: re.Match[str]) -> str:
         host, port = found[1], int(found[2])
         if self._claim is not None and is_free(host, port):
             return found[0]
-        self.moved[found[0]] = f"{host}:{self._ports.take()}"
-        return self.moved[found[0]]
+        self.relocated[found[0]] = f"{host}:{self._ports.take()}"
+        return self.relocated[found[0]]
 
     def _start_endpoints(self) -> None:
         for name, endpoint in self.published.endpoints.items():
@@ -132,7 +132,7 @@
         self.processes[name].start()
 
     def _wait(self, name: str, url: str) -> None:
-        self.processes[name].wait_ready(lambda: self._answers(url), START_S)
+        self.processes[name].wait_ready(lambda: self._answers(url), START_TIMEOUT_S)
 
     def _answers(self, url: str) -> bool:
         try:
@@ -150,7 +150,7 @@
         for process in running.values():
             # One signal only: a second one would cut what a host still has in progress.
             with contextlib.suppress(subprocess.TimeoutExpired):
-                process.wait(STOP_S)
+                process.wait(STOP_TIMEOUT_S)
             process.kill()
         return {name: process.wait() for name, process in running.items()}
 
@@ -164,7 +164,7 @@
     claim = socket.socket()
     claim.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        claim.bind(CLAIM)
+        claim.bind(CLAIM_ADDRESS)
         claim.listen(1)
     except OSError:
         claim.close()
--- a/cloverway/tests/standins/engine.py
+++ b/cloverway/tests/standins/engine.py
@@ -9,7 +9,7 @@
 from collections import Counter, deque
 from typing import Any
 
-from cloverway.tests.standins.base import Channel, Request, Server, parser, serve_forever
+from cloverway.tests.standins.base import Connection, Request, Server, make_parser, serve_forever
 from cloverway.tests.standins.batching import Batch, PrefixCache, Run, Timing
 from cloverway.tests.standins.completions import Answer
 from cloverway.tests.standins.faults import Faults
@@ -17,7 +17,7 @@
 from cloverway.tests.standins.service import NOT_STARTED
 
 SAMPLE_S = 0.02
-NUMBERS = {
+NUMERIC_OPTIONS = {
     "slots": 8,
     "cache_blocks": 1024,
     "report_lag_s": 0.0,
@@ -76,28 +76,28 @@
         self.orders.highest_fencing = 0
         self._reports.clear()
 
-    async def answer(self, request: Request, channel: Channel) -> None:
-        if self.answer_test(request, channel):
+    async def answer(self, request: Request, connection: Connection) -> None:
+        if self.answer_fault_switches(request, connection):
             return
         route = (request.method, request.path)
         if request.method == "POST" and request.path in COMPLETIONS:
-            await self._complete(request, channel, self.faults.take())
+            await self._complete(request, connection, self.faults.take_for_request())
         elif route == ("POST", "/v1/cancel"):
             found = self.batch.cancel(str(request.json().get("id", "")))
-            channel.send_json(200 if found else 404, {"cancelled": found})
+            connection.send_json(200 if found else 404, {"cancelled": found})
         elif route == ("GET", "/v1/resume"):
-            await self._resume(request, channel, self.faults.take())
+            await self._resume(request, connection, self.faults.take_for_request())
         elif route == ("GET", "/v1/load"):
-            channel.send_json(200, self.load(time.monotonic()))
+            connection.send_json(200, self.load(time.monotonic()))
         elif route == ("GET", "/v1/cache-events"):
-            channel.send_json(200, self._cache_events(int(request.query.get("after", "0"))))
+            connection.send_json(200, self._cache_events(int(request.query.get("after", "0"))))
         elif route == ("POST", "/v1/orders"):
-            self._take_order(request.json(), channel)
+            self._accept_order(request.json(), connection)
         elif request.path == "/test/runs":
-            channel.send_json(200, self.counts())
+            connection.send_json(200, self.counts())
         elif request.path == "/test/state" and request.method == "POST":
             self.set_state(**request.json())
-            channel.send_json(200, self._load_now())
+            connection.send_json(200, self._load_now())
 
     def set_state(
         self,
@@ -124,7 +124,7 @@
             "received_leaving": self.received_leaving,
             "keys": dict(self.by_key),
             "users": dict(self.by_user),
-            "orders": self.orders.taken,
+            "orders": self.orders.accepted,
             "refused_orders": self.orders.refused,
         }
 
@@ -155,31 +155,31 @@
         listed = [{"seq": e.sequence, "kind": e.kind, "block": e.block} for e in events]
         return {"incarnation": self.incarnation, "events": listed}
 
-    def _take_order(self, order: dict[str, Any], channel: Channel) -> None:
-        if not self.orders.take(order):
+    def _accept_order(self, order: dict[str, Any], connection: Connection) -> None:
+        if not self.orders.apply(order):
             error = {"type": "old_fencing", "highest": self.orders.highest_fencing}
-            channel.send_json(409, {"error": error})
+            connection.send_json(409, {"error": error})
             return
         if "load" in order:
             self._loop.create_task(self.orders.load(str(order["load"]), self.timing.load_s))
-        channel.send_json(200, {"accepted": True, "incarnation": self.incarnation})
+        connection.send_json(200, {"accepted": True, "incarnation": self.incarnation})
 
-    async def _complete(self, request: Request, channel: Channel, faults: Faults) -> None:
+    async def _complete(self, request: Request, connection: Connection, faults: Faults) -> None:
         body = request.json()
         model = str(body.get("model", ""))
         self.received_leaving += self.orders.leaving
         if faults.refuse or model not in self.orders.models:
-            channel.send_json(503, {"error": {"type": "not_started"}}, NOT_STARTED)
+            connection.send_json(503, {"error": {"type": "not_started"}}, NOT_STARTED)
             return
         run = self._make_run(request, body)
         self.by_key[request.headers.get("idempotency-key", "")] += 1
         self.by_user[run.user] += 1
         self.batch.add(run, faults.token_s)
         try:
-            answer = Answer(run, COMPLETIONS[request.path], channel, faults, live=self.faults)
+            answer = Answer(run, COMPLETIONS[request.path], connection, faults, live=self.faults)
             await answer.send(stream=bool(body.get("stream")))
         finally:
-            if channel.gone.is_set() or run.state == "running":
+            if connection.gone.is_set() or run.state == "running":
                 self.batch.interrupt(run)
 
     def _make_run(self, request: Request, body: dict[str, Any]) -> Run:
@@ -196,35 +196,35 @@
         run.before = len(before["content"].split()) if before else 0
         return run
 
-    async def _resume(self, request: Request, channel: Channel, faults: Faults) -> None:
+    async def _resume(self, request: Request, connection: Connection, faults: Faults) -> None:
         run = self.batch.runs.get(request.query.get("id", ""))
         if run is None or run.state in ("cancelled", "lost"):
-            channel.send_json(404, {"error": {"type": "no_such_run"}})
+            connection.send_json(404, {"error": {"type": "no_such_run"}})
             return
         self.batch.resume(run)
         try:
             start = int(request.query.get("from", "0"))
             form = request.query.get("form", "chat")
-            await Answer(run, form, channel, faults, live=self.faults).stream(start)
+            await Answer(run, form, connection, faults, live=self.faults).stream(start)
         finally:
-            if channel.gone.is_set():
+            if connection.gone.is_set():
                 self.batch.interrupt(run)
 
 
 def main() -> None:
-    options = parser("A model engine.")
+    options = make_parser("A model engine.")
     options.add_argument("--models", default="clover-assist")
     options.add_argument("--fencing", action="store_true")
-    for name, default in NUMBERS.items():
+    for name, default in NUMERIC_OPTIONS.items():
         options.add_argument(f"--{name.replace('_', '-')}", type=type(default), default=default)
     for name in Timing._fields:
         default = Timing._field_defaults[name]
         options.add_argument(f"--{name.replace('_', '-')}", type=float, default=default)
-    given = vars(options.parse_args())
-    timing = Timing(*(given.pop(name) for name in Timing._fields))
-    models = tuple(filter(None, given.pop("models").split(",")))
-    host = given.pop("host")
-    serve_forever(Engine(models=models, timing=timing, **given), host)
+    arguments = vars(options.parse_args())
+    timing = Timing(*(arguments.pop(name) for name in Timing._fields))
+    models = tuple(filter(None, arguments.pop("models").split(",")))
+    host = arguments.pop("host")
+    serve_forever(Engine(models=models, timing=timing, **arguments), host)
 
 
 if __name__ == "__main__":
--- a/cloverway/tests/standins/faults.py
+++ b/cloverway/tests/standins/faults.py
@@ -39,12 +39,12 @@
     def clear(self) -> None:
         self.__dict__.update(self.DEFAULTS)
 
-    async def wait_unheld(self, gone: asyncio.Event) -> None:
+    async def wait_released(self, gone: asyncio.Event) -> None:
         """Wait until both holds are off, or the other side left."""
         while (self.hold or self.hold_after is not None) and not gone.is_set():
             await asyncio.sleep(POLL_S)
 
-    def take(self) -> Faults:
+    def take_for_request(self) -> Faults:
         """Give the switches for one request, and count it against `times`."""
         taken = Faults()
         if self.times == 0:
--- a/cloverway/tests/standins/fleet.py
+++ b/cloverway/tests/standins/fleet.py
@@ -18,7 +18,7 @@
     MODEL,
     PEER_SECRET,
     SERVICE,
-    HostPlace,
+    HostAddresses,
     Topology,
     make_settings,
     make_tables,
@@ -29,7 +29,7 @@
 READY_S = 30.0
 
 
-class Remote:
+class RemoteStandIn:
     """A stand-in in another process, by its HTTP address."""
 
     def __init__(self, url: str) -> None:
@@ -72,9 +72,9 @@
         self.topology = topology or Topology()
         self.platform_kind = platform
         self.revision = 0
-        self.hosts: dict[str, HostPlace] = {}
+        self.hosts: dict[str, HostAddresses] = {}
         self.links: dict[str, Link] = {}
-        self.remotes: dict[str, Remote] = {}
+        self.remotes: dict[str, RemoteStandIn] = {}
         self.processes: dict[str, Process] = {}
         self.tables: dict[str, Any] = {}
         self._with_links = links
@@ -94,7 +94,7 @@
         self.folder = Path(self._temporary.name)
         try:
             self._start_endpoints()
-            self._place_hosts()
+            self._allocate_addresses()
             self._start_platform()
             self._write_settings()
             if self._with_daemons:
@@ -143,7 +143,7 @@
     def pause(self, name: str) -> None:
         self.processes[name].send(signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.processes[name].send(signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
@@ -154,7 +154,7 @@
         """Start an ended process at its old address and wait until it is ready."""
         self.processes[name].kill()
         self.processes[name].start()
-        self.wait_open(name)
+        self.wait_serving(name)
 
     def publish(self, changes: dict[str, Any]) -> int:
         """Publish changes to the tables, nested as in TOML; give the revision."""
@@ -176,13 +176,13 @@
         for near, far in (*itertools.product(left, right), *itertools.product(right, left)):
             self.links[near].cut(far)
 
-    def silence(self, left: list[str], right: list[str], *, one_way: bool = False) -> None:
+    def blackhole(self, left: list[str], right: list[str], *, one_way: bool = False) -> None:
         """Drop what `left` sends to `right`, and what `right` sends unless it is one way."""
         for sender, receiver in itertools.product(left, right):
-            self.links[receiver].silence(TO_TARGET, source=sender)
-            self.links[sender].silence(TO_CALLER, source=receiver)
+            self.links[receiver].blackhole(TO_TARGET, source=sender)
+            self.links[sender].blackhole(TO_CALLER, source=receiver)
         if not one_way:
-            self.silence(right, left, one_way=True)
+            self.blackhole(right, left, one_way=True)
 
     def heal(self) -> None:
         """Restore every link."""
@@ -194,12 +194,12 @@
         engine += self.topology.engine_options
         service = ["--services", SERVICE, "--slots", str(self.topology.slots)]
         service += [*self.topology.service_options]
-        for name in self.topology.names("engines"):
+        for name in self.topology.list_names("engines"):
             self._start_standin(name, "engine", engine)
-        for name in self.topology.names("services"):
+        for name in self.topology.list_names("services"):
             self._start_standin(name, "service", service)
         for name in list(self.remotes):
-            self.wait_open(name)
+            self.wait_serving(name)
 
     def _start_standin(self, name: str, program: str, options: list[str]) -> None:
         port = self._ports.take()
@@ -207,9 +207,9 @@
         arguments = ["--port", str(port), *options]
         self.processes[name] = Process(name, module, arguments, self.folder)
         self.processes[name].start()
-        self.remotes[name] = Remote(f"http://127.0.0.1:{port}")
+        self.remotes[name] = RemoteStandIn(f"http://127.0.0.1:{port}")
 
-    def wait_open(self, name: str) -> None:
+    def wait_serving(self, name: str) -> None:
         """Wait until a process that was started serves."""
         if name in self.hosts:
             self.wait_ready(name)
@@ -224,11 +224,11 @@
 
         self.processes[name].wait_ready(is_open, READY_S)
 
-    def _place_hosts(self) -> None:
-        for name in self.topology.names("hosts"):
+    def _allocate_addresses(self) -> None:
+        for name in self.topology.list_names("hosts"):
             addresses = [f"127.0.0.1:{self._ports.take()}" for _ in range(3)]
             peers = self._link(name, addresses[2], udp=True)
-            self.hosts[name] = HostPlace(*addresses, published_peers=peers)
+            self.hosts[name] = HostAddresses(*addresses, published_peers=peers)
         urls = {
             name: "http://" + self._link(name, remote.url.removeprefix("http://"))
             for name, remote in self.remotes.items()
@@ -257,7 +257,7 @@
         documents = self.folder / "documents.json"
         documents.write_text(json.dumps(to_documents(self.tables)))
         self._start_standin("platform", "platform", ["--documents", str(documents)])
-        self.wait_open("platform")
+        self.wait_serving("platform")
 
     def _write_published(self) -> None:
         self.revision += 1
--- a/cloverway/tests/standins/orders.py
+++ b/cloverway/tests/standins/orders.py
@@ -15,18 +15,18 @@
         self.fencing = fencing
         self.role = "mixed"
         self.leaving = False
-        self.taken: list[dict[str, Any]] = []
+        self.accepted: list[dict[str, Any]] = []
         self.highest_fencing = 0
         self.refused = 0
 
-    def take(self, order: dict[str, Any]) -> bool:
+    def apply(self, order: dict[str, Any]) -> bool:
         """Carry out an order but for its load; say whether it was accepted."""
         number = int(order.get("fencing", 0))
         if self.fencing and number < self.highest_fencing:
             self.refused += 1
             return False
         self.highest_fencing = max(number, self.highest_fencing)
-        self.taken.append(order)
+        self.accepted.append(order)
         if "unload" in order:
             self.models = [model for model in self.models if model != order["unload"]]
         self.role = str(order.get("role", self.role))
--- a/cloverway/tests/standins/owners.py
+++ b/cloverway/tests/standins/owners.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-TABLES = {"tcp": Path("/proc/net/tcp"), "udp": Path("/proc/net/udp")}
+SOCKET_TABLES = {"tcp": Path("/proc/net/tcp"), "udp": Path("/proc/net/udp")}
 
 
 def find_owner(kind: str, port: int, pids: Mapping[str, int]) -> str:
@@ -18,7 +18,7 @@
 
 def _find_inodes(kind: str, port: int) -> set[str]:
     wanted = f":{port:04X}"
-    rows = (line.split() for line in TABLES[kind].read_text().splitlines()[1:])
+    rows = (line.split() for line in SOCKET_TABLES[kind].read_text().splitlines()[1:])
     return {row[9] for row in rows if row[1].endswith(wanted)}
 
 
--- a/cloverway/tests/standins/platform.py
+++ b/cloverway/tests/standins/platform.py
@@ -9,15 +9,15 @@
 from pathlib import Path
 from typing import Any
 
-from cloverway.tests.standins.base import Channel, Request, Server, parser, serve_forever
+from cloverway.tests.standins.base import Connection, Request, Server, make_parser, serve_forever
 
-CALLS_PER_S = 2000
-VALUE_LIMIT = 1024 * 1024
-LONGEST_WAIT_S = 60.0
-NOBODY: dict[str, Any] = {"hosts": {}, "endpoints": {}}
+MAX_CALLS_PER_S = 2000
+MAX_VALUE_BYTES = 1024 * 1024
+MAX_WAIT_S = 60.0
+EMPTY_LIST: dict[str, Any] = {"hosts": {}, "endpoints": {}}
 
 
-class Rate:
+class TokenBucket:
     """Allow so many calls a second, with one second's worth at once."""
 
     def __init__(self, per_s: float) -> None:
@@ -43,7 +43,7 @@
         *,
         documents: dict[str, Any] | None = None,
         list_lag_s: float = 0.0,
-        calls_per_s: float = CALLS_PER_S,
+        calls_per_s: float = MAX_CALLS_PER_S,
         weights_per_s: float = 2.0,
     ) -> None:
         super().__init__(port)
@@ -55,11 +55,11 @@
         self.weight_reads: Counter[str] = Counter()
         self._documents: dict[str, tuple[int, Any]] = {}
         self._history: list[tuple[int, str, Any]] = []
-        self._stale_at: int | None = None
+        self._frozen_at: int | None = None
         self._changed: asyncio.Event | None = None
-        self._lists: list[tuple[float, dict[str, Any]]] = [(float("-inf"), NOBODY)]
-        self._rate = Rate(calls_per_s)
-        self._weights = Rate(weights_per_s)
+        self._lists: list[tuple[float, dict[str, Any]]] = [(float("-inf"), EMPTY_LIST)]
+        self._rate = TokenBucket(calls_per_s)
+        self._weights = TokenBucket(weights_per_s)
         for key, value in (documents or {}).items():
             self._put(key, value)
 
@@ -68,25 +68,25 @@
 
     def publish(self, key: str, value: Any) -> int:
         """Publish one document, or delete it with None; give its revision."""
-        if len(json.dumps(value)) > VALUE_LIMIT:
+        if len(json.dumps(value)) > MAX_VALUE_BYTES:
             raise ValueError(f"{key} is over a megabyte")
         return int(self.call(lambda: self._put(key, value)))
 
     def publish_all(self, documents: dict[str, Any]) -> int:
         return [self.publish(key, value) for key, value in documents.items()][-1]
 
-    def list_as(
+    def set_listed(
         self, *, hosts: dict[str, str] | None = None, endpoints: dict[str, str] | None = None
     ) -> None:
         """Change entries of the list of hosts; seen after the lag."""
-        self.call(lambda: self._list(hosts or {}, endpoints or {}))
+        self.call(lambda: self._set_listed(hosts or {}, endpoints or {}))
 
     def freeze(self, revision: int | None = None) -> None:
         """Serve an old revision until thawed."""
-        self._stale_at = self.revision if revision is None else revision
+        self._frozen_at = self.revision if revision is None else revision
 
     def thaw(self) -> None:
-        self._stale_at = None
+        self._frozen_at = None
         self.call(self._wake)
 
     def restart_at(self, revision: int) -> None:
@@ -98,8 +98,8 @@
         self.revision, self._history, self._documents = 0, [], {}
         for _, key, value in kept:
             self._put(key, value)
-        for channel in list(self.channels):
-            channel.cut()
+        for connection in list(self.open_connections):
+            connection.cut()
 
     def _put(self, key: str, value: Any) -> int:
         self.revision += 1
@@ -113,7 +113,7 @@
             self._changed.set()
             self._changed = asyncio.Event()
 
-    def _list(self, hosts: dict[str, str], endpoints: dict[str, str]) -> None:
+    def _set_listed(self, hosts: dict[str, str], endpoints: dict[str, str]) -> None:
         last = self._lists[-1][1]
         named = {"hosts": hosts, "endpoints": endpoints}
         entry = {
@@ -122,42 +122,42 @@
         }
         self._lists.append((time.monotonic(), entry))
 
-    async def answer(self, request: Request, channel: Channel) -> None:
+    async def answer(self, request: Request, connection: Connection) -> None:
         if request.path.startswith("/test/"):
-            self._answer_operator(request, channel)
+            self._answer_operator(request, connection)
             return
         if request.method != "GET":
-            channel.send_json(405, {"error": "this service accepts no writes"})
+            connection.send_json(405, {"error": "this service accepts no writes"})
             return
         self.calls[request.path] += 1
         if not self._rate.take(time.monotonic()):
             self.refused += 1
-            channel.send_json(429, {"error": "too many calls"}, {"Retry-After": "1"})
+            connection.send_json(429, {"error": "too many calls"}, {"Retry-After": "1"})
             return
         if self.faults.silent:
-            await channel.gone.wait()
+            await connection.gone.wait()
             return
         await asyncio.sleep(self.slow_s + self.faults.first_byte_s)
         if self.faults.error:
-            channel.send_json(self.faults.error, {"error": "failed"})
+            connection.send_json(self.faults.error, {"error": "failed"})
             return
-        await self._answer_reader(request, channel)
+        await self._answer_reader(request, connection)
 
-    async def _answer_reader(self, request: Request, channel: Channel) -> None:
+    async def _answer_reader(self, request: Request, connection: Connection) -> None:
         if request.path == "/v1/config":
             after = int(request.query.get("after", "0"))
-            wait_s = min(float(request.query.get("wait_s", "0")), LONGEST_WAIT_S)
-            await self._wait_past(after, wait_s)
+            wait_s = min(float(request.query.get("wait_s", "0")), MAX_WAIT_S)
+            await self._wait_for_revision_after(after, wait_s)
             body = json.dumps(self.changes(after)).encode()
-            await channel.send_faulty(self.faults, "application/json", body)
+            await connection.send_faulty(self.faults, "application/json", body)
         elif request.path == "/v1/hosts":
-            channel.send_json(200, self.listed(time.monotonic()))
+            connection.send_json(200, self.listed(time.monotonic()))
         elif request.path == "/v1/directory":
-            channel.send_json(200, self._directory())
+            connection.send_json(200, self._directory())
         elif request.path.startswith("/v1/weights/"):
-            self._answer_weights(request, channel)
+            self._answer_weights(request, connection)
 
-    async def _wait_past(self, revision: int, wait_s: float) -> None:
+    async def _wait_for_revision_after(self, revision: int, wait_s: float) -> None:
         end = time.monotonic() + wait_s
         while self._served_revision() <= revision and time.monotonic() < end:
             assert self._changed is not None
@@ -165,7 +165,7 @@
             await asyncio.gather(waiting, return_exceptions=True)
 
     def _served_revision(self) -> int:
-        return self.revision if self._stale_at is None else min(self.revision, self._stale_at)
+        return self.revision if self._frozen_at is None else min(self.revision, self._frozen_at)
 
     def changes(self, after: int) -> dict[str, Any]:
         served = self._served_revision()
@@ -189,45 +189,45 @@
         }
         return {"hosts": hosts}
 
-    def _answer_weights(self, request: Request, channel: Channel) -> None:
+    def _answer_weights(self, request: Request, connection: Connection) -> None:
         if not self._weights.take(time.monotonic()):
             retry = {"Retry-After": str(max(1, round(1 / self._weights.per_s)))}
-            channel.send_json(429, {"error": "over the rate"}, retry)
+            connection.send_json(429, {"error": "over the rate"}, retry)
             return
         name = request.path.removeprefix("/v1/weights/")
         self.weight_reads[name] += 1
-        channel.send(200, "application/octet-stream", name.encode() * 64)
+        connection.send(200, "application/octet-stream", name.encode() * 64)
 
-    def _answer_operator(self, request: Request, channel: Channel) -> None:
-        if self.answer_test(request, channel):
+    def _answer_operator(self, request: Request, connection: Connection) -> None:
+        if self.answer_fault_switches(request, connection):
             return
-        given = request.json()
+        arguments = request.json()
         if request.path == "/test/publish":
-            self._put(given["key"], given["value"])
+            self._put(arguments["key"], arguments["value"])
         elif request.path == "/test/list":
-            self._list(given.get("hosts", {}), given.get("endpoints", {}))
+            self._set_listed(arguments.get("hosts", {}), arguments.get("endpoints", {}))
         elif request.path == "/test/freeze":
-            self.freeze(given.get("revision"))
+            self.freeze(arguments.get("revision"))
         elif request.path == "/test/thaw":
             self.thaw()
         elif request.path == "/test/restart":
-            self._restart(given["revision"])
+            self._restart(arguments["revision"])
             return
         elif request.path == "/test/slow":
-            self.slow_s = given["s"]
+            self.slow_s = arguments["s"]
         elif request.path != "/test/state":
             return
-        channel.send_json(200, {"revision": self.revision, "calls": dict(self.calls)})
+        connection.send_json(200, {"revision": self.revision, "calls": dict(self.calls)})
 
 
 def main() -> None:
-    options = parser("The platform.")
+    options = make_parser("The platform.")
     options.add_argument("--documents", help="JSON file with documents by key")
     options.add_argument("--list-lag-s", type=float, default=0.0)
-    given = options.parse_args()
-    documents = json.loads(Path(given.documents).read_text()) if given.documents else {}
-    platform = Platform(given.port, documents=documents, list_lag_s=given.list_lag_s)
-    serve_forever(platform, given.host)
+    arguments = options.parse_args()
+    documents = json.loads(Path(arguments.documents).read_text()) if arguments.documents else {}
+    platform = Platform(arguments.port, documents=documents, list_lag_s=arguments.list_lag_s)
+    serve_forever(platform, arguments.host)
 
 
 if __name__ == "__main__":
--- a/cloverway/tests/standins/processes.py
+++ b/cloverway/tests/standins/processes.py
@@ -15,7 +15,7 @@
 from cloverway.tests.standins.waiting import wait_until
 
 ROOT = Path(__file__).resolve().parents[3]
-BLOCK = 128
+PORTS_PER_BLOCK = 128
 """Ports that one fleet has to itself."""
 FIRST_PORT, LAST_PORT = 12_000, 32_000
 """Below the range from which the system gives ports away by itself."""
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self._claim, base = _claim_block()
-        self._free = itertools.chain(range(base + 1, base + BLOCK))
+        self._free = itertools.chain(range(base + 1, base + PORTS_PER_BLOCK))
 
     def take(self) -> int:
         return next(port for port in self._free if _is_free(port))
@@ -37,7 +37,7 @@
 
 
 def _claim_block() -> tuple[socket.socket, int]:
-    bases = list(range(FIRST_PORT, LAST_PORT, BLOCK))
+    bases = list(range(FIRST_PORT, LAST_PORT, PORTS_PER_BLOCK))
     random.SystemRandom().shuffle(bases)
     for base in bases:
         claim = socket.socket()
--- a/cloverway/tests/standins/service.py
+++ b/cloverway/tests/standins/service.py
@@ -8,7 +8,7 @@
 import secrets
 from collections import Counter
 
-from cloverway.tests.standins.base import Channel, Request, Server, parser, serve_forever
+from cloverway.tests.standins.base import Connection, Request, Server, make_parser, serve_forever
 from cloverway.tests.standins.faults import Faults
 
 NOT_STARTED = {"Cloverway-Ran": "no", "Retry-After": "1"}
@@ -50,18 +50,18 @@
         for counter in (self.by_key, self.by_body, self.by_id, self.by_path):
             counter.clear()
 
-    async def answer(self, request: Request, channel: Channel) -> None:
-        if self.answer_test(request, channel):
+    async def answer(self, request: Request, connection: Connection) -> None:
+        if self.answer_fault_switches(request, connection):
             return
         if request.path == "/load":
-            channel.send_json(200, self.load())
+            connection.send_json(200, self.load())
         elif request.path == "/test/runs":
-            channel.send_json(200, self.counts())
+            connection.send_json(200, self.counts())
         elif request.path == "/test/state" and request.method == "POST":
             self.set_state(**request.json())
-            channel.send_json(200, self.load())
+            connection.send_json(200, self.load())
         else:
-            await self._run_call(request, channel, self.faults.take())
+            await self._run_call(request, connection, self.faults.take_for_request())
 
     def set_state(
         self, *, leaving: bool | None = None, renew: bool = False, forget: bool = False
@@ -96,18 +96,18 @@
             "cancelled": self.cancelled,
         }
 
-    async def _run_call(self, request: Request, channel: Channel, faults: Faults) -> None:
+    async def _run_call(self, request: Request, connection: Connection, faults: Faults) -> None:
         self.received_leaving += self.leaving
         if faults.refuse:
-            channel.send_json(503, {"error": {"type": "not_started"}}, NOT_STARTED)
+            connection.send_json(503, {"error": {"type": "not_started"}}, NOT_STARTED)
             return
         self._count(request)
         self.running += 1
         try:
-            await self._finish_call(request, channel, faults)
+            await self._finish_call(request, connection, faults)
         finally:
             self.running -= 1
-        self.cancelled += channel.gone.is_set()
+        self.cancelled += connection.gone.is_set()
 
     def _count(self, request: Request) -> None:
         self.by_path[request.path] += 1
@@ -115,20 +115,20 @@
         self.by_key[request.headers.get("idempotency-key", "")] += 1
         self.by_id[request.headers.get("x-request-id", "")] += 1
 
-    async def _finish_call(self, request: Request, channel: Channel, faults: Faults) -> None:
+    async def _finish_call(self, request: Request, connection: Connection, faults: Faults) -> None:
         if faults.close_at_once:
-            channel.cut()
+            connection.cut()
             return
         if faults.silent:
-            await channel.gone.wait()
+            await connection.gone.wait()
             return
         await asyncio.sleep(self.work_s + faults.first_byte_s)
         if faults.hold:
-            await self.faults.wait_unheld(channel.gone)
+            await self.faults.wait_released(connection.gone)
         if faults.error:
-            channel.send_json(faults.error, {"error": {"type": "failed"}})
+            connection.send_json(faults.error, {"error": {"type": "failed"}})
             return
-        await channel.send_faulty(faults, "application/json", self._body(request))
+        await connection.send_faulty(faults, "application/json", self._body(request))
 
     def _body(self, request: Request) -> bytes:
         answer = {
@@ -149,14 +149,15 @@
 
 
 def main() -> None:
-    options = parser("A plain service that counts its calls.")
+    options = make_parser("A plain service that counts its calls.")
     options.add_argument("--services", default="allocations")
     options.add_argument("--work-s", type=float, default=0.0)
     options.add_argument("--slots", type=int, default=64)
-    given = options.parse_args()
-    services = tuple(given.services.split(","))
+    arguments = options.parse_args()
+    services = tuple(arguments.services.split(","))
     serve_forever(
-        Service(given.port, services=services, work_s=given.work_s, slots=given.slots), given.host
+        Service(arguments.port, services=services, work_s=arguments.work_s, slots=arguments.slots),
+        arguments.host,
     )
 
 
--- a/cloverway/tests/standins/topology.py
+++ b/cloverway/tests/standins/topology.py
@@ -33,7 +33,7 @@
         letters = "abcdefgh"[: self.domains]
         return [f"{region}-{letter}" for region in self.regions for letter in letters]
 
-    def names(self, what: str) -> list[str]:
+    def list_names(self, what: str) -> list[str]:
         """List the names of all "hosts", "engines" or "services"."""
         counts = {"hosts": self.hosts, "engines": self.engines, "services": self.services}
         stem = {"hosts": "host", "engines": "engine", "services": "service"}[what]
@@ -41,7 +41,7 @@
         return [f"{domain}-{stem}-{n}" for domain in self.domain_names for n in numbers]
 
 
-class HostPlace(NamedTuple):
+class HostAddresses(NamedTuple):
     """Where a daemon listens, and where the others reach it."""
 
     callers: str
@@ -58,7 +58,7 @@
     return name.split("-", maxsplit=1)[0]
 
 
-def key_of(team: str) -> str:
+def make_team_key(team: str) -> str:
     """Give the bearer key of a team."""
     return f"key-of-{team}-for-tests-only"
 
@@ -88,19 +88,19 @@
             "home": home,
             "bound": is_bound,
             "profiles": profiles,
-            "key_hashes": [hash_key(key_of(name))],
+            "key_hashes": [hash_key(make_team_key(name))],
         }
         for name, (home, is_bound) in teams.items()
     }
 
 
 def make_tables(
-    topology: Topology, hosts: Mapping[str, HostPlace], urls: Mapping[str, str]
+    topology: Topology, hosts: Mapping[str, HostAddresses], urls: Mapping[str, str]
 ) -> dict[str, Any]:
     """Give the published tables; `urls` has each engine and service."""
     engines = {
         name: {"domain": domain_of(name), "url": urls[name], "models": [MODEL]}
-        for name in topology.names("engines")
+        for name in topology.list_names("engines")
     }
     services = {
         name: {
@@ -109,7 +109,7 @@
             "kind": "service",
             "services": [SERVICE],
         }
-        for name in topology.names("services")
+        for name in topology.list_names("services")
     }
     return {
         "organisation": {"name": "tests"},
@@ -121,11 +121,11 @@
         "hosts": {
             name: {
                 "domain": domain_of(name),
-                "callers": place.callers,
-                "admin": place.admin,
-                "peers": place.published_peers,
+                "callers": addresses.callers,
+                "admin": addresses.admin,
+                "peers": addresses.published_peers,
             }
-            for name, place in hosts.items()
+            for name, addresses in hosts.items()
         },
         "endpoints": {
             name: {**endpoint, "slots": topology.slots}
@@ -137,14 +137,22 @@
 
 
 def make_settings(
-    name: str, place: HostPlace, platform: dict[str, Any], secret_file: str, more: Mapping[str, Any]
+    name: str,
+    addresses: HostAddresses,
+    platform: dict[str, Any],
+    secret_file: str,
+    more: Mapping[str, Any],
 ) -> dict[str, Any]:
     """Give the settings of one daemon, quick enough for tests."""
     settings = {
         "host": name,
         "domain": domain_of(name),
         "region": region_of(name),
-        "listen": {"callers": place.callers, "admin": place.admin, "peers": place.peers},
+        "listen": {
+            "callers": addresses.callers,
+            "admin": addresses.admin,
+            "peers": addresses.peers,
+        },
         "platform": platform,
         "security": {"peer_secret_file": secret_file},
         "limits": {"threads": 48, "admin_threads": 4, "admitted": 24, "queued": 16},
--- a/cloverway/tests/test_admission.py
+++ b/cloverway/tests/test_admission.py
@@ -21,8 +21,10 @@
 from cloverway.tests.test_routing import E0, E1, Host
 
 
-def make_entry(place, *, team="desk", urgency=Urgency.NORMAL, cost_s=1.0, weight=1.0, lasts=60.0):
-    request = make_request(place, 0.0, lasts, team=team)
+def make_entry(
+    place, *, team="desk", urgency=Urgency.NORMAL, cost_s=1.0, weight=1.0, timeout_s=60.0
+):
+    request = make_request(place, 0.0, timeout_s, team=team)
     return QueueEntry(
         place, request, "clover", urgency, weight, cost_s, Prefix.from_body(b""), entered_at=0.0
     )
@@ -111,7 +113,7 @@
 def test_request_that_cannot_start_in_time_is_refused_at_once():
     """Guard against callers that wait until their deadline before they are refused."""
     host = Host()
-    verdicts = [host.arrive(lasts=3.0) for _ in range(40)]
+    verdicts = [host.arrive(timeout_s=3.0) for _ in range(40)]
     refused = [verdict for verdict in verdicts if isinstance(verdict, Refused)]
     assert refused
     assert {verdict.kind for verdict in refused} <= {Kind.OVERLOADED, Kind.TEAM_LIMIT}
@@ -122,8 +124,8 @@
     """Guard against a queued caller without an answer when the endpoint stops answering."""
     host = Host()
     for _ in range(8):
-        host.arrive(lasts=60.0)
-    assert host.arrive(lasts=6.0) is None
+        host.arrive(timeout_s=60.0)
+    assert host.arrive(timeout_s=6.0) is None
     host.now = 6.0
     ((_, verdict),) = host.core.advance(host.view, host.now, host.random)
     assert verdict.kind is Kind.DEADLINE
@@ -136,8 +138,8 @@
     Then a slot becomes free there; the request must not run in it.
     """
     host = Host()
-    running = [host.arrive(lasts=60.0) for _ in range(8)]
-    assert host.arrive(lasts=60.0) is None
+    running = [host.arrive(timeout_s=60.0) for _ in range(8)]
+    assert host.arrive(timeout_s=60.0) is None
     teams = host.published.teams
     bound = {**teams, "desk": teams["desk"]._replace(home="rodrigues", bound=True)}
     host.view = host.view._replace(published=host.published._replace(teams=bound))
@@ -242,7 +244,7 @@
         host.now += 0.3
         host.finish(verdict)
     for _ in range(30):
-        host.arrive(profile="report", lasts=600.0)
+        host.arrive(profile="report", timeout_s=600.0)
     verdict = host.arrive(profile="urgent")
     assert isinstance(verdict, Admitted)
     assert verdict.route.endpoint in (E0, E1)
--- a/cloverway/tests/test_daemon.py
+++ b/cloverway/tests/test_daemon.py
@@ -8,7 +8,7 @@
 from cloverway.daemon import Daemon
 from cloverway.errors import ConfigurationError
 from cloverway.tests.standins.processes import Ports, Process
-from cloverway.tests.standins.topology import PEER_SECRET, HostPlace, make_settings, to_toml
+from cloverway.tests.standins.topology import PEER_SECRET, HostAddresses, make_settings, to_toml
 
 LISTENERS = ("callers", "admin", "peers")
 
@@ -21,7 +21,7 @@
     over processes it would look alive, and SIGTERM would find no one who waits for it.
     """
     ports = Ports()
-    place = HostPlace(*(f"127.0.0.1:{ports.take()}" for _ in range(3)), published_peers="")
+    place = HostAddresses(*(f"127.0.0.1:{ports.take()}" for _ in range(3)), published_peers="")
     host, _, port = getattr(place, taken).rpartition(":")
     secret = tmp_path / "secret"
     secret.write_bytes(PEER_SECRET)
@@ -46,7 +46,7 @@
     The daemon took what it read for the secret when it was long enough. No other host then
     understood it, and nothing said why.
     """
-    place = HostPlace("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", published_peers="")
+    place = HostAddresses("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", published_peers="")
     secret = tmp_path / "secret"
     platform = {"kind": "file", "directory": str(tmp_path)}
     settings = tmp_path / "settings.toml"
--- a/cloverway/tests/test_days.py
+++ b/cloverway/tests/test_days.py
@@ -8,8 +8,8 @@
 import pytest
 
 DAYS = Path(__file__).parents[2] / "deploy" / "days"
-STAND_INS = ("@c0", "@s0", "@z0")
-OF_ONE_SITE = {"deadly": {"dossier-review"}}
+PLACEHOLDERS = ("@c0", "@s0", "@z0")
+SITE_SPECIFIC = {"deadly": {"dossier-review"}}
 """Days that the users gave word by word; their hunts leave them out on other sites."""
 FIELDS = {
     *("at", "kind", "for_s", "share", "count", "x", "gap_s", "how", "on"),
@@ -31,7 +31,7 @@
         assert entry["at"] >= 0
         # A site's own names would leave the day out on every other site.
         named = [entry[key] for key in ("zone", "service", "class") if key in entry]
-        assert set(named) <= OF_ONE_SITE.get(path.stem, set(STAND_INS))
+        assert set(named) <= SITE_SPECIFIC.get(path.stem, set(PLACEHOLDERS))
 
 
 def test_there_are_days():
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -73,18 +73,18 @@
     @rule(
         team=st.sampled_from(TEAMS),
         profile=st.sampled_from(PROFILES),
-        lasts=st.sampled_from([2.0, 30.0, 0.2, -0.1]),
+        timeout_s=st.sampled_from([2.0, 30.0, 0.2, -0.1]),
         passed_on=st.sampled_from([False, False, True]),
         blocks=st.integers(0, 3),
         burst=st.integers(1, 6),
     )
-    def arrive(self, *, team, profile, lasts, passed_on, blocks, burst):
+    def arrive(self, *, team, profile, timeout_s, passed_on, blocks, burst):
         for _ in range(burst):
             self.count += 1
             request = make_request(
                 self.count,
                 self.now,
-                lasts,
+                timeout_s,
                 team=team,
                 profile=profile,
                 body=b"x" * 1024 * blocks,
--- a/cloverway/tests/test_demo.py
+++ b/cloverway/tests/test_demo.py
@@ -16,9 +16,9 @@
     Outcome,
     Plan,
     Step,
-    find_faults,
-    find_repeat_faults,
-    find_stop_faults,
+    find_mismatches,
+    find_repeat_mismatches,
+    find_stop_mismatches,
 )
 from cloverway.tests.fleet.demo import run_platform_call
 
@@ -56,7 +56,7 @@
 def test_answers_that_are_not_as_expected_are_told(
     step: Step, outcome: Outcome, words: str
 ) -> None:
-    faults = list(find_faults(step, outcome))
+    faults = list(find_mismatches(step, outcome))
     assert len(faults) == bool(words)
     assert words in "".join(faults)
 
@@ -67,7 +67,9 @@
 )
 def test_a_second_run_is_told(runs: int, again: Outcome, count: int) -> None:
     deployment: Any = CountingDeployment(runs)
-    assert len(list(find_repeat_faults(deployment, RIVIERE.once, Outcome("one"), again))) == count
+    assert (
+        len(list(find_repeat_mismatches(deployment, RIVIERE.once, Outcome("one"), again))) == count
+    )
 
 
 WHOLE = Outcome("token " * LONG_TOKENS, host="h1")
@@ -85,7 +87,7 @@
 def test_a_stop_that_cuts_a_stream_is_told(
     during: Outcome, after: Outcome, status: int, words: str
 ) -> None:
-    faults = list(find_stop_faults(during, after, status))
+    faults = list(find_stop_mismatches(during, after, status))
     assert len(faults) == bool(words) and words in "".join(faults)
 
 
--- a/cloverway/tests/test_dispatcher.py
+++ b/cloverway/tests/test_dispatcher.py
@@ -60,14 +60,14 @@
     made.stop()
 
 
-def submit(dispatcher, number, lasts=30.0, team="stay"):
-    return dispatcher.submit(make_request(number, 100.0, lasts, team=team))
+def submit(dispatcher, number, timeout_s=30.0, team="stay"):
+    return dispatcher.submit(make_request(number, 100.0, timeout_s, team=team))
 
 
-def fill_and_queue(dispatcher, pool, lasts=30.0):
+def fill_and_queue(dispatcher, pool, timeout_s=30.0):
     """Take both slots and submit a third request, which waits in another thread."""
     admitted = [submit(dispatcher, number) for number in (1, 2)]
-    waiting = pool.submit(submit, dispatcher, 3, lasts)
+    waiting = pool.submit(submit, dispatcher, 3, timeout_s)
     wait_for(lambda: dispatcher.queued() == 1)
     return admitted, waiting
 
@@ -103,7 +103,7 @@
 
     Both slots are occupied by answers that never end; only time passes.
     """
-    _, waiting = fill_and_queue(dispatcher, pool, lasts=4.0)
+    _, waiting = fill_and_queue(dispatcher, pool, timeout_s=4.0)
     clock.now += 4.0
     verdict = waiting.result(TIMEOUT_S)
     assert verdict.kind is Kind.DEADLINE
--- a/cloverway/tests/test_fault_matrix.py
+++ b/cloverway/tests/test_fault_matrix.py
@@ -5,31 +5,31 @@
 import pytest
 
 from cloverway.tests.matrix.runner import run_cell
-from cloverway.tests.matrix.table import CELLS, find_gaps
-from cloverway.tests.matrix.testbed import Bench
+from cloverway.tests.matrix.table import CELLS, list_missing_pairs
+from cloverway.tests.matrix.testbed import FaultTestbed
 
 QUICK = [cell for cell in CELLS if cell.quick]
 
 
 @pytest.fixture(scope="module")
-def bench():
-    started = Bench.from_scratch()
+def testbed():
+    started = FaultTestbed.start()
     yield started
     started.close()
 
 
 @pytest.fixture
-def ready_bench(bench):
-    bench.reset()
-    return bench
+def ready_testbed(testbed):
+    testbed.reset()
+    return testbed
 
 
 def test_table_names_every_fault_at_every_step():
-    assert find_gaps() == []
+    assert list_missing_pairs() == []
 
 
 @pytest.mark.parametrize("cell", QUICK, ids=lambda cell: cell.name)
-def test_cell(ready_bench, cell):
+def test_cell(ready_testbed, cell):
     """What the caller sees and what the endpoints count agree with the cell and its promises."""
-    outcome = run_cell(ready_bench, cell)
-    assert not outcome.faults, outcome
+    outcome = run_cell(ready_testbed, cell)
+    assert not outcome.violations, outcome
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -8,7 +8,7 @@
 
 from cloverway.core.quarantine import Crash
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
 MAX_CRASHES = 3
@@ -46,7 +46,7 @@
         endpoint.answer = answer
 
     def _crash(self, endpoint):
-        if endpoint.is_gone:
+        if endpoint.is_down:
             return
         self.crashed.append(endpoint.name)
         endpoint.crash()
@@ -101,7 +101,7 @@
             assert float(replies[-1].headers[b"retry-after"]) > 0
             assert (await fleet.call("/stream/a", body=HARMLESS_BODY)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 class RestartingFleet:
@@ -132,13 +132,13 @@
     async def _restart(self, endpoint):
         """Restart an engine, and update its entry a moment later."""
         await asyncio.sleep(0.3)
-        await endpoint.start_again()
+        await endpoint.restart()
         await asyncio.sleep(self.entry_delay_s)
         self.incarnations[endpoint.name] += 1
         self._put(endpoint)
 
     def _put(self, endpoint):
-        entry = endpoint.describe(born=self.incarnations[endpoint.name])
+        entry = endpoint.make_entry(born=self.incarnations[endpoint.name])
         self.fleet.store.put(f"servers/{endpoint.name}", entry)
 
     def is_up_to_date(self):
@@ -177,7 +177,7 @@
                 await asyncio.sleep(0.2)
             assert restarting.crashed <= MAX_CRASHES + 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_two_crashes_count_if_the_entry_still_names_the_first_incarnation():
@@ -198,7 +198,7 @@
             assert restarting.crashed == MAX_CRASHES
             assert (await fleet.call("/stream/a", body=HARMLESS_BODY)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def quarantine_request(crashing, host):
@@ -231,7 +231,7 @@
                 assert (await fleet.call("/stream/a", host, body=HARMLESS_BODY)).status == 200
             assert len(crashing.crashed) == MAX_CRASHES
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_partitioned_host_receives_the_crashes_it_missed():
@@ -258,7 +258,7 @@
                 await crashing.fleet.call("/stream/a", partitioned, body=CRASHING_BODY)
             ).status == 503
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_region_that_refuses_a_quarantined_request_still_gets_others():
@@ -283,7 +283,7 @@
             assert not discarded
             assert len(crashing.crashed) == MAX_CRASHES
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_quarantined_request_is_refused_without_being_queued():
@@ -305,7 +305,7 @@
             assert b"quarantined" in reply.body
             assert float(reply.headers[b"retry-after"]) > 1_000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_served_before_is_not_quarantined_after_simultaneous_crashes():
@@ -321,7 +321,7 @@
             engines = [fleet.endpoints[f"model-{number}"] for number in range(4)]
             for engine in engines[:3]:
                 engine.requests.clear()
-                engine.answer = engine.answer_never
+                engine.answer = engine.never_answer
             calls = [
                 asyncio.create_task(fleet.call("/cut/a", body=HARMLESS_BODY)) for _ in range(12)
             ]
@@ -332,7 +332,7 @@
             assert 502 in {reply.status for reply in replies}
             assert (await fleet.call("/cut/a", body=HARMLESS_BODY)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_queued_request_is_not_sent_once_crashes_are_reported():
@@ -362,7 +362,7 @@
             engines = host.directory.endpoints.values()
             assert not any(engine.load.get_own_load().running for engine in engines)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_resets_by_running_engines_do_not_quarantine_a_request():
@@ -383,7 +383,7 @@
                         exchange.connection.abort()
                     else:
                         await asyncio.sleep(0.05)
-                        await endpoint.answer_plainly(exchange)
+                        await endpoint.answer_ok(exchange)
 
                 endpoint.answer = answer
             for _ in range(MAX_ROUNDS):
@@ -395,7 +395,7 @@
             assert len(set(reset_engines)) == MAX_CRASHES + 1
             assert (await fleet.call("/safe/a", body=CRASHING_BODY)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_engine_that_stops_responding_counts_as_crashed():
@@ -414,11 +414,11 @@
             host = fleet.hosts[0]
             await wait_for(lambda: host.directory.configuration.version == fleet.version)
             for endpoint in fleet.endpoints.values():
-                endpoint.answer = endpoint.answer_never
+                endpoint.answer = endpoint.never_answer
             first = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
             second = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
             assert (first.status, second.status) == (504, 502)
             third = await fleet.call("/stream/a", body=CRASHING_BODY, deadline_ms=9000)
             assert third.status == 503
 
-    play(scenario)
+    run_scenario(scenario)
