--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -12,7 +12,7 @@
 from cloverway.serving.clock import read_clock
 from cloverway.serving.documents.catalogue import MAX_FOLLOWER_AGE_S
 from cloverway.serving.http.client import ClientExchange, fetch, make_request
-from cloverway.tests.fleet.deployment import play, read_reply, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import read_reply, run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service, take_ports
 
 
@@ -32,7 +32,7 @@
             assert float(reply.headers[b"retry-after"]) > 0
             assert not host.members.own.ready
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_before_the_first_configuration_waits_for_it_briefly():
@@ -49,7 +49,7 @@
             reply = await fleet.call("/safe/a", host)
             assert reply.status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_that_cannot_read_the_store_gets_its_documents_from_a_peer():
@@ -62,7 +62,7 @@
             reply = await fleet.call("/new/a", cut_off)
             assert reply.status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_two_hosts_of_a_domain_read_the_store_and_the_others_follow_them():
@@ -88,7 +88,7 @@
             fleet.store.delete("op/evacuate/d1")
             await wait_for(lambda: not any(h.directory.evacuated for h in fleet.hosts), 1.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_followers_read_the_store_when_no_reader_can():
@@ -110,7 +110,7 @@
             fleet.store.put("op/evacuate/d1", {})
             await wait_for(lambda: all(h.directory.evacuated for h in fleet.hosts), 3.9)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_leaving_host_is_not_ready_keeps_answering_and_later_refuses_as_not_run():
@@ -131,10 +131,10 @@
             late = await fleet.call("/once/a")
             assert late.status == 503
             reply = await read_reply(sending)
-            assert reply.body.count(b"data:") == 20 or not reply.whole
+            assert reply.body.count(b"data:") == 20 or not reply.complete
             await leaving
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_leaving_host_reads_the_request_on_a_connection_that_was_just_opened(monkeypatch):
@@ -162,7 +162,7 @@
             assert reply.status == 503
             await leaving
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_lookup_names_the_hosts_of_the_callers_domain():
@@ -178,7 +178,7 @@
             assert status == 200
             assert set(addresses) == north
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def look_up(fleet, host):
@@ -211,7 +211,7 @@
             status, addresses = await look_up(fleet, other)
             assert (status, len(addresses)) == (200, 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("how", ["compact", "silent", "busy"])
@@ -236,7 +236,7 @@
                 lambda: fleet.hosts[0].directory.configuration.version == fleet.version, 4.0
             )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_long_prompt_is_broadcast_to_the_region_at_once(monkeypatch):
@@ -256,14 +256,14 @@
                 for peer in host.members.peers.values():
                     peer.request_rate = 10.0
             for endpoint in fleet.endpoints.values():
-                endpoint.answer = endpoint.answer_never
+                endpoint.answer = endpoint.never_answer
             tokens = (b"X-Cloverway-Token-Usage", b"9000,50")
             sending = await fleet.begin_call("/stream/", first, headers=(tokens,))
             endpoints = second.directory.endpoints.values()
             await wait_for(lambda: any(e.load.backlog(read_clock()) for e in endpoints), 1.0)
             sending.connection.abort()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_newcomer_learns_of_the_other_hosts_at_once(monkeypatch):
@@ -281,7 +281,7 @@
             joining_host = await fleet.add_host()
             await wait_for(lambda: len(joining_host.members.peers) == 12, 1.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_hosts_that_start_together_discover_each_other_within_half_a_second():
@@ -300,7 +300,7 @@
             late = await fleet.add_host(ports=ports, seeds=())
             await wait_for(lambda: late.members.peers and early_reply.members.peers, 0.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_starting_host_receives_the_capacity_of_other_regions_at_once():
@@ -323,7 +323,7 @@
                 0.5,
             )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_all_prefixes_of_the_store_are_read_at_the_same_time():
@@ -350,4 +350,4 @@
             assert (await store.read_all()).revision == 7
             assert len(set(requested_prefixes)) == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -11,7 +11,7 @@
 from cloverway.serving.context import PEER_SYNC_WAIT_S
 from cloverway.serving.early_sockets import open_control_socket
 from cloverway.serving.hosts.messages import CODEC, CrashReport, Heartbeat
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import take_ports
 
 DEADLY = 7
@@ -63,7 +63,7 @@
                 )
                 assert read_clock() - began_at < SYNC_TIMEOUT_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def delay_datagrams(host, seconds):
@@ -100,7 +100,7 @@
             assert not [e for e in fleet.endpoints.values() if e.requests]
             assert (await fleet.call("/safe/a", new, body=b"fine")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_joining_host_serves_requests_even_if_the_others_send_no_state():
@@ -117,7 +117,7 @@
             assert read_clock() - began_at < PEER_SYNC_WAIT_S + 0.3
             await wait_for(lambda: new.members.own.ready, 1.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_that_is_still_loading_receives_the_state_of_the_others(tmp_path):
@@ -145,4 +145,4 @@
             assert any(isinstance(message, CrashReport) for message in received)
             early.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -6,7 +6,7 @@
 
 from cloverway.core.statements import Statement
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 
 DRAIN_S = 4.0
 """Time after an endpoint's announcement from which it must get no more requests."""
@@ -23,7 +23,7 @@
 
     async def answer(self, exchange):
         self.arrivals.append(read_clock())
-        headers = self.endpoint.head(exchange)
+        headers = self.endpoint.make_head(exchange)
         if self.is_leaving:
             headers.append((b"Server-Leaving", b"1"))
         await exchange.answer(200, headers, b"ran at " + self.endpoint.name.encode())
@@ -52,7 +52,7 @@
             assert await send_load(fleet, fleet.hosts[0], DRAIN_S + 1.5) == {200}
             assert max(leaving.arrivals) < announced_at + DRAIN_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_avoids_a_leaving_endpoint_that_only_another_host_knew_of():
@@ -70,7 +70,7 @@
             assert await send_load(fleet, second, 1.0) == {200}
             assert len(leaving.arrivals) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_placed_before_the_endpoint_leaves_is_sent_elsewhere():
@@ -94,7 +94,7 @@
             assert host.directory.endpoints["desk-0"].has_announced_leaving
             assert leaving.arrivals == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def wait_until_leaving_is_known(fleet, host):
--- a/cloverway/tests/test_fleet_limits.py
+++ b/cloverway/tests/test_fleet_limits.py
@@ -6,7 +6,7 @@
 
 from cloverway.core.cold_start import MIN_HOST_AGE_S
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 
 LIMIT_PER_S = 2.0
 WINDOW_S = 4.0
@@ -29,7 +29,7 @@
 
     async def answer(self, exchange):
         self.arrivals.append(read_clock())
-        headers = self.endpoint.head(exchange)
+        headers = self.endpoint.make_head(exchange)
         if self.limit is not None:
             headers.append((b"Server-Limit", self.limit))
             self.stated_at = self.stated_at or read_clock()
@@ -74,7 +74,7 @@
             refused = [reply for reply in replies if reply.status == 503]
             assert all(float(reply.headers[b"retry-after"]) > 0 for reply in refused)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_keeps_to_a_limit_that_only_another_host_received():
@@ -91,7 +91,7 @@
             assert 1 <= len(limited.arrivals) <= 3
             assert {reply.status for reply in replies} == {200, 503}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_are_sent_to_endpoints_without_a_limit():
@@ -102,7 +102,7 @@
             LimitedEndpoint(fleet.endpoints["desk-0"], b"1")
             assert {reply.status for reply in await send_load(fleet, fleet.hosts, 3.0)} == {200}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_the_limit_would_delay_too_long_is_refused_at_once():
@@ -120,7 +120,7 @@
             assert float(reply.headers[b"retry-after"]) >= 1.0
             assert len(limited.arrivals) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_limit_ends_when_the_endpoint_no_longer_states_it():
@@ -137,4 +137,4 @@
             assert [host.directory.count_limited() for host in fleet.hosts] == [0, 0]
             assert {reply.status for reply in await send_load(fleet, fleet.hosts, 1.0)} == {200}
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_pauses.py
+++ b/cloverway/tests/test_fleet_pauses.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario
 from cloverway.tests.fleet.standins import make_route, make_service
 
 PAUSE_S = 2.0
@@ -28,7 +28,7 @@
         self.arrivals.append(now)
         self.until = self.until or now + PAUSE_S
         if now >= self.until:
-            await self.endpoint.answer_plainly(exchange)
+            await self.endpoint.answer_ok(exchange)
             return
         retry_after = (b"Retry-After", b"%g" % (self.until - now))
         not_run = (b"X-Cloverway-Not-Executed", b"1")
@@ -61,7 +61,7 @@
             )
             assert (await fleet.call("/safe/a")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_are_sent_to_endpoints_without_a_pause():
@@ -76,4 +76,4 @@
             assert {reply.status for reply in await send_load(fleet, 1.5)} == {200}
             assert pausing.count_in_pause() <= MAX_IN_PAUSE
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cloverway.serving.http.client import fetch, make_request
-from cloverway.tests.fleet.deployment import count_runs, play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import count_runs, run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
 
@@ -33,7 +33,7 @@
             assert len(endpoint.requests) == 1
             assert count_runs(fleet, "desk") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_failure_of_the_only_endpoint_of_a_region_is_retried_in_another():
@@ -54,14 +54,14 @@
             endpoint = fleet.endpoints["desk-0"]
 
             async def fail(exchange):
-                await exchange.answer(500, endpoint.head(exchange), b"")
+                await exchange.answer(500, endpoint.make_head(exchange), b"")
 
             endpoint.answer = fail
             reply = await fleet.call("/safe/a", north)
             assert (reply.status, reply.body) == (200, b"ran at far-0")
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_places_of_another_region_are_free_again_after_each_request():
@@ -82,7 +82,7 @@
             replies = [await fleet.call("/once/a", north) for _ in range(20)]
             assert [reply.status for reply in replies] == [200] * 20
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_capacity_advertised_after_a_request_was_sent_outlives_its_refusal():
@@ -107,7 +107,7 @@
             target_selector.discard_offers("south", "desk", peer.advertised_at)
             assert "desk" not in peer.advertised
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_host_with_an_older_configuration_declines_a_passed_on_request():
@@ -141,7 +141,7 @@
             assert head.get(b"cloverway-ran") == b"no"
             assert count_runs(fleet, "desk") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_region_without_capacity_gets_no_requests():
@@ -163,7 +163,7 @@
 
             await wait_for(offers_room)
             assert (await fleet.call("/safe/a", north)).body == b"ran at far-0"
-            fleet.store.put("servers/far-0", remote.describe(state="draining"))
+            fleet.store.put("servers/far-0", remote.make_entry(state="draining"))
             await wait_for(lambda: not offers_room(), 3.0)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_requests.py
+++ b/cloverway/tests/test_fleet_requests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cloverway.serving.http.client import ResponseError
-from cloverway.tests.fleet.deployment import count_runs, play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import count_runs, run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
 
@@ -15,7 +15,7 @@
             reply = await fleet.call(
                 "/safe/a/b?q=1&r=%20", headers=((b"X-Own", b"kept"), (b"Connection", b"x-hop"))
             )
-            assert (reply.status, reply.body, reply.whole) == (200, b"ran at desk-0", True)
+            assert (reply.status, reply.body, reply.complete) == (200, b"ran at desk-0", True)
             assert reply.headers[b"x-cloverway-response-seal"] == b"1.2.3"
             (seen,) = fleet.endpoints["desk-0"].requests
             fields = dict(seen.headers)
@@ -24,7 +24,7 @@
             assert fields[b"x-cloverway-target-instance"] == b"desk-0"
             assert 2000 < int(fields[b"x-cloverway-deadline-ms"]) <= 3000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_reserved_headers_of_a_caller_are_dropped():
@@ -53,7 +53,7 @@
             assert not {b"x-cloverway-hold", b"x-cloverway-pin-ms", b"kv-from"} & set(names)
             assert b"x-cloverway-kv-backup" not in names
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_path_without_a_route_is_not_found():
@@ -62,7 +62,7 @@
             reply = await fleet.call("/nothing/here")
             assert reply.status == 404
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_non_idempotent_request_is_not_retried_after_a_lost_connection():
@@ -75,40 +75,40 @@
     async def scenario():
         async with run_fleet() as fleet:
             for name in ("desk-0", "desk-1"):
-                fleet.endpoints[name].answer = fleet.endpoints[name].break_off
+                fleet.endpoints[name].answer = fleet.endpoints[name].abort_connection
             reply = await fleet.call("/once/a")
             assert reply.status == 502
             assert count_runs(fleet, "desk") == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_non_idempotent_request_is_retried_after_not_run():
     async def scenario():
         async with run_fleet() as fleet:
             first, second = fleet.endpoints["desk-0"], fleet.endpoints["desk-1"]
-            first.answer = first.answer_not_run
-            second.answer = second.answer_not_run
+            first.answer = first.answer_not_executed
+            second.answer = second.answer_not_executed
             reply = await fleet.call("/once/a")
             assert reply.status == 503
             assert float(reply.headers[b"retry-after"]) > 0
             assert count_runs(fleet, "desk") == 2
-            second.answer = second.answer_plainly
+            second.answer = second.answer_ok
             replies = [await fleet.call("/once/a") for _ in range(3)]
             assert {reply.status for reply in replies} == {200}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_idempotent_request_is_retried_after_a_lost_connection():
     async def scenario():
         async with run_fleet() as fleet:
             first = fleet.endpoints["desk-0"]
-            first.answer = first.break_off
+            first.answer = first.abort_connection
             replies = [await fleet.call("/safe/a") for _ in range(4)]
             assert {reply.status for reply in replies} == {200}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_in_progress_is_never_reported_as_not_run():
@@ -126,13 +126,13 @@
             )
             await wait_for(lambda: fleet.hosts[0].directory.configuration.version == fleet.version)
             endpoint = fleet.endpoints["desk-0"]
-            endpoint.answer = endpoint.answer_never
+            endpoint.answer = endpoint.never_answer
             reply = await fleet.call("/once/a")
             assert len(endpoint.requests) == 1
             assert reply.status == 504
             assert b"retry-after" not in reply.headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_run_is_cancelled_when_its_caller_leaves():
@@ -145,14 +145,14 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
-            endpoint.answer = endpoint.answer_never
+            endpoint.answer = endpoint.never_answer
             sending = await fleet.begin_call("/once/a")
             await wait_for(lambda: endpoint.requests)
             sending.connection.abort()
             await wait_for(lambda: endpoint.cancelled, 0.5)
             assert fleet.hosts[0].caller_server.in_progress == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_response_to_another_request_is_skipped():
@@ -171,13 +171,13 @@
                     b"X-Cloverway-Response-Seal: 9\r\nContent-Length: 5\r\n\r\nother"
                 )
                 exchange.connection.write(stale)
-                await endpoint.answer_plainly(exchange)
+                await endpoint.answer_ok(exchange)
 
             endpoint.answer = answer_twice
             reply = await fleet.call("/once/a")
             assert (reply.status, reply.body) == (200, b"ran at desk-0")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_response_without_a_signature_is_not_relayed():
@@ -188,19 +188,19 @@
             reply = await fleet.call("/once/a")
             assert reply.status == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_error_response_of_an_endpoint_is_relayed_unchanged():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
-            endpoint.answer = lambda e: e.answer(500, endpoint.head(e), b"no stock")
+            endpoint.answer = lambda e: e.answer(500, endpoint.make_head(e), b"no stock")
             reply = await fleet.call("/once/a")
             assert (reply.status, reply.body) == (500, b"no stock")
             assert b"x-cloverway-response-seal" in reply.headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_resumes_at_another_endpoint_after_its_last_complete_event():
@@ -219,31 +219,31 @@
                     last = dict(exchange.headers).get(b"last-event-id")
                     asked.append(last)
                     if last is None:
-                        await endpoint.stream(1, 2, breaks=True)(exchange)
+                        await endpoint.stream(1, 2, aborts=True)(exchange)
                     else:
                         await endpoint.stream(int(last) + 1, 5)(exchange)
 
                 endpoint.answer = answer
             reply = await fleet.call("/stream/a")
             expected = b"".join(b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, 6))
-            assert (reply.status, reply.body, reply.whole) == (200, expected, True)
+            assert (reply.status, reply.body, reply.complete) == (200, expected, True)
             assert asked == [None, b"2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_may_not_be_resumed_is_truncated():
     async def scenario():
         async with run_fleet() as fleet:
             for endpoint in (fleet.endpoints["model-0"], fleet.endpoints["model-1"]):
-                endpoint.answer = endpoint.stream(1, 2, breaks=True)
+                endpoint.answer = endpoint.stream(1, 2, aborts=True)
             reply = await fleet.call("/cut/a")
             assert reply.status == 200
-            assert not reply.whole
+            assert not reply.complete
             assert reply.body.endswith(b"token 2\n\n")
             assert count_runs(fleet, "model") == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_events_are_relayed_as_they_arrive():
@@ -257,7 +257,7 @@
             assert len(endpoint.requests) == 1
             assert not sending.is_complete
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_misdirected_request_is_run_by_another_endpoint():
@@ -274,7 +274,7 @@
             replies = [await fleet.call("/once/a") for _ in range(4)]
             assert {reply.body for reply in replies} == {b"ran at desk-1"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_ambiguous_requests_are_refused_and_the_connection_is_closed():
@@ -299,7 +299,7 @@
             assert data.count(b"HTTP/1.1") == 1
             assert count_runs(fleet, "desk") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_body_over_the_limit_is_refused():
@@ -309,7 +309,7 @@
             assert reply.status == 413
             assert count_runs(fleet, "desk") == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_chunked_body_is_received_completely():
@@ -323,18 +323,18 @@
             assert (await connection.receive()).startswith(b"HTTP/1.1 200")
             assert fleet.endpoints["desk-0"].requests[0].body == b"abcde"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_reading_a_truncated_response_raises_an_error():
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["model-0"]
-            endpoint.answer = endpoint.stream(1, 1, breaks=True)
+            endpoint.answer = endpoint.stream(1, 1, aborts=True)
             sending = await fleet.begin_call("/cut/a")
             await sending.read_head(lambda head: True)
             with pytest.raises(ResponseError):
                 while await sending.read_chunk():
                     continue
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_restarts.py
+++ b/cloverway/tests/test_fleet_restarts.py
@@ -8,8 +8,8 @@
 
 from cloverway.core.endpoints import REFUSED_BACKOFF_S
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
-from cloverway.tests.fleet.standins import make_route, make_service, share_part
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
+from cloverway.tests.fleet.standins import make_route, make_service, make_shared_prefix_headers
 
 ENGINE = {"slots": 8, "kvTokens": 300_000, "kvTokenBytes": 18_432, "linkMbps": 180_000}
 
@@ -61,25 +61,25 @@
                     before = len(first.requests)
                     await asyncio.sleep(0.2)
                     assert len(first.requests) == before
-                    fleet.store.put("servers/desk-0", first.describe(sequence=7))
+                    fleet.store.put("servers/desk-0", first.make_entry(sequence=7))
                     await wait_for(lambda: list_usable(fleet) == {"desk-0", "desk-1"}, 2.5)
             assert {reply.status for reply in replies} == {200}
             assert fleet.hosts[0].directory.endpoints.keys() >= {"model-0", "model-1"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_malformed_entries_do_not_delay_valid_ones():
     async def scenario():
         async with run_fleet(hosts=0) as fleet:
-            fleet.store.page = 500
+            fleet.store.page_size = 500
             for number in range(1_000):
                 fleet.store.put_bytes(f"servers/a-{number}", b"\xff" * 300)
             host = await fleet.add_host()
             await wait_for(lambda: len(host.directory.endpoints) == 4, 2.0)
             assert (await fleet.call("/safe/")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_endpoint_restarts_under_load():
@@ -92,13 +92,13 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             first = fleet.endpoints["desk-0"]
-            fleet.store.put("servers/desk-0", first.describe(born=1_000))
+            fleet.store.put("servers/desk-0", first.make_entry(born=1_000))
             await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 1_000)
             await fleet.call("/once/")
             old = [exchange.connection for exchange in first.requests]
-            fleet.store.put("servers/desk-0", first.describe(born=1_000, state="draining"))
+            fleet.store.put("servers/desk-0", first.make_entry(born=1_000, state="draining"))
             await wait_for(lambda: get_entry(fleet, "desk-0").draining)
-            fleet.store.put("servers/desk-0", first.describe(born=2_000))
+            fleet.store.put("servers/desk-0", first.make_entry(born=2_000))
             began = read_clock()
             await wait_for(lambda: get_entry(fleet, "desk-0").started_ms == 2_000)
             count = len(first.requests)
@@ -106,11 +106,11 @@
             assert read_clock() - began < 1.0
             assert first.requests[count].connection not in old
             # The last entry of the previous incarnation arrives late.
-            fleet.store.put("servers/desk-0", first.describe(born=1_000, state="draining"))
+            fleet.store.put("servers/desk-0", first.make_entry(born=1_000, state="draining"))
             await asyncio.sleep(1.2)
             assert (await fleet.call("/once/")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_no_segments_are_fetched_from_a_restarted_engine():
@@ -129,20 +129,20 @@
             engines = [fleet.endpoints[name] for name in ("model-0", "model-1")]
             for engine in engines:
                 engine.answer = engine.stream(1, 2)
-                fleet.store.put(f"servers/{engine.name}", engine.describe(born=1_000))
+                fleet.store.put(f"servers/{engine.name}", engine.make_entry(born=1_000))
             known = host.directory.endpoints
             await wait_for(lambda: all(get_entry(fleet, e.name).started_ms for e in engines))
-            await fleet.call("/cut/", headers=share_part(1, 1_000))
+            await fleet.call("/cut/", headers=make_shared_prefix_headers(1, 1_000))
             holder = next(engine for engine in engines if engine.requests)
             await wait_for(lambda: not known[holder.name].load.backlog(read_clock()))
-            fleet.store.put(f"servers/{holder.name}", holder.describe(born=2_000))
+            fleet.store.put(f"servers/{holder.name}", holder.make_entry(born=2_000))
             await wait_for(lambda: get_entry(fleet, holder.name).started_ms == 2_000)
-            await fleet.call("/cut/", headers=share_part(3, 1_000))
+            await fleet.call("/cut/", headers=make_shared_prefix_headers(3, 1_000))
             sent = [exchange for engine in engines for exchange in engine.requests]
             assert len(sent) == 2
             assert all(b"kv-fetch" not in dict(exchange.headers) for exchange in sent)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_address_taken_over_by_another_endpoint_is_not_tried_by_each_request():
@@ -159,7 +159,7 @@
             assert {reply.body for reply in replies} == {b"ran at desk-1"}
             assert len(first.requests) <= 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_endpoint_that_refuses_connections_is_not_tried_for_a_moment():
@@ -173,12 +173,12 @@
         async with run_fleet() as fleet:
             fleet.endpoints["desk-0"].crash()
             busy = fleet.endpoints["desk-1"]
-            fleet.store.put("servers/desk-1", busy.describe(slots=1, sequence=2))
+            fleet.store.put("servers/desk-1", busy.make_entry(slots=1, sequence=2))
             await wait_for(lambda: get_entry(fleet, "desk-1").slots == 1)
 
             async def answer_slowly(exchange):
                 await asyncio.sleep(0.05)
-                await busy.answer_plainly(exchange)
+                await busy.answer_ok(exchange)
 
             busy.answer = answer_slowly
             opened = []
@@ -190,7 +190,7 @@
             tries = 2 + math.ceil((read_clock() - began) / REFUSED_BACKOFF_S)
             assert opened.count(fleet.endpoints["desk-0"].address) <= tries
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_are_queued_while_the_only_endpoint_restarts():
@@ -209,4 +209,4 @@
             replies = await asyncio.gather(*calls)
             assert {reply.status for reply in replies} == {200}
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -7,8 +7,8 @@
 import pytest
 
 from cloverway.serving.clock import read_clock
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
-from cloverway.tests.fleet.standins import make_route, make_service, share_part
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
+from cloverway.tests.fleet.standins import make_route, make_service, make_shared_prefix_headers
 
 
 def test_an_idempotent_request_is_run_elsewhere_when_an_endpoint_hangs():
@@ -21,12 +21,12 @@
     async def scenario():
         async with run_fleet() as fleet:
             first = fleet.endpoints["desk-0"]
-            first.answer = first.answer_never
+            first.answer = first.never_answer
             replies = [await fleet.call("/safe/a") for _ in range(3)]
             assert {reply.status for reply in replies} == {200}
             assert first.cancelled == len(first.requests) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_non_idempotent_request_is_waited_for_however_long_its_endpoint_is_silent():
@@ -36,14 +36,14 @@
 
             async def answer_late(exchange):
                 await asyncio.sleep(1.8)
-                await endpoint.answer_plainly(exchange)
+                await endpoint.answer_ok(exchange)
 
             endpoint.answer = answer_late
             reply = await fleet.call("/once/a")
             assert reply.status == 200
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_stalled_stream_continues_at_another_endpoint():
@@ -58,17 +58,17 @@
                     if last is not None:
                         await endpoint.stream(int(last) + 1, 4)(exchange)
                         return
-                    exchange.start(200, endpoint.head(exchange))
+                    exchange.start(200, endpoint.make_head(exchange))
                     for number in (1, 2):
                         await exchange.send(b"id: %d\ndata: token %d\n\n" % (number, number))
                     await asyncio.sleep(3600)
 
                 endpoint.answer = answer
             reply = await fleet.call("/stream/a", deadline_ms=8000)
-            assert reply.whole
+            assert reply.complete
             assert reply.body.count(b"data:") == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("pause_s", "strained"), [(0.6, True), (0.0, False)])
@@ -88,17 +88,17 @@
                 await asyncio.sleep(0.7)
                 await second.stream(3, 5, gap_s=pause_s)(exchange)
 
-            first.answer = first.stream(1, 2, breaks=True)
+            first.answer = first.stream(1, 2, aborts=True)
             second.answer = continue_late
             host.directory.endpoints["model-1"].load.note_failure(read_clock())
             reply = await fleet.call("/stream/")
-            assert reply.whole
+            assert reply.complete
             assert reply.body.count(b"id: ") == 5
             loads = [endpoint.load for endpoint in host.directory.endpoints.values()]
             last_event_at = read_clock() - pause_s
             assert any(load.is_saturated(last_event_at) for load in loads) == strained
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 ENGINE = {"slots": 8, "kvTokens": 300_000, "kvTokenBytes": 18_432, "linkMbps": 180_000}
@@ -137,21 +137,21 @@
             engines = [fleet.endpoints[name] for name in ("model-0", "model-1")]
             for endpoint in engines:
                 endpoint.answer = endpoint.stream(1, 2)
-            await fleet.call("/cut/", headers=share_part(1, 1_000))
+            await fleet.call("/cut/", headers=make_shared_prefix_headers(1, 1_000))
             holder = next(endpoint for endpoint in engines if endpoint.requests)
             other = next(endpoint for endpoint in engines if not endpoint.requests)
             load = fleet.hosts[0].directory.endpoints[holder.name].load
             await wait_for(lambda: not load.backlog(read_clock()))
-            holder.answer = holder.answer_never
-            waiting = await fleet.begin_call("/cut/", headers=share_part(2, 9_000))
+            holder.answer = holder.never_answer
+            waiting = await fleet.begin_call("/cut/", headers=make_shared_prefix_headers(2, 9_000))
             await wait_for(lambda: len(holder.requests) == 2)
-            await fleet.call("/cut/", headers=share_part(3, 1_000))
+            await fleet.call("/cut/", headers=make_shared_prefix_headers(3, 1_000))
             fields = dict(other.requests[0].headers)
             assert fields[b"kv-fetch"] == holder.address.encode()
             assert b"kv-fetch" not in dict(holder.requests[1].headers)
             waiting.connection.abort()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_would_exceed_its_timeout_in_the_queue_is_refused_at_once():
@@ -172,7 +172,7 @@
             assert float(reply.headers[b"retry-after"]) >= 3.0
             assert not fleet.endpoints["model-0"].requests
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_can_only_miss_its_objective_is_still_served():
@@ -191,4 +191,4 @@
             assert reply.status == 200
             assert read_clock() - sent_at > 0.5
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_fleet_soak.py
+++ b/cloverway/tests/test_fleet_soak.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cloverway.tests.fleet.invariants import check_answer, check_ends
+from cloverway.tests.fleet.invariants import check_crashes, check_response
 from cloverway.tests.fleet.soak import Soak
-from cloverway.tests.fleet.soak_parts import Fault, Seen
+from cloverway.tests.fleet.soak_parts import CallRecord, Fault
 
 SECONDS = 6.0
 SEEDS = (1,)
@@ -18,7 +18,7 @@
 def test_promises_hold_under_random_faults(seed, tmp_path):
     soak = Soak(seed, tmp_path)
     assert asyncio.run(soak.run(SECONDS)) == []
-    assert sum(seen.whole for seen in soak.seen) > 100
+    assert sum(seen.complete for seen in soak.seen) > 100
 
 
 class Ran:
@@ -41,18 +41,18 @@
 )
 def test_the_soak_sees_each_broken_promise(route, status, body, runs, what):
     faults = [Fault("replace", 9.0, 10.0)]
-    seen = Seen("c-1", route, "h", 10.0, 10.5, status, bool(status), body)
-    found = list(check_answer(seen, [Ran()] * runs, faults))
+    seen = CallRecord("c-1", route, "h", 10.0, 10.5, status, bool(status), body)
+    found = list(check_response(seen, [Ran()] * runs, faults))
     assert any(what in violation for violation in found), found
 
 
 def test_a_cut_beside_an_unplanned_fault_is_no_broken_promise():
     faults = [Fault("replace", 9.0, 10.0), Fault("kill", 8.0, 9.0)]
-    seen = Seen("c-1", "once", "h", 10.0, 10.5, 0, False, b"")
-    assert list(check_answer(seen, [Ran()], faults)) == []
+    seen = CallRecord("c-1", "once", "h", 10.0, 10.5, 0, False, b"")
+    assert list(check_response(seen, [Ran()], faults)) == []
 
 
 def test_the_soak_sees_a_request_that_goes_on_to_end_endpoints():
-    assert list(check_ends("r", [1.0, 1.2, 1.5, 1.6, 1.7, 1.8, 3.4, 3.6, 3.7, 3.8])) == []
-    assert list(check_ends("r", [1.0])) == []
-    assert list(check_ends("r", [1.0, 1.2, 1.5, 3.6, 3.7, 3.8, 3.9])) != []
+    assert list(check_crashes("r", [1.0, 1.2, 1.5, 1.6, 1.7, 1.8, 3.4, 3.6, 3.7, 3.8])) == []
+    assert list(check_crashes("r", [1.0])) == []
+    assert list(check_crashes("r", [1.0, 1.2, 1.5, 3.6, 3.7, 3.8, 3.9])) != []
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -47,7 +47,7 @@
 
 
 def test_list_lets_an_unknown_state_get_no_work(service: Platform, platform: HttpPlatform) -> None:
-    service.list_as(hosts={"a": "live", "b": "leaving"}, endpoints={"e": "rebooting"})
+    service.set_listed(hosts={"a": "live", "b": "leaving"}, endpoints={"e": "rebooting"})
     states = platform.list_states()
     assert states.hosts == {"a": Listed.LIVE, "b": Listed.LEAVING}
     assert states.endpoints == {"e": Listed.LEAVING}
--- a/cloverway/tests/test_incarnations.py
+++ b/cloverway/tests/test_incarnations.py
@@ -10,7 +10,7 @@
 from cloverway.core.quarantine import Crash
 from cloverway.serving.clock import read_clock
 from cloverway.serving.requests import incarnations
-from cloverway.tests.fleet.deployment import play, run_fleet, wait_for
+from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import make_route, make_service
 
 DIGEST = 7
@@ -43,15 +43,15 @@
 
     async def scenario():
         async with run_engine() as (fleet, engine, host):
-            engine.answer = engine.break_off
+            engine.answer = engine.abort_connection
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 502
             (crash,) = host.context.quarantine.list_updates(0.0, 9).crashes
-            engine.answer = engine.answer_plainly
+            engine.answer = engine.answer_ok
             assert (await fleet.call("/cut/a", body=SUSPECTED)).status == 200
-            assert engine.questions == 1
+            assert engine.state_requests == 1
             assert not host.context.quarantine.has_crashed(crash.digests[0], crash.incarnation)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_crashed_engine_is_not_sent_the_request():
@@ -63,7 +63,7 @@
             assert known.is_down(read_clock())
             assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_engine_that_does_not_answer_the_query_is_not_sent_the_request(monkeypatch):
@@ -73,11 +73,11 @@
     async def scenario():
         async with run_engine() as (_, engine, host):
             known = pretend_crash(host)
-            engine.tell_state = engine.answer_never
+            engine.answer_state = engine.never_answer
             assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.load.failures(read_clock()) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_restart_is_known_before_its_entry_and_treated_as_cold():
@@ -91,34 +91,34 @@
             )
             await wait_for(lambda: host.directory.configuration.version == fleet.version)
             known = pretend_crash(host)
-            engine.born = 5
+            engine.start_time_ms = 5
             assert not await host.context.incarnations.may_send(known, DIGEST)
             restarted = host.directory.endpoints["engine"]
             assert restarted.entry.started_ms == 5
             assert restarted.is_cold(read_clock() + 15.0)
             assert await host.context.incarnations.may_send(restarted, DIGEST), "no crash there yet"
-            assert engine.questions == 1
+            assert engine.state_requests == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("published", "answered", "questions"), [(1, None, 1), (None, 1, 0), (5, 1, 1)], ids=str
+    ("published", "answered", "state_requests"), [(1, None, 1), (None, 1, 0), (5, 1, 1)], ids=str
 )
 def test_an_engine_without_a_comparable_start_time_is_used_as_before(
-    published, answered, questions
+    published, answered, state_requests
 ):
     """The engine or its entry has no start time, or the engine states an earlier one."""
 
     async def scenario():
         async with run_engine(published) as (_, engine, host):
             known = pretend_crash(host)
-            engine.born = answered
+            engine.start_time_ms = answered
             assert await host.context.incarnations.may_send(known, DIGEST)
             assert host.context.quarantine.has_crashed(DIGEST, known.entry.incarnation)
-            assert engine.questions == questions
+            assert engine.state_requests == state_requests
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_misdirected_query_counts_as_gone():
@@ -129,11 +129,11 @@
             async def misdirect(exchange):
                 await exchange.answer(421, [], b"")
 
-            engine.tell_state = misdirect
+            engine.answer_state = misdirect
             assert not await host.context.incarnations.may_send(known, DIGEST)
             assert known.is_leaving(read_clock())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_one_query_serves_all_requests_of_a_crashed_engine():
@@ -150,9 +150,9 @@
             await asyncio.sleep(0)
             checks[0].cancel()
             assert await asyncio.gather(*checks[1:]) == [True] * 59
-            assert engine.questions == 1
+            assert engine.state_requests == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_without_crashes_causes_no_query():
@@ -160,6 +160,6 @@
         async with run_engine() as (fleet, engine, host):
             pretend_crash(host)
             assert (await fleet.call("/cut/a")).status == 200
-            assert engine.questions == 0
+            assert engine.state_requests == 0
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_planned_stop.py
+++ b/cloverway/tests/test_planned_stop.py
@@ -16,19 +16,19 @@
 
 
 def list_names(fleet: Fleet, host: str) -> list[str]:
-    return [found["name"] for found in Caller(fleet.url(host)).hosts()["hosts"]]
+    return [found["name"] for found in Caller(fleet.url(host)).list_hosts()["hosts"]]
 
 
 def replace_under_load(fleet: Fleet, leaving: str, staying: str) -> None:
     """Stop a host while it relays streams, look at what its callers see, and start it again."""
     caller = Caller(fleet.url(leaving))
-    pieces: list[list[bytes]] = [[] for _ in range(STREAMS)]
+    chunks: list[list[bytes]] = [[] for _ in range(STREAMS)]
     with ThreadPoolExecutor(STREAMS) as threads:
         calls = [
-            threads.submit(caller.chat, f"c{n}", tokens=TOKENS, stream=True, pieces=pieces[n])
+            threads.submit(caller.chat, f"c{n}", tokens=TOKENS, stream=True, chunks=chunks[n])
             for n in range(STREAMS)
         ]
-        wait_until(lambda: all(pieces), what="all streams to have begun")
+        wait_until(lambda: all(chunks), what="all streams to have begun")
         fleet.terminate(leaving)
         wait_until(
             lambda: leaving not in list_names(fleet, staying),
@@ -37,7 +37,7 @@
         refused = Caller(fleet.url(leaving)).chat("late")
         assert (refused.kind, refused.ran) == ("leaving", "no")
         assert float(refused.headers["Retry-After"]) > 0
-        assert not [call.result() for call in calls if not call.result().whole]
+        assert not [call.result() for call in calls if not call.result().complete]
     assert fleet.processes[leaving].wait() == 0
     fleet.restart(leaving)
 
@@ -52,7 +52,7 @@
     with Fleet(TOPOLOGY) as fleet:
         replace_under_load(fleet, *HOSTS)
         replace_under_load(fleet, *reversed(HOSTS))
-        assert all(Caller(fleet.url(host)).chat("after").whole for host in HOSTS)
+        assert all(Caller(fleet.url(host)).chat("after").complete for host in HOSTS)
 
 
 def test_a_key_in_hand_can_be_used_after_its_host_was_told_to_leave() -> None:
@@ -63,9 +63,9 @@
     """
     with Fleet(TOPOLOGY) as fleet:
         leaving, staying = (Caller(fleet.url(host)) for host in HOSTS)
-        key = leaving.take_key()
+        key = leaving.request_key()
         fleet.terminate(HOSTS[0])
         use_at = time.monotonic() + HELD_S
         wait_until(lambda: time.monotonic() >= use_at, what="the caller to use its key")
-        assert staying.serve("two cartons", key=key).whole
+        assert staying.call_service("two cartons", key=key).complete
         assert fleet.processes[HOSTS[0]].running
--- a/cloverway/tests/test_routing.py
+++ b/cloverway/tests/test_routing.py
@@ -207,7 +207,7 @@
     """Both organisations send requests away, Caroni only at a longer queue than Rivière."""
     queued = {}
     for who, objective in WEIGHTS.items():
-        verdicts = fill(Host(make_published(objective=objective), free=8), lasts=60.0)
+        verdicts = fill(Host(make_published(objective=objective), free=8), timeout_s=60.0)
         queued[who] = list(itertools.takewhile(lambda v: not is_away(v), verdicts)).count(None)
     assert queued["riviere"] < queued["caroni"]
 
@@ -226,7 +226,7 @@
     host.now = 60.0
     for number in range(2):
         host.view = change_endpoint(host.view, f"cu-1-e{number}", reported_at=60.0)
-    verdicts = fill(host, lasts=60.0)
+    verdicts = fill(host, timeout_s=60.0)
     assert not any(is_away(verdict) for verdict in verdicts)
 
 
@@ -243,7 +243,7 @@
         state._replace(**change) if state.name in excluded else state for state in host_states
     ]
     host.view = host.view._replace(hosts={state.name: state for state in states})
-    used_hosts = {verdict.route.host for verdict in fill(host, lasts=60.0) if is_away(verdict)}
+    used_hosts = {verdict.route.host for verdict in fill(host, timeout_s=60.0) if is_away(verdict)}
     assert used_hosts
     assert not used_hosts & excluded
 
@@ -259,7 +259,7 @@
 def test_passed_on_request_is_never_passed_on_again():
     """Guard against two full regions that pass a request back and forth until its deadline."""
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
-    verdicts = [host.arrive(passed_on=True, lasts=60.0) for _ in range(12)]
+    verdicts = [host.arrive(passed_on=True, timeout_s=60.0) for _ in range(12)]
     assert all(isinstance(v.route, Local) for v in verdicts[:8])
     assert all(v is None or v.kind is Kind.OVERLOADED for v in verdicts[8:])
     assert isinstance(verdicts[-1], Refused)
@@ -267,7 +267,7 @@
 
 def test_domain_that_refused_is_not_tried_again():
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
-    sent = next(v for v in fill(host, lasts=60.0) if is_away(v))
+    sent = next(v for v in fill(host, timeout_s=60.0) if is_away(v))
     verdict = host.finish(sent, Outcome.REFUSED, retry=True)
     assert verdict is None or isinstance(verdict, Refused) or verdict.route != sent.route
 
--- a/cloverway/tests/test_standins.py
+++ b/cloverway/tests/test_standins.py
@@ -151,7 +151,7 @@
 
 def test_platform_list_lags():
     with Platform(list_lag_s=3600.0) as platform:
-        platform.list_as(hosts={"pl-1": "leaving"})
+        platform.set_listed(hosts={"pl-1": "leaving"})
         assert HTTP.request("GET", f"{platform.url}/v1/hosts").json()["hosts"] == {}
         platform.list_lag_s = 0.0
         listed = HTTP.request("GET", f"{platform.url}/v1/hosts").json()
@@ -169,7 +169,7 @@
     with Service() as service, Link(service.address) as link:
         url = f"{link.url}/x"
         assert HTTP.request("POST", url, body=b"a").status == 200
-        link.silence(TO_CALLER)
+        link.blackhole(TO_CALLER)
         with pytest.raises(urllib3.exceptions.TimeoutError):
             HTTP.request("POST", url, body=b"b", timeout=0.1)
         wait_until(lambda: service.by_body["b"] == 1)
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -57,7 +57,7 @@
         return sent
 
 
-def play(scenario):
+def run_scenario(scenario):
     asyncio.run(scenario())
 
 
@@ -76,7 +76,7 @@
         await asyncio.sleep(0.1)
         assert there.sent == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_limit_that_changes_with_each_answer_is_broadcast_a_few_times_per_second():
@@ -89,7 +89,7 @@
             await asyncio.sleep(0.01)
         assert len(here.take_sent()) <= 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_limit_ends_only_with_an_answer_to_a_later_request():
@@ -104,7 +104,7 @@
         here.answer(None, 101.5)
         assert here.statements.get(LIFE).limit_per_s is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_valid_limits_are_rebroadcast_and_ended_ones_for_a_while():
@@ -125,7 +125,7 @@
         [(_, report)] = here.take_sent()
         assert [s.life for s in report.statements] == [LIFE]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_each_message_fits_into_one_packet():
@@ -138,7 +138,7 @@
         assert len(sizes) == 2
         assert max(sizes) <= 1_450
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_other_hosts_learn_that_an_endpoint_is_leaving_and_avoid_it():
@@ -155,7 +155,7 @@
         [usable] = there.directory.list_usable("desk", 500.0)
         assert usable.entry.incarnation == OTHER
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_statements_of_endpoints_that_are_gone_are_not_rebroadcast():
@@ -172,4 +172,4 @@
         [(_, report)] = here.take_sent()
         assert [(s.life, s.leaving, s.limit_milli) for s in report.statements] == [(LIFE, True, -1)]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/cloverway/tests/test_variants.py
+++ b/cloverway/tests/test_variants.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cloverway.tests.variants import (
-    KNOWN,
+    NAMED_VARIANTS,
     Table,
     Variant,
     change_site,
@@ -44,7 +44,14 @@
 def test_each_figure_is_multiplied_where_it_stands() -> None:
     """Only what the variant names is changed, in the days as in the whole."""
     variant = Variant(
-        reading=0.5, step=2.0, memory=0.4, load=1.5, pause=0.75, trip=3.0, large=2.0, plain=5.0
+        prefill=0.5,
+        step=2.0,
+        kv_memory=0.4,
+        load=1.5,
+        token_gap=0.75,
+        latency=3.0,
+        private_prompt=2.0,
+        service_work=5.0,
     )
     site = change_site(copy.deepcopy(SITE), "there", variant)
     assert site["name"] == "there"
@@ -67,7 +74,7 @@
     assert len(set(drawn)) > 35
 
 
-@pytest.mark.parametrize("name", [*KNOWN, "7"])
+@pytest.mark.parametrize("name", [*NAMED_VARIANTS, "7"])
 def test_a_deployment_is_written_beside_the_files_that_it_needs(name: str, tmp_path: Path) -> None:
     """By name and by seed; what stands beside the published one comes along."""
     source = tmp_path / "from" / "site.toml"
--- a/cloverway/tests/test_whole_path.py
+++ b/cloverway/tests/test_whole_path.py
@@ -23,7 +23,7 @@
 def sees_all_regions(fleet: Fleet) -> bool:
     """Tell whether each host can serve its own region and pass on to the others."""
     return all(
-        Caller(fleet.url(host), f"bound-{region}").serve("warm", profile="lookup").whole
+        Caller(fleet.url(host), f"bound-{region}").call_service("warm", profile="lookup").complete
         for host in fleet.hosts
         for region in fleet.topology.regions
     )
@@ -37,8 +37,10 @@
 
 def test_lookup_names_the_hosts(fleet):
     caller = Caller(fleet.url("cu-a-host-1"))
-    wait_until(lambda: len(caller.hosts()["hosts"]) == len(fleet.hosts), 3, "all hosts to be named")
-    listed = caller.hosts()["hosts"]
+    wait_until(
+        lambda: len(caller.list_hosts()["hosts"]) == len(fleet.hosts), 3, "all hosts to be named"
+    )
+    listed = caller.list_hosts()["hosts"]
     assert {entry["name"] for entry in listed} == set(fleet.hosts)
     assert {entry["domain"] for entry in listed[:2]} == {"cu-a"}
 
@@ -47,7 +49,7 @@
 def test_completion_comes_whole_from_the_own_domain(fleet, stream):
     caller = Caller(fleet.url("ro-a-host-1"), "bound-ro")
     result = caller.chat(f"ann-{stream}", stream=stream)
-    assert result.whole, result
+    assert result.complete, result
     assert count(fleet, "users", f"ann-{stream}") == {"ro-a-engine-1": 1}
     assert result.headers["Cloverway-Region"] == "ro"
 
@@ -59,28 +61,30 @@
     answer of the first run, for only the host that issued the key may grant it.
     """
     first, second = (Caller(fleet.url(f"pl-a-host-{n}"), "bound-pl") for n in (1, 2))
-    key = first.take_key()
-    results = [caller.serve("two cartons", key=key) for caller in (first, first, second)]
-    assert [result.whole for result in results] == [True] * 3, results
+    key = first.request_key()
+    results = [caller.call_service("two cartons", key=key) for caller in (first, first, second)]
+    assert [result.complete for result in results] == [True] * 3, results
     assert len({json.loads(result.body)["run"] for result in results}) == 1
     assert count(fleet, "bodies", "two cartons") == {"pl-a-service-1": 1}
 
 
 def test_repeats_at_the_same_time_run_once(fleet):
     hosts = [fleet.url(f"pl-a-host-{n}") for n in (1, 2)] * 4
-    key = Caller(hosts[0], "bound-pl").take_key()
+    key = Caller(hosts[0], "bound-pl").request_key()
     with ThreadPoolExecutor(len(hosts)) as pool:
         results = list(
-            pool.map(lambda url: Caller(url, "bound-pl").serve("at once", key=key), hosts)
+            pool.map(lambda url: Caller(url, "bound-pl").call_service("at once", key=key), hosts)
         )
     assert count(fleet, "bodies", "at once") == {"pl-a-service-1": 1}
-    assert any(result.whole for result in results)
-    assert all(result.whole or result.ran != "no" for result in results), results
+    assert any(result.complete for result in results)
+    assert all(result.complete or result.ran != "no" for result in results), results
 
 
 def test_bound_team_is_served_in_its_region_from_anywhere(fleet):
-    result = Caller(fleet.url("pl-a-host-1"), "bound-cu").serve("from afar", profile="lookup")
-    assert result.whole, result
+    result = Caller(fleet.url("pl-a-host-1"), "bound-cu").call_service(
+        "from afar", profile="lookup"
+    )
+    assert result.complete, result
     assert count(fleet, "bodies", "from afar") == {"cu-a-service-1": 1}
 
 
@@ -92,8 +96,8 @@
     fleet.kill("ro-a-service-1")
     try:
         host = fleet.url("ro-a-host-1")
-        refused = Caller(host, "bound-ro").serve("stay", profile="lookup")
-        wait_until(lambda: Caller(host, "open").serve("go", profile="lookup").whole, 10)
+        refused = Caller(host, "bound-ro").call_service("stay", profile="lookup")
+        wait_until(lambda: Caller(host, "open").call_service("go", profile="lookup").complete, 10)
     finally:
         fleet.restart("ro-a-service-1")
     assert refused.status == 503
@@ -114,8 +118,8 @@
         wait_until(lambda: is_reported(fleet, name), 10, "the life that runs to be known")
         end_under(fleet, name, first)
     for caller in (first, second):
-        wait_until(lambda by=caller: by.serve("harmless", profile="lookup").whole, 10)
-        refused = caller.serve("deadly", profile="lookup")
+        wait_until(lambda by=caller: by.call_service("harmless", profile="lookup").complete, 10)
+        refused = caller.call_service("deadly", profile="lookup")
         assert (refused.kind, refused.ran) == ("quarantined", "no"), refused
     assert count(fleet, "bodies", "deadly") == {}
 
@@ -139,10 +143,10 @@
     """Send the deadly request, and kill the endpoint while that runs it."""
     fleet.remotes[name].set_faults(hold=True)
     with ThreadPoolExecutor(1) as pool:
-        answer = pool.submit(caller.serve, "deadly", profile="lookup")
+        answer = pool.submit(caller.call_service, "deadly", profile="lookup")
         wait_until(lambda: count(fleet, "bodies", "deadly"))
         fleet.kill(name)
-        assert not answer.result(10).whole
+        assert not answer.result(10).complete
     fleet.restart(name)
 
 
@@ -151,7 +155,7 @@
     assert caller.chat("x").kind == "unauthenticated"
     known = Caller(fleet.url("pl-a-host-1"))
     assert known.chat("x", profile="none").kind == "forbidden"
-    assert known.serve("x", profile="allocate").kind == "key_required"
+    assert known.call_service("x", profile="allocate").kind == "key_required"
     assert known.request("GET", "/v1/nothing").kind == "not_found"
     assert count(fleet, "users", "x") == {}
 
@@ -161,7 +165,7 @@
     callers = [Caller(fleet.url(host)) for host in fleet.hosts]
     wait_until(lambda: all(caller.chat("late").kind == "forbidden" for caller in callers), 8)
     fleet.publish({"teams": {"open": {"profiles": ["chat", "dossier", "lookup", "allocate"]}}})
-    wait_until(lambda: all(caller.chat("late").whole for caller in callers), 8)
+    wait_until(lambda: all(caller.chat("late").complete for caller in callers), 8)
 
 
 def test_stop_of_a_host_cuts_off_nothing(fleet):
@@ -177,10 +181,10 @@
         answer = pool.submit(caller.chat, "last", stream=True)
         wait_until(lambda: count(fleet, "users", "last"))
         fleet.terminate(host)
-        wait_until(lambda: host not in {entry["name"] for entry in other.hosts()["hosts"]})
+        wait_until(lambda: host not in {entry["name"] for entry in other.list_hosts()["hosts"]})
         refused = Caller(fleet.url(host), "bound-cu").chat("new")
         fleet.remotes["cu-a-engine-1"].clear_faults()
-        assert answer.result(10).whole
+        assert answer.result(10).complete
     assert refused.status in (0, 503)
     assert fleet.processes[host].wait(15) == 0
     assert count(fleet, "users", "new") == {}
--- a/cloverway/tests/variants.py
+++ b/cloverway/tests/variants.py
@@ -22,34 +22,34 @@
 class Variant(NamedTuple):
     """By what each figure of the deployment is multiplied."""
 
-    reading: float = 1.0
+    prefill: float = 1.0
     """Prompt tokens that an engine reads in a second."""
     step: float = 1.0
     """Time of an engine's step."""
-    memory: float = 1.0
+    kv_memory: float = 1.0
     """Tokens of an engine's memory."""
     load: float = 1.0
     """Requests a second."""
-    pause: float = 1.0
+    token_gap: float = 1.0
     """The longest wanted pause between two events."""
-    trip: float = 1.0
+    latency: float = 1.0
     """Time of the way between regions."""
-    large: float = 1.0
+    private_prompt: float = 1.0
     """Tokens of prompts that no other request shares."""
-    plain: float = 1.0
+    service_work: float = 1.0
     """Work of a request to a plain service."""
 
 
-KNOWN = {
+NAMED_VARIANTS = {
     "load-070": Variant(load=0.7),
     "load-100": Variant(),
     "load-130": Variant(load=1.3),
     "load-160": Variant(load=1.6),
     "load-200": Variant(load=2.0),
-    "slow-engines": Variant(reading=0.66, step=1.5, memory=0.6, pause=0.75, trip=1.5),
-    "plain-bottleneck": Variant(plain=2.5),
-    "large-prompts": Variant(large=1.8, load=0.9),
-    "long-trips": Variant(trip=2.5, load=1.2),
+    "slow-engines": Variant(prefill=0.66, step=1.5, kv_memory=0.6, token_gap=0.75, latency=1.5),
+    "plain-bottleneck": Variant(service_work=2.5),
+    "large-prompts": Variant(private_prompt=1.8, load=0.9),
+    "long-trips": Variant(latency=2.5, load=1.2),
 }
 """Some by name: the curve over the load, and one for each thing that may bind."""
 
@@ -58,14 +58,14 @@
     """Draw a deployment; most have more to do than their engines bear at the peaks."""
     random = Random(seed)
     return Variant(
-        reading=random.choice([0.5, 0.66, 0.8, 1.0, 1.25]),
+        prefill=random.choice([0.5, 0.66, 0.8, 1.0, 1.25]),
         step=random.choice([0.7, 1.0, 1.5, 2.0]),
-        memory=random.choice([0.4, 0.6, 1.0, 1.5]),
+        kv_memory=random.choice([0.4, 0.6, 1.0, 1.5]),
         load=random.choice([0.8, 1.0, 1.2, 1.5]),
-        pause=random.choice([0.6, 0.75, 1.0, 1.5]),
-        trip=random.choice([0.4, 1.0, 1.5, 2.5]),
-        large=random.choice([0.7, 1.0, 1.5]),
-        plain=random.choice([0.7, 1.0, 1.5]),
+        token_gap=random.choice([0.6, 0.75, 1.0, 1.5]),
+        latency=random.choice([0.4, 1.0, 1.5, 2.5]),
+        private_prompt=random.choice([0.7, 1.0, 1.5]),
+        service_work=random.choice([0.7, 1.0, 1.5]),
     )
 
 
@@ -75,20 +75,22 @@
     for service in site["services"]:
         if "llm" in service:
             engine = service["llm"]
-            engine["prefill_tokens_per_ms"] *= variant.reading
+            engine["prefill_tokens_per_ms"] *= variant.prefill
             engine["step_ms"] *= variant.step
-            engine["kv_tokens"] = int(engine["kv_tokens"] * variant.memory)
-    for kind in site["classes"]:
-        if "stream" in kind:
-            kind["stream"]["gap_aim_ms"] = round(kind["stream"]["gap_aim_ms"] * variant.pause)
-            prompt = kind["stream"]["prompt_tokens"]
-            prompt["mean"] *= variant.large
-        elif "work_ms" in kind:
-            kind["work_ms"]["mean"] *= variant.plain
+            engine["kv_tokens"] = int(engine["kv_tokens"] * variant.kv_memory)
+    for request_class in site["classes"]:
+        if "stream" in request_class:
+            request_class["stream"]["gap_aim_ms"] = round(
+                request_class["stream"]["gap_aim_ms"] * variant.token_gap
+            )
+            prompt = request_class["stream"]["prompt_tokens"]
+            prompt["mean"] *= variant.private_prompt
+        elif "work_ms" in request_class:
+            request_class["work_ms"]["mean"] *= variant.service_work
     for traffic in (site["traffic"], *(day["traffic"] for day in site["day"] if "traffic" in day)):
         for zone in traffic:
             zone["per_s"] *= variant.load
-    site["net"]["cross_region_ms"] *= variant.trip
+    site["net"]["cross_region_ms"] *= variant.latency
     return site
 
 
@@ -110,10 +112,10 @@
 
 def format_site(site: Table) -> str:
     """Give a deployment as TOML."""
-    plain = {key: value for key, value in site.items() if not isinstance(value, dict)}
+    service_work = {key: value for key, value in site.items() if not isinstance(value, dict)}
     tables = {key: value for key, value in site.items() if isinstance(value, dict)}
-    days = plain.pop("day", [])
-    lines = [f"{key} = {format_value(value)}" for key, value in plain.items()]
+    days = service_work.pop("day", [])
+    lines = [f"{key} = {format_value(value)}" for key, value in service_work.items()]
     for key, table in (*tables.items(), *(("[day]", day) for day in days)):
         lines += ["", f"[{key}]", *(f"{k} = {format_value(v)}" for k, v in table.items())]
     return "\n".join(lines) + "\n"
@@ -124,13 +126,13 @@
     folder.mkdir(parents=True, exist_ok=True)
     made = []
     for name in names:
-        variant = KNOWN[name] if name in KNOWN else draw_variant(int(name))
+        variant = NAMED_VARIANTS[name] if name in NAMED_VARIANTS else draw_variant(int(name))
         path = folder / f"{source.stem}-{name}.toml"
         site = tomllib.loads(source.read_text(encoding="utf-8"))
         path.write_text(format_site(change_site(site, path.stem, variant)), encoding="utf-8")
-        for beside in ("wire.json", "CUT"):
-            if (source.parent / beside).exists():
-                shutil.copy(source.parent / beside, folder / beside)
+        for companion in ("wire.json", "CUT"):
+            if (source.parent / companion).exists():
+                shutil.copy(source.parent / companion, folder / companion)
         made.append(path)
     return made
 
