--- a/cloverway/entry/directory.py
+++ b/cloverway/entry/directory.py
@@ -1,4 +1,4 @@
-"""Which entry hosts a caller should use now."""
+"""Selection of the hosts that a caller should use now."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from cloverway.membership.view import HostState, View
 
-LIFETIME_S = 5.0
-"""How long a caller may use a list: a leaving host is then out of use within seconds."""
+LIST_LIFETIME_S = 5.0
+"""Seconds for which a caller may use a list; short, so that a leaving host is soon unused."""
 MAX_HOSTS = 32
-SUMMARY_FRESH_S = 10.0
+MAX_SUMMARY_AGE_S = 10.0
 
 
 class HostEntry(TypedDict):
-    """One host of the list."""
+    """Entry of the list of hosts."""
 
     name: str
     address: str
@@ -24,61 +24,61 @@
 
 
 class HostList(TypedDict):
-    """The answer of `GET /v1/hosts`, best host first."""
+    """Answer of `GET /v1/hosts`, best host first."""
 
     hosts: list[HostEntry]
     lifetime_s: float
     revision: int
 
 
-class Freshness(NamedTuple):
-    """How old what was heard may be. Seconds."""
+class MaxAges(NamedTuple):
+    """Maximum age in seconds of the last heartbeat of a host and of the summary of a domain."""
 
     host_s: float
-    domain_s: float = SUMMARY_FRESH_S
+    domain_s: float = MAX_SUMMARY_AGE_S
 
 
 def list_hosts(
-    view: View, now: float, freshness: Freshness, rotation: int, overloaded: bool = False
+    view: View, now: float, max_ages: MaxAges, rotation: int, overloaded: bool = False
 ) -> HostList:
-    """List the hosts to use: own failure domain first, then own region, then the others.
+    """Return the usable hosts: own failure domain first, then own region, then the others.
 
-    Hosts that leave, are overloaded or are silent are left out. `rotation` turns the order within
-    each rank, so that callers with the same list spread over all of it.
+    Hosts that leave, are overloaded or were not heard recently are omitted. `rotation` rotates the
+    order within each rank, so that callers are spread over the hosts of a rank.
     """
     published = view.published
     if published is None:
-        return HostList(hosts=[], lifetime_s=LIFETIME_S, revision=0)
+        return HostList(hosts=[], lifetime_s=LIST_LIFETIME_S, revision=0)
     usable = [
         name
         for name in sorted(published.hosts)
-        if _is_usable(view, name, now, freshness, overloaded)
+        if _is_usable(view, name, now, max_ages, overloaded)
     ]
     ranks: tuple[list[str], ...] = ([], [], [])
     for name in usable:
         ranks[_rank(view, name)].append(name)
     ordered = chain.from_iterable(_rotate(rank, rotation) for rank in ranks)
-    entries = [_describe(view, name) for name in ordered][:MAX_HOSTS]
-    return HostList(hosts=entries, lifetime_s=LIFETIME_S, revision=published.revision)
+    entries = [_make_entry(view, name) for name in ordered][:MAX_HOSTS]
+    return HostList(hosts=entries, lifetime_s=LIST_LIFETIME_S, revision=published.revision)
 
 
-def _is_usable(view: View, name: str, now: float, freshness: Freshness, overloaded: bool) -> bool:
+def _is_usable(view: View, name: str, now: float, max_ages: MaxAges, overloaded: bool) -> bool:
     if name == view.host:
         return not view.leaving and not overloaded
     state = view.hosts.get(name)
     if state is not None and (state.leaving or state.overloaded):
         return False
-    if state is not None and now - state.heard_at <= freshness.host_s:
+    if state is not None and now - state.heard_at <= max_ages.host_s:
         return True
-    return _is_in_fresh_domain(view, name, state, now, freshness)
+    return _is_in_fresh_domain(view, name, state, now, max_ages)
 
 
 def _is_in_fresh_domain(
-    view: View, name: str, state: HostState | None, now: float, freshness: Freshness
+    view: View, name: str, state: HostState | None, now: float, max_ages: MaxAges
 ) -> bool:
-    """Tell whether a host of another failure domain may be there, though it was not heard itself.
+    """Return whether a host of another failure domain may be alive according to its domain.
 
-    Hosts of other domains are not all heard one by one; their domain's summaries are.
+    This host does not receive heartbeats of all hosts of other domains, but their summaries.
     """
     assert view.published is not None
     domain = view.published.hosts[name].domain
@@ -87,7 +87,7 @@
     if state is not None and state.heard_at > float("-inf"):
         return False
     return any(
-        summary.domain == domain and now - summary.at <= freshness.domain_s
+        summary.domain == domain and now - summary.at <= max_ages.domain_s
         for summary in view.summaries.values()
     )
 
@@ -106,7 +106,7 @@
     yield from names[:start]
 
 
-def _describe(view: View, name: str) -> HostEntry:
+def _make_entry(view: View, name: str) -> HostEntry:
     assert view.published is not None
     host = view.published.hosts[name]
     return HostEntry(
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -1,7 +1,7 @@
-"""The HTTP server below the callers' and the operators' interfaces: cheroot with bounds.
+"""HTTP server of the interfaces for callers and operators: cheroot with resource limits.
 
-A connection has a thread only from when the head of a request is whole until it is answered. Until
-then it is parked with the connection manager, so that idle and slow connections cost no thread.
+A connection occupies a thread only from the complete head of a request until its answer. Otherwise
+it is parked with the connection manager, so that idle and slow connections occupy no thread.
 """
 
 from __future__ import annotations
@@ -20,61 +20,61 @@
 from cloverway.config.settings import Limits
 from cloverway.entry.caller_connection import (
     HEAD_END,
-    Collected,
-    Connection,
-    Early,
-    HeadBounds,
-    OnEarly,
+    CallerConnection,
+    EarlyRejection,
+    HeadLimits,
+    HeadState,
+    OnEarlyRejection,
     format_problem,
     make_request_id,
 )
-from cloverway.errors import ANSWERS, Kind, Ran, RequestError
+from cloverway.errors import ERROR_ANSWERS, Kind, Ran, RequestError
 
 log = logging.getLogger(__name__)
 
 CONNECTION_KEY = "cloverway.connection"
 REQUEST_KEY = "cloverway.request"
 
-IDLE_S = 30.0
-"""How long a connection may stay open between requests, and one write may block."""
+IDLE_TIMEOUT_S = 30.0
+"""How long a connection may stay idle between requests, and a write may block, in seconds."""
 HEAD_TIMEOUT_S = 10.0
-"""How long a caller may take for the head of a request, in all."""
-KEY_NAME = b"idempotency-key:"
-RETRY_S = 1.0
-BACKLOG = 128
-EXPIRE_EVERY_S = 0.2
-STOP_S = 5.0
+"""How long a caller may take to send the complete head of a request, in seconds."""
+KEY_HEADER_PREFIX = b"idempotency-key:"
+RETRY_AFTER_S = 1.0
+ACCEPT_BACKLOG = 128
+EXPIRY_INTERVAL_S = 0.2
+STOP_TIMEOUT_S = 5.0
 
 WsgiApplication = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-class Bounds(NamedTuple):
-    """What a listener holds at most. Times are seconds."""
+class ListenerLimits(NamedTuple):
+    """Limits of a listener. Times are seconds."""
 
     threads: int
-    waiting: int
-    """Connections with a request that wait for a thread; more are closed with a 503."""
+    queued: int
+    """Requests that wait for a thread; further ones are rejected with 429 (overloaded)."""
     idle: int
-    """Connections that are open and say nothing; more are closed."""
+    """Open connections without a request; further ones are closed."""
     header_bytes: int
     head_timeout_s: float = HEAD_TIMEOUT_S
-    idle_s: float = IDLE_S
+    idle_timeout_s: float = IDLE_TIMEOUT_S
 
     @classmethod
-    def from_limits(cls, limits: Limits) -> Bounds:
-        """Give the bounds of the callers' listener."""
+    def from_limits(cls, limits: Limits) -> ListenerLimits:
+        """Return the limits of the listener for callers."""
         return cls(
             threads=limits.threads,
-            waiting=limits.threads,
+            queued=limits.threads,
             idle=limits.threads * 8,
             header_bytes=limits.header_bytes,
         )
 
 
-class Progress:
-    """Counts requests from the moment their head is whole until they are answered.
+class RequestCounter:
+    """Counts requests from their complete head until they are answered.
 
-    Those that wait for a thread are counted: a host that leaves must not close them.
+    Requests that wait for a thread are included: a leaving host must not close them.
     """
 
     def __init__(self) -> None:
@@ -82,56 +82,56 @@
         self.value = 0
 
     def add(self, amount: int) -> None:
-        """Change the count."""
+        """Add to the count, or subtract from it by a negative amount."""
         with self._lock:
             self.value += amount
             assert self.value >= 0, "a request ended twice"
 
 
-class Silent:
-    """Parked connections on which no request ever came, oldest first.
+class SilentConnections:
+    """Parked connections that have not sent any request yet, oldest first.
 
-    When all places are taken, the oldest of them makes room. Otherwise whoever opens enough
-    connections and says nothing would keep every new caller out.
+    At the limit for idle connections the oldest of these is closed. Otherwise a client that opens
+    enough connections without sending anything would lock out every new caller.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._parked: dict[Connection, None] = {}
+        self._connections: dict[CallerConnection, None] = {}
 
-    def add(self, conn: Connection) -> None:
-        """Note a connection that is parked."""
+    def add(self, conn: CallerConnection) -> None:
+        """Add a parked connection, unless it had a request before."""
         if not conn.had_request:
             with self._lock:
-                self._parked[conn] = None
+                self._connections[conn] = None
 
-    def discard(self, conn: Connection) -> None:
-        """Note that a connection is not parked any more."""
+    def discard(self, conn: CallerConnection) -> None:
+        """Remove a connection that is no longer parked."""
         with self._lock:
-            self._parked.pop(conn, None)
+            self._connections.pop(conn, None)
 
     def drop_oldest(self) -> bool:
-        """End the oldest; tell whether there was one.
+        """Shut down the oldest connection; return whether there was one.
 
-        Shutting it down wakes the connection manager, which finds it ended and closes it.
+        The shutdown wakes the connection manager, which detects the end of input and closes it.
         """
         with self._lock:
-            oldest = next(iter(self._parked), None)
+            oldest = next(iter(self._connections), None)
             if oldest is None:
                 return False
-            del self._parked[oldest]
+            del self._connections[oldest]
             with contextlib.suppress(OSError):
                 oldest.socket.shutdown(socket.SHUT_RDWR)
         return True
 
 
 class ConnectionGateway(wsgi.Gateway_10):
-    """Gives the application its caller's connection."""
+    """WSGI gateway that passes the caller's connection to the application."""
 
     def get_environ(self) -> Any:
         """Add the connection and the request to the environment."""
         environ: dict[str, Any] = super().get_environ()
-        # The query goes to the endpoint as it was sent; nobody here reads its fields.
+        # The query is forwarded to the endpoint verbatim and never parsed here.
         environ["QUERY_STRING"] = ""
         environ[CONNECTION_KEY] = self.req.conn
         environ[REQUEST_KEY] = self.req
@@ -139,114 +139,120 @@
 
 
 class BoundedServer(wsgi.Server):
-    """A server that gives a thread only to connections that have something to say."""
+    """Server that gives a thread only to connections with a complete request head."""
 
-    ConnectionClass = Connection
+    ConnectionClass = CallerConnection
 
     def __init__(
         self,
         address: tuple[str, int],
         application: WsgiApplication,
-        bounds: Bounds,
-        on_early: OnEarly,
+        limits: ListenerLimits,
+        on_early_rejection: OnEarlyRejection,
     ) -> None:
         super().__init__(
             address,
             application,
-            numthreads=bounds.threads,
-            max=bounds.threads,
-            request_queue_size=BACKLOG,
-            timeout=bounds.idle_s,  # type: ignore[arg-type]
-            shutdown_timeout=STOP_S,  # type: ignore[arg-type]
+            numthreads=limits.threads,
+            max=limits.threads,
+            request_queue_size=ACCEPT_BACKLOG,
+            timeout=limits.idle_timeout_s,  # type: ignore[arg-type]
+            shutdown_timeout=STOP_TIMEOUT_S,  # type: ignore[arg-type]
         )
-        self.bounds = bounds
-        self.head_bounds = HeadBounds(bounds.header_bytes, bounds.head_timeout_s)
-        self.on_early = on_early
-        self.progress = Progress()
-        self._silent = Silent()
+        self.limits = limits
+        self.head_limits = HeadLimits(limits.header_bytes, limits.head_timeout_s)
+        self.on_early_rejection = on_early_rejection
+        self.request_counter = RequestCounter()
+        self._silent = SilentConnections()
         self.gateway = ConnectionGateway
-        self.max_request_header_size = bounds.header_bytes
-        self.keep_alive_conn_limit = bounds.idle
-        self.expiration_interval = EXPIRE_EVERY_S
+        self.max_request_header_size = limits.header_bytes
+        self.keep_alive_conn_limit = limits.idle
+        self.expiration_interval = EXPIRY_INTERVAL_S
 
-    def process_conn(self, conn: Connection) -> None:
-        """Hand a connection to a thread once the head of a request is there, or park it.
+    def process_conn(self, conn: CallerConnection) -> None:
+        """Pass a connection with a complete request head to a thread; park or close others.
 
-        Callers that open connections and say nothing, or send a head byte by byte, cost a place
-        in a bounded table of parked connections, and no thread.
+        A caller that sends nothing, or a head byte by byte, occupies an entry in a bounded table
+        of parked connections, but no thread.
         """
         self._silent.discard(conn)
-        match conn.collect_head(self.head_bounds, time.monotonic()):
-            case Collected.WHOLE if self.progress.value < self.bounds.threads + self.bounds.waiting:
-                self.progress.add(1)
+        match conn.prefetch_head(self.head_limits, time.monotonic()):
+            case HeadState.WHOLE if (
+                self.request_counter.value < self.limits.threads + self.limits.queued
+            ):
+                self.request_counter.add(1)
                 super().process_conn(conn)
-            case Collected.WHOLE:
-                self._turn_away(conn, Kind.OVERLOADED, "every thread is busy")
-            case Collected.LATE:
-                self._turn_away(conn, Kind.TOO_SLOW, "the head did not arrive in time")
-            case Collected.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
+            case HeadState.WHOLE:
+                self._reject(
+                    conn, Kind.OVERLOADED, "all threads are busy and the queue for them is full"
+                )
+            case HeadState.LATE:
+                self._reject(conn, Kind.TOO_SLOW, "the request head did not arrive in time")
+            case HeadState.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
                 self._silent.add(conn)
                 self.put_conn(conn)
             case _:
                 conn.close()
 
-    def forget(self, conn: Connection) -> None:
-        """Note that a connection was closed."""
+    def on_connection_closed(self, conn: CallerConnection) -> None:
+        """Handle the close of a connection."""
         self._silent.discard(conn)
 
-    def _turn_away(self, conn: Connection, kind: Kind, detail: str) -> None:
+    def _reject(self, conn: CallerConnection, kind: Kind, detail: str) -> None:
         request_id = make_request_id()
-        self.on_early(Early(request_id, kind))
-        turn_away(conn, kind, detail, request_id)
+        self.on_early_rejection(EarlyRejection(request_id, kind))
+        send_rejection(conn, kind, detail, request_id)
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what the server reports."""
+        """Log a message of the HTTP server."""
         log.log(level, "http server", extra={"report": msg}, exc_info=traceback)
 
 
 class Listener:
-    """One bound server and the thread that accepts for it."""
+    """A server bound to an address, and the thread that accepts its connections."""
 
     def __init__(
         self,
         address: str,
         application: WsgiApplication,
-        bounds: Bounds,
+        limits: ListenerLimits,
         name: str,
-        on_early: OnEarly = lambda early: None,
+        on_early_rejection: OnEarlyRejection = lambda rejection: None,
     ) -> None:
-        self._server = BoundedServer(split_address(address), application, bounds, on_early)
+        self._server = BoundedServer(
+            split_address(address), application, limits, on_early_rejection
+        )
         self._thread = threading.Thread(target=self._serve, name=name, daemon=True)
 
     @property
     def address(self) -> str:
-        """Where it listens, with the port that was bound."""
+        """Return the bound address, with the actual port."""
         return format_address(self._server.bind_addr)
 
     @property
     def in_progress(self) -> int:
-        """Requests whose head is whole and that are not answered yet."""
-        return self._server.progress.value
+        """Return the number of requests with a complete head that are not answered yet."""
+        return self._server.request_counter.value
 
     def start(self) -> None:
-        """Bind and start all threads; raises OSError when the address can't be bound."""
+        """Bind and start all threads; raise OSError if the address can't be bound."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Close all connections; every thread has returned afterwards, or is forced to."""
+        """Close all connections; threads that don't return within a timeout are forced to."""
         self._server.stop()
-        self._thread.join(STOP_S)
+        self._thread.join(STOP_TIMEOUT_S)
 
     def _serve(self) -> None:
         self._server.serve()
 
 
-def turn_away(conn: Connection, kind: Kind, detail: str, request_id: str) -> None:
-    """Answer a request that no thread takes, without waiting for anything, and close."""
-    head = conn.rfile.source.pending
-    keyless = HEAD_END in head and KEY_NAME not in head.lower()
-    retry_after = RETRY_S if ANSWERS[kind].come_back else None
+def send_rejection(conn: CallerConnection, kind: Kind, detail: str, request_id: str) -> None:
+    """Answer a request without using a thread and without blocking, and close its connection."""
+    head = conn.rfile.source.prefetched
+    keyless = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
+    retry_after = RETRY_AFTER_S if ERROR_ANSWERS[kind].has_retry_after else None
     ran = Ran.NO if keyless else Ran.UNKNOWN
     error = RequestError(kind, detail, ran=ran, retry_after=retry_after)
     with contextlib.suppress(OSError):
--- a/cloverway/membership/summaries.py
+++ b/cloverway/membership/summaries.py
@@ -1,4 +1,8 @@
-"""What failure domains tell each other: levels of capacity, live hosts and a revision. Pure."""
+"""Summaries that failure domains exchange: capacity, live hosts and configuration revision. Pure.
+
+Some hosts of each failure domain send its summary to one host of another domain, which relays it
+to its siblings. A domain of the same region gets every summary, domains of other regions in turn.
+"""
 
 from __future__ import annotations
 
@@ -14,38 +18,40 @@
     HostLevel,
     TargetLevel,
     format_incarnation,
-    identify,
+    get_incarnation_tag,
+    hash_name,
     parse_incarnation,
-    tag_of,
 )
 from cloverway.membership.view import EndpointState, HostState, Summary
 
-SPEAKERS = 2
-"""Hosts of a domain that tell other domains; one may be dead without a gap."""
-FAR_FANOUT = 4
-"""Failure domains of other regions that a speaker tells in one period."""
+SUMMARY_SENDERS = 2
+"""Hosts of a domain that send its summary to other domains; one may be dead without a gap."""
+REMOTE_FANOUT = 4
+"""Failure domains of other regions to which a host sends the summary in one period."""
 RELAY_S_PER_DOMAIN = 0.4
-"""Each summary is told again within a failure domain once in this time for each other domain."""
-NEAR_RELAY_PERIODS = 2
-SOONER = 2
-"""A summary with a change that matters may be told so many times as often."""
-LOST_PERIODS = 3
-"""Missed summaries after which a failure domain counts as cut off."""
-HOSTS = 24
-"""Hosts that a summary names, those with the least load first."""
-TARGETS = 64
-"""Models and services that a summary names: it must fit one datagram."""
-
-
-class Told(NamedTuple):
-    """A summary with the time it was true at."""
+"""A summary from another region is relayed within a failure domain once per this time, multiplied
+by the number of other domains, so that the total relay rate does not grow with them."""
+REGION_RELAY_PERIODS = 2
+"""Summary periods between two relays of a summary from the same region."""
+URGENT_RELAY_FACTOR = 2
+"""A summary with an urgent change may be relayed this many times as often."""
+MAX_MISSED_SUMMARIES = 3
+"""Missed summaries after which a failure domain counts as unreachable."""
+MAX_HOSTS = 24
+"""Maximum number of hosts in a summary; those with the least load are kept."""
+MAX_TARGETS = 64
+"""Maximum number of models and services in a summary, which must fit into one datagram."""
+
+
+class SummaryRecord(NamedTuple):
+    """A summary with the time at which it was current."""
 
     summary: DomainSummary
     at: float
     direct: bool
-    """Told by the failure domain itself, and not yet judged whether siblings are to know."""
+    """It came from the failure domain itself, and `take_due_relays` has not processed it yet."""
     relayed: DomainSummary | None = None
-    """What siblings were last told, or told this host."""
+    """The summary that was last relayed to or by siblings."""
     relayed_at: float = float("-inf")
 
 
@@ -55,147 +61,156 @@
     def __init__(self, domain: str, summary_s: float) -> None:
         self.domain = domain
         self._summary_s = summary_s
-        self._told: dict[str, Told] = {}
+        self._records: dict[str, SummaryRecord] = {}
         self._published: Published | None = None
-        self._near: tuple[str, ...] = ()
-        self._far: tuple[str, ...] = ()
+        self._region_domains: tuple[str, ...] = ()
+        self._remote_domains: tuple[str, ...] = ()
         self._hosts: dict[int, str] = {}
         self._targets: dict[int, str] = {}
 
     def adopt(self, published: Published) -> None:
-        """Take the published failure domains, hosts and targets; forget what is gone."""
+        """Apply the published failure domains, hosts and targets; drop those that were removed."""
         self._published = published
         region = published.region_of(self.domain)
         others = sorted(name for name in published.domains if name != self.domain)
-        self._near = tuple(name for name in others if published.region_of(name) == region)
-        self._far = tuple(name for name in others if published.region_of(name) != region)
-        self._told = {name: self._told[name] for name in others if name in self._told}
-        self._hosts = {identify(name): name for name in published.hosts}
+        self._region_domains = tuple(name for name in others if published.region_of(name) == region)
+        self._remote_domains = tuple(name for name in others if published.region_of(name) != region)
+        self._records = {name: self._records[name] for name in others if name in self._records}
+        self._hosts = {hash_name(name): name for name in published.hosts}
         targets = itertools.chain.from_iterable(
             (*endpoint.models, *endpoint.services) for endpoint in published.endpoints.values()
         )
         profiles = (profile.target for profile in published.profiles.values())
-        self._targets = {identify(name): name for name in itertools.chain(targets, profiles)}
+        self._targets = {hash_name(name): name for name in itertools.chain(targets, profiles)}
 
-    def lost_s(self, domain: str) -> float:
-        """Silence after which a failure domain counts as cut off, in seconds."""
-        if domain in self._near:
-            return LOST_PERIODS * (1 + NEAR_RELAY_PERIODS) * self._summary_s
-        rounds = max(1, -(-len(self._far) // FAR_FANOUT))
-        return LOST_PERIODS * (self._summary_s * rounds + self._relay_s)
+    def get_loss_timeout(self, domain: str) -> float:
+        """Return the silence after which a failure domain counts as unreachable, in seconds."""
+        if domain in self._region_domains:
+            return MAX_MISSED_SUMMARIES * (1 + REGION_RELAY_PERIODS) * self._summary_s
+        rounds = max(1, -(-len(self._remote_domains) // REMOTE_FANOUT))
+        return MAX_MISSED_SUMMARIES * (self._summary_s * rounds + self._relay_s)
 
     @property
     def _relay_s(self) -> float:
-        others = len(self._near) + len(self._far)
+        others = len(self._region_domains) + len(self._remote_domains)
         return max(self._summary_s, RELAY_S_PER_DOMAIN * others)
 
-    def plan(self, turn: int, near_only: bool = False) -> list[str]:
-        """Choose the failure domains to tell in one period: all of the region, some of the rest."""
-        if near_only or not self._far:
-            return list(self._near)
-        count = min(FAR_FANOUT, len(self._far))
-        start = turn * count % len(self._far)
-        return [*self._near, *itertools.islice(itertools.cycle(self._far), start, start + count)]
-
-    def take(self, summary: DomainSummary, at: float, direct: bool) -> bool:
-        """Take a summary when it is later than what is known; tell whether it is."""
+    def choose_domains(self, turn: int, region_only: bool = False) -> list[str]:
+        """Choose the recipients of one period: all domains of the region, and some of the rest."""
+        if region_only or not self._remote_domains:
+            return list(self._region_domains)
+        count = min(REMOTE_FANOUT, len(self._remote_domains))
+        start = turn * count % len(self._remote_domains)
+        return [
+            *self._region_domains,
+            *itertools.islice(itertools.cycle(self._remote_domains), start, start + count),
+        ]
+
+    def apply(self, summary: DomainSummary, at: float, direct: bool) -> bool:
+        """Apply a summary if it is newer than the known one; return whether it is."""
         if summary.domain == self.domain or self._published is None:
             return False
         if summary.domain not in self._published.domains:
             return False
         true_at = at - summary.age_s
-        known = self._told.get(summary.domain)
+        known = self._records.get(summary.domain)
         if known and true_at <= known.at:
             if not direct:
-                # Siblings have a copy, if an older one: to tell ours too would double the bytes.
-                self._told[summary.domain] = known._replace(relayed=summary, relayed_at=at)
+                # Siblings have a copy, possibly an older one. Relaying ours too would double the
+                # traffic.
+                self._records[summary.domain] = known._replace(relayed=summary, relayed_at=at)
             return False
-        told = Told(summary, true_at, direct)
+        record = SummaryRecord(summary, true_at, direct)
         if not direct:
-            told = told._replace(relayed=summary, relayed_at=at)
+            record = record._replace(relayed=summary, relayed_at=at)
         elif known:
-            told = told._replace(relayed=known.relayed, relayed_at=known.relayed_at)
-        self._told[summary.domain] = told
+            record = record._replace(relayed=known.relayed, relayed_at=known.relayed_at)
+        self._records[summary.domain] = record
         return True
 
-    def to_relay(self, now: float) -> list[DomainSummary]:
-        """Give the summaries that siblings lack: changes that matter soon, the rest seldom.
+    def take_due_relays(self, now: float) -> list[DomainSummary]:
+        """Return the summaries to relay to siblings: urgent changes soon, the rest rarely.
 
-        Each copy is judged once, by the host that was told. Where all hosts that were ever told
-        waited for the same moment, two of them told the same at once.
+        Each copy is checked only once, by the host that received it. If all hosts that ever
+        received one checked again later, two of them would relay the same summary at once.
         """
-        direct = {name: told for name, told in self._told.items() if told.direct}
-        due = {name for name, told in direct.items() if self._is_due(told, now)}
-        for name, told in direct.items():
-            judged = told._replace(direct=False)
+        direct = {name: record for name, record in self._records.items() if record.direct}
+        due = {name for name, record in direct.items() if self._is_due(record, now)}
+        for name, record in direct.items():
+            updated = record._replace(direct=False)
             if name in due:
-                judged = judged._replace(relayed=told.summary, relayed_at=now)
-            self._told[name] = judged
+                updated = updated._replace(relayed=record.summary, relayed_at=now)
+            self._records[name] = updated
         return [direct[name].summary._replace(age_s=now - direct[name].at) for name in sorted(due)]
 
-    def hosts_to_tell(self, domain: str) -> list[tuple[str, int]]:
-        """List (host, tag) of a failure domain's hosts; tag 0 where no incarnation is known."""
-        told = self._told.get(domain)
-        rows = told.summary.hosts if told else ()
-        live = {row.host: tag_of(row.incarnation) for row in rows}
+    def list_recipients(self, domain: str) -> list[tuple[str, int]]:
+        """List (host, tag) of a failure domain's hosts; the tag is 0 for unknown incarnations."""
+        record = self._records.get(domain)
+        rows = record.summary.hosts if record else ()
+        live = {row.host: get_incarnation_tag(row.incarnation) for row in rows}
         names = self._published.hosts_of(domain) if self._published else []
-        known = [(name, live[identify(name)]) for name in names if identify(name) in live]
+        known = [(name, live[hash_name(name)]) for name in names if hash_name(name) in live]
         return known or [(name, 0) for name in names]
 
-    def host_states(self, now: float) -> Iterator[HostState]:
-        """Give the live hosts of other failure domains for the view."""
-        for told in self._fresh(now):
-            for row in told.summary.hosts:
+    def make_host_states(self, now: float) -> Iterator[HostState]:
+        """Yield the live hosts of other failure domains for the view."""
+        for record in self._list_current(now):
+            for row in record.summary.hosts:
                 name = self._hosts.get(row.host)
                 if name:
                     yield HostState(
                         name=name,
-                        domain=told.summary.domain,
+                        domain=record.summary.domain,
                         incarnation=format_incarnation(row.incarnation),
                         leaving=row.level == LEAVING_LEVEL,
                         load=max(0, row.level) / 100,
-                        revision=told.summary.revision,
-                        # It is live by the bound for its failure domain, whose summaries come
-                        # more seldom than the heartbeats that readers of the view reckon with.
+                        revision=record.summary.revision,
+                        # The host is live because its failure domain is. Summaries arrive less
+                        # often than the heartbeats that readers of the view expect, so the time
+                        # of the summary would make the host look dead.
                         heard_at=now,
                     )
 
-    def states(self, now: float) -> dict[tuple[str, str], Summary]:
-        """Give the capacity of other failure domains for the view."""
+    def get_states(self, now: float) -> dict[tuple[str, str], Summary]:
+        """Return the capacity of other failure domains, by (failure domain, target)."""
         return {
-            (told.summary.domain, target): Summary(
-                domain=told.summary.domain,
+            (record.summary.domain, target): Summary(
+                domain=record.summary.domain,
                 target=target,
                 ready=row.ready,
                 free=row.free,
                 waiting=row.waiting,
-                at=told.at,
+                at=record.at,
             )
-            for told in self._fresh(now)
-            for row in told.summary.targets
+            for record in self._list_current(now)
+            for row in record.summary.targets
             if (target := self._targets.get(row.target))
         }
 
-    def _fresh(self, now: float) -> Iterable[Told]:
-        return [told for name, told in self._told.items() if now - told.at < self.lost_s(name)]
-
-    def _is_due(self, told: Told, now: float) -> bool:
-        near = told.summary.domain in self._near
-        period_s = NEAR_RELAY_PERIODS * self._summary_s if near else self._relay_s
-        waited_s = now - told.relayed_at
-        if told.relayed is None or waited_s >= period_s:
+    def _list_current(self, now: float) -> Iterable[SummaryRecord]:
+        return [
+            record
+            for name, record in self._records.items()
+            if now - record.at < self.get_loss_timeout(name)
+        ]
+
+    def _is_due(self, record: SummaryRecord, now: float) -> bool:
+        in_region = record.summary.domain in self._region_domains
+        period_s = REGION_RELAY_PERIODS * self._summary_s if in_region else self._relay_s
+        waited_s = now - record.relayed_at
+        if record.relayed is None or waited_s >= period_s:
             return True
-        changed = _list_alarms(told.relayed) != _list_alarms(told.summary)
-        return changed and waited_s >= period_s / SOONER
+        changed = _get_urgent_fields(record.relayed) != _get_urgent_fields(record.summary)
+        return changed and waited_s >= period_s / URGENT_RELAY_FACTOR
 
 
-def summarise(
+def summarize_domain(
     domain: str,
     revision: int,
     hosts: Iterable[HostState],
     endpoints: Mapping[str, EndpointState],
 ) -> DomainSummary:
-    """Give the summary of the own failure domain. A host that is overloaded is told as leaving."""
+    """Return the summary of a failure domain; an overloaded host is listed as leaving."""
     rows: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
     for state in endpoints.values():
         if not state.ready or state.leaving:
@@ -210,27 +225,28 @@
         domain=domain,
         age_s=0.0,
         revision=revision,
-        hosts=tuple(map(_level_host, sorted(hosts, key=_rank_host)[:HOSTS])),
+        hosts=tuple(map(_make_host_level, sorted(hosts, key=_get_host_rank)[:MAX_HOSTS])),
         targets=tuple(
-            TargetLevel(identify(target), *row) for target, row in sorted(rows.items())[:TARGETS]
+            TargetLevel(hash_name(target), *row)
+            for target, row in sorted(rows.items())[:MAX_TARGETS]
         ),
     )
 
 
-def _rank_host(host: HostState) -> tuple[bool, bool, float, str]:
+def _get_host_rank(host: HostState) -> tuple[bool, bool, float, str]:
     return host.leaving, host.overloaded, host.load, host.name
 
 
-def _level_host(host: HostState) -> HostLevel:
+def _make_host_level(host: HostState) -> HostLevel:
     away = host.leaving or host.overloaded
     level = LEAVING_LEVEL if away else round(host.load * 4) * 25
-    return HostLevel(identify(host.name), parse_incarnation(host.incarnation), level)
+    return HostLevel(hash_name(host.name), parse_incarnation(host.incarnation), level)
 
 
-def _list_alarms(summary: DomainSummary) -> tuple[Any, ...]:
-    """Give what siblings are to know soon: which hosts are there, and what is ready.
+def _get_urgent_fields(summary: DomainSummary) -> tuple[Any, ...]:
+    """Return the fields whose changes are relayed sooner: the hosts, and the ready endpoints.
 
-    Free slots change all the time under load; to tell each change at once cost 1.6 KB/s.
+    Free slots change constantly under load; relaying each of their changes at once cost 1.6 KB/s.
     """
     hosts = {(row.host, row.incarnation, row.level == LEAVING_LEVEL) for row in summary.hosts}
     targets = {(row.target, row.ready) for row in summary.targets}
--- a/cloverway/tests/matrix/runner.py
+++ b/cloverway/tests/matrix/runner.py
@@ -7,7 +7,7 @@
 import time
 from typing import NamedTuple
 
-from cloverway.errors import ANSWERS, Kind
+from cloverway.errors import ERROR_ANSWERS, Kind
 from cloverway.tests.matrix.faults import ENDED_AFTER_DEADLINE, FAULTS
 from cloverway.tests.matrix.steps import STEPS
 from cloverway.tests.matrix.table import Cell
@@ -138,7 +138,7 @@
         violations.append(f"the caller was told that it did not run, and it ran {runs} times")
     if result.complete and not runs:
         violations.append("a whole answer came, and nothing ran")
-    expects_retry_after = result.ran == "no" and ANSWERS[Kind(result.kind)].come_back
+    expects_retry_after = result.ran == "no" and ERROR_ANSWERS[Kind(result.kind)].has_retry_after
     if expects_retry_after and not _has_retry_after(result):
         violations.append(f"{result.kind} came without Retry-After")
     return violations
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -9,8 +9,8 @@
 from cloverway.core.quarantine import SERVED_IMMUNITY_S, Crash, CrashUpdate
 from cloverway.dispatch.ends import REBROADCAST_S, CrashTracker
 from cloverway.errors import Kind
-from cloverway.membership.gossip import FULL_EVERY
-from cloverway.membership.seal import MAX_DATAGRAM_BYTES
+from cloverway.membership.datagram_auth import MAX_DATAGRAM_BYTES
+from cloverway.membership.gossip import FULL_STATE_EVERY
 from cloverway.tests.builders import make_request, make_settings
 from cloverway.tests.gossip_simulation import GossipSimulation, Shape
 
@@ -28,7 +28,7 @@
 
     def send(self, name: str, digest: int = CRASHING) -> bool:
         """Send the request to a host and return whether an endpoint ran it."""
-        ends = self.simulation.hosts[name].gossip.ends
+        ends = self.simulation.hosts[name].gossip.crash_tracker
         if ends.find_block(digest, self.simulation.now) is not None:
             return False
         ends.record_crash(Crash(f"life-{next(self.incarnations)}", (digest,), self.simulation.now))
@@ -108,7 +108,7 @@
     simulation.cuts -= links
     simulation.kill(restarts)
     simulation.start(restarts)
-    simulation.run(FULL_EVERY * simulation.timing.heartbeat_s + 5.0)
+    simulation.run(FULL_STATE_EVERY * simulation.timing.heartbeat_s + 5.0)
     caller.send_to_all([restarts, cut], pause_s=0.0)
     assert caller.crashed == MAX_CRASHES
 
@@ -122,18 +122,18 @@
     caller = Caller(simulation)
     first, second, third = simulation.hosts
     caller.send_to_all([first, second], pause_s=1.0)
-    simulation.hosts[first].gossip.ends.record_served(CRASHING, simulation.now)
+    simulation.hosts[first].gossip.crash_tracker.record_served(CRASHING, simulation.now)
     simulation.run(2.0)
     caller.send(second)
     simulation.run(2.0)
-    assert simulation.hosts[third].gossip.ends.find_block(CRASHING, simulation.now) is None
+    assert simulation.hosts[third].gossip.crash_tracker.find_block(CRASHING, simulation.now) is None
 
 
 def test_heartbeats_stay_the_same_without_crashes():
     """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
     simulation = make_simulation(hosts=4)
     quiet = [
-        host.gossip.ends.list_updates(simulation.now, full=True)
+        host.gossip.crash_tracker.list_updates(simulation.now, full=True)
         for host in simulation.hosts.values()
     ]
     assert quiet == [CrashUpdate((), ())] * 4
@@ -144,18 +144,18 @@
     simulation = make_simulation(hosts=3)
     first, *_ = simulation.hosts
     for number in range(20):
-        simulation.hosts[first].gossip.ends.record_crash(
+        simulation.hosts[first].gossip.crash_tracker.record_crash(
             Crash(f"e{number}", (number,), simulation.now)
         )
     simulation.run(1.0)
     updates = [
-        host.gossip.ends.list_updates(simulation.now, full=True)
+        host.gossip.crash_tracker.list_updates(simulation.now, full=True)
         for host in simulation.hosts.values()
     ]
     assert all(len(each.crashes) >= 20 for each in updates)
     simulation.run(REBROADCAST_S + 1.0)
     updates = [
-        host.gossip.ends.list_updates(simulation.now, full=True)
+        host.gossip.crash_tracker.list_updates(simulation.now, full=True)
         for host in simulation.hosts.values()
     ]
     assert updates == [CrashUpdate((), ())] * 3
@@ -167,14 +167,16 @@
     longest = []
     simulation.tap = lambda name, to, datagram: longest.append(len(datagram))
     first, *others = simulation.hosts
-    ends = simulation.hosts[first].gossip.ends
+    ends = simulation.hosts[first].gossip.crash_tracker
     for engine in range(64):
         incarnation = f"region-00-domain-000-engine-{engine:03}@start-{engine}"
         ends.record_crash(Crash(incarnation, (engine, CRASHING * 100), simulation.now))
     simulation.run(3.0)
     assert max(longest) <= MAX_DATAGRAM_BYTES
     for name in others:
-        updates = simulation.hosts[name].gossip.ends.list_updates(simulation.now, full=True)
+        updates = simulation.hosts[name].gossip.crash_tracker.list_updates(
+            simulation.now, full=True
+        )
         assert sum(len(crash.digests) for crash in updates.crashes) > 32
 
 
@@ -218,10 +220,10 @@
     restarts = [*simulation.hosts][1]
     simulation.kill(restarts)
     simulation.start(restarts)
-    simulation.run(FULL_EVERY * simulation.timing.heartbeat_s + 5.0)
+    simulation.run(FULL_STATE_EVERY * simulation.timing.heartbeat_s + 5.0)
     hold_s = make_settings().quarantine.hold_s
     for host in simulation.hosts.values():
-        block = host.gossip.ends.find_block(CRASHING, simulation.now)
+        block = host.gossip.crash_tracker.find_block(CRASHING, simulation.now)
         assert block is not None
         assert (
             simulation.now + block.remaining_s
@@ -239,7 +241,7 @@
     first, *_ = simulation.hosts
     caller.send(first)
     simulation.run(1.0)
-    simulation.hosts[first].gossip.ends.record_served(CRASHING, simulation.now)
+    simulation.hosts[first].gossip.crash_tracker.record_served(CRASHING, simulation.now)
     simulation.run(SERVED_IMMUNITY_S + 10.0)
     caller.send_to_all([*simulation.hosts] * 3, pause_s=0.5)
     assert caller.crashed == 1 + MAX_CRASHES
