--- a/cloverway/tests/test_daemon.py
+++ b/cloverway/tests/test_daemon.py
@@ -8,7 +8,7 @@
 from cloverway.daemon import Daemon
 from cloverway.errors import ConfigurationError
 from cloverway.tests.standins.processes import Ports, Process
-from cloverway.tests.standins.topology import PEER_SECRET, HostPlace, make_settings, to_toml
+from cloverway.tests.standins.topology import PEER_SECRET, HostAddresses, make_settings, to_toml
 
 LISTENERS = ("callers", "admin", "peers")
 
@@ -21,7 +21,7 @@
     running and would not restart it, and SIGTERM would have no effect.
     """
     ports = Ports()
-    place = HostPlace(*(f"127.0.0.1:{ports.take()}" for _ in range(3)), published_peers="")
+    place = HostAddresses(*(f"127.0.0.1:{ports.take()}" for _ in range(3)), published_peers="")
     host, _, port = getattr(place, taken).rpartition(":")
     secret = tmp_path / "secret"
     secret.write_bytes(PEER_SECRET)
@@ -46,7 +46,7 @@
     The daemon used any content that was long enough as the secret. Other hosts then rejected its
     messages, and no log line gave the reason.
     """
-    place = HostPlace("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", published_peers="")
+    place = HostAddresses("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", published_peers="")
     secret = tmp_path / "secret"
     platform = {"kind": "file", "directory": str(tmp_path)}
     settings = tmp_path / "settings.toml"
--- a/cloverway/tests/test_planned_stop.py
+++ b/cloverway/tests/test_planned_stop.py
@@ -16,19 +16,19 @@
 
 
 def list_names(fleet: Fleet, host: str) -> list[str]:
-    return [found["name"] for found in Caller(fleet.url(host)).hosts()["hosts"]]
+    return [found["name"] for found in Caller(fleet.url(host)).list_hosts()["hosts"]]
 
 
 def replace_under_load(fleet: Fleet, leaving: str, staying: str) -> None:
     """Stop a host while it relays streams, check the answers of its callers, and restart it."""
     caller = Caller(fleet.url(leaving))
-    pieces: list[list[bytes]] = [[] for _ in range(STREAMS)]
+    chunks: list[list[bytes]] = [[] for _ in range(STREAMS)]
     with ThreadPoolExecutor(STREAMS) as threads:
         calls = [
-            threads.submit(caller.chat, f"c{n}", tokens=TOKENS, stream=True, pieces=pieces[n])
+            threads.submit(caller.chat, f"c{n}", tokens=TOKENS, stream=True, chunks=chunks[n])
             for n in range(STREAMS)
         ]
-        wait_until(lambda: all(pieces), what="the start of all streams")
+        wait_until(lambda: all(chunks), what="the start of all streams")
         fleet.terminate(leaving)
         wait_until(
             lambda: leaving not in list_names(fleet, staying),
@@ -37,7 +37,7 @@
         refused = Caller(fleet.url(leaving)).chat("late")
         assert (refused.kind, refused.ran) == ("leaving", "no")
         assert float(refused.headers["Retry-After"]) > 0
-        assert not [call.result() for call in calls if not call.result().whole]
+        assert not [call.result() for call in calls if not call.result().complete]
     assert fleet.processes[leaving].wait() == 0
     fleet.restart(leaving)
 
@@ -52,7 +52,7 @@
     with Fleet(TOPOLOGY) as fleet:
         replace_under_load(fleet, *HOSTS)
         replace_under_load(fleet, *reversed(HOSTS))
-        assert all(Caller(fleet.url(host)).chat("after").whole for host in HOSTS)
+        assert all(Caller(fleet.url(host)).chat("after").complete for host in HOSTS)
 
 
 def test_an_issued_key_can_be_used_while_its_host_leaves() -> None:
@@ -63,11 +63,11 @@
     """
     with Fleet(TOPOLOGY) as fleet:
         leaving, staying = (Caller(fleet.url(host)) for host in HOSTS)
-        key = leaving.take_key()
+        key = leaving.request_key()
         fleet.terminate(HOSTS[0])
         key_use_at = time.monotonic() + KEY_USE_DELAY_S
         wait_until(
             lambda: time.monotonic() >= key_use_at, what="the time at which the caller uses its key"
         )
-        assert staying.serve("two cartons", key=key).whole
+        assert staying.call_service("two cartons", key=key).complete
         assert fleet.processes[HOSTS[0]].running
