--- a/cloverway/tests/standins/__init__.py
+++ b/cloverway/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the endpoints, used by tests and the demo."""
+"""Fakes of the platform and the endpoints for the tests and the demo."""
--- a/cloverway/tests/standins/base.py
+++ b/cloverway/tests/standins/base.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server with fault switches, on a loop and a thread of its own."""
+"""A small HTTP/1.1 server with fault switches, which runs an event loop on its own thread."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Request:
-    """One parsed request."""
+    """A parsed HTTP request."""
 
     def __init__(self, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
         parts = urlsplit(target)
@@ -38,7 +38,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection: parses requests, one after the other, and writes the answers."""
+    """A client connection that parses requests one at a time and writes the responses."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -113,14 +113,14 @@
     def send(
         self, status: int, content_type: str, body: bytes, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.write(self.head(status, content_type, {"Content-Length": len(body)}, headers) + body)
 
     def send_json(self, status: int, value: Any, headers: dict[str, str] | None = None) -> None:
         self.send(status, "application/json", json.dumps(value).encode(), headers)
 
     async def send_faulty(self, faults: Faults, content_type: str, body: bytes) -> None:
-        """Send a whole answer as the switches have it."""
+        """Send a response with the faults that the switches select."""
         length = len(body) + (64 if faults.short_body else 0)
         head = self.head(200, content_type, {"Content-Length": length})
         ends = (faults.cut_after, faults.stall_after, faults.hold_after)
@@ -155,7 +155,7 @@
 
     def write(self, data: bytes) -> None:
         if self.gone.is_set():
-            raise ConnectionError("the other side left")
+            raise ConnectionError("client disconnected")
         self.answered = True
         self._transport.write(data)
 
@@ -166,13 +166,13 @@
         self.answered = True
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection after the written data has been sent."""
         self._transport.close()
         self.answered = True
 
 
 class Server:
-    """Serve until stopped; `url` and `address` are known after `start`."""
+    """A server that runs until `stop`; `url` and `address` are valid after `start`."""
 
     def __init__(self, port: int = 0, host: str = "127.0.0.1") -> None:
         self.host = host
@@ -212,15 +212,15 @@
         self.stop()
 
     def open(self) -> None:
-        """Listen; again on the same port after `close`."""
+        """Start to listen; after `close`, listen on the same port as before."""
         asyncio.run_coroutine_threadsafe(self._open(), self._loop).result(5)
 
     def close(self) -> None:
-        """Refuse connections, and reset those that are open."""
+        """Stop listening and reset the open connections."""
         self.call(self._close)
 
     def call(self, function: Callable[[], Any]) -> Any:
-        """Run a function on the server's loop and give its value."""
+        """Run a function on the server's loop and return its result."""
 
         async def run() -> Any:
             return function()
@@ -230,13 +230,13 @@
         return asyncio.run_coroutine_threadsafe(run(), self._loop).result(5)
 
     def on_start(self) -> None:
-        """Start what runs beside the server; on the loop."""
+        """Start background tasks; called on the loop."""
 
     async def answer(self, request: Request, connection: Connection) -> None:
-        """Answer one request; an unanswered one becomes 404."""
+        """Handle one request; a request without a response gets status 404."""
 
     def answer_fault_switches(self, request: Request, connection: Connection) -> bool:
-        """Answer the fault switches below /test."""
+        """Handle POST /test/faults, which sets fault switches; return whether it was that."""
         if request.path != "/test/faults" or request.method != "POST":
             return False
         switches = request.json()
@@ -266,7 +266,7 @@
 
 
 def make_parser(description: str) -> argparse.ArgumentParser:
-    """Give the options that all stand-ins have as programs."""
+    """Create a parser with the command-line options that all stand-ins share."""
     options = argparse.ArgumentParser(description=description)
     options.add_argument("--port", type=int, default=0)
     options.add_argument("--host", default="127.0.0.1")
@@ -274,7 +274,7 @@
 
 
 def serve_forever(server: Server, host: str) -> None:
-    """Serve at a host until a signal ends the process."""
+    """Serve on an address until SIGTERM or SIGINT."""
     server.host = host
     server.start()
     print(server.url, flush=True)
--- a/cloverway/tests/standins/batching.py
+++ b/cloverway/tests/standins/batching.py
@@ -1,4 +1,4 @@
-"""The inside of the stand-in engine: slots, a priority queue, a prefix cache and its events."""
+"""Continuous batching of the stand-in engine: slots, a priority queue and a prefix cache."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 
 class Timing(NamedTuple):
-    """How long the work takes, in seconds."""
+    """Durations of the simulated work, in seconds."""
 
     prefill_s: float = 0.0
-    """For each prompt token that is not in the cache."""
+    """Prefill time of each prompt token that is not in the cache."""
     token_s: float = 0.0
+    """Interval between output tokens."""
     load_s: float = 0.0
+    """Time to load a model."""
     resume_s: float = 10.0
     """How long an interrupted run can be resumed."""
 
@@ -32,10 +34,10 @@
 
 
 class PrefixCache:
-    """Blocks of prompt prefixes, least recently used first; the events come with gaps."""
+    """An LRU cache of prompt prefix blocks; every `gap_every`-th of its events is left out."""
 
-    def __init__(self, blocks: int = 1024, gap_every: int = 0) -> None:
-        self.blocks = blocks
+    def __init__(self, capacity: int = 1024, gap_every: int = 0) -> None:
+        self.capacity = capacity
         self.gap_every = gap_every
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._events: list[CacheEvent] = []
@@ -44,8 +46,8 @@
         self.all_words = 0
 
     def record_prompt(self, words: list[str], now: float) -> int:
-        """Note a prompt and give how many of its words were held."""
-        chain = list(prefix_blocks(words))
+        """Store the blocks of a prompt and return how many of its words were cached before."""
+        chain = list(hash_prefix_blocks(words))
         hits = sum(1 for _ in itertools.takewhile(lambda block: block in self._blocks, chain))
         for block in chain:
             self._store(block, now)
@@ -59,7 +61,7 @@
             return
         self._blocks[block] = None
         self._record_event("stored", block, now)
-        if len(self._blocks) > self.blocks:
+        if len(self._blocks) > self.capacity:
             oldest, _ = self._blocks.popitem(last=False)
             self._record_event("removed", oldest, now)
 
@@ -75,11 +77,11 @@
 
     @property
     def used(self) -> float:
-        return len(self._blocks) / self.blocks if self.blocks else 1.0
+        return len(self._blocks) / self.capacity if self.capacity else 1.0
 
 
-def prefix_blocks(words: list[str]) -> list[str]:
-    """Name each whole block of a prompt by all that stands before its end."""
+def hash_prefix_blocks(words: list[str]) -> list[str]:
+    """Return a name for each full block of a prompt, a hash of the prompt up to its end."""
     full_blocks = len(words) // BLOCK_WORDS
     chain = hashlib.sha256()
     names = []
@@ -90,11 +92,11 @@
 
 
 class Run:
-    """One request in the engine, from its queue to its last token."""
+    """A request in the engine, from the queue to its last token."""
 
     def __init__(self, identity: str, prompt: str, user: str, total: int, priority: int) -> None:
         self.id = identity
-        self.before = 0  # tokens that the prompt already holds of the answer
+        self.continued_from = 0  # output tokens that are already part of the prompt
         self.words = prompt.split()
         self.user = user
         self.token_prefix = make_token_prefix(prompt, user)
@@ -107,10 +109,10 @@
         self.task: asyncio.Task[None] | None = None
 
     def tokens(self, start: int, end: int) -> list[str]:
-        return [f"{self.token_prefix}{self.before + n} " for n in range(start, end)]
+        return [f"{self.token_prefix}{self.continued_from + n} " for n in range(start, end)]
 
     def notify(self) -> None:
-        """Wake who waits for this run."""
+        """Wake the tasks that wait for this run."""
         self.progress.set()
         self.progress = asyncio.Event()
 
@@ -120,17 +122,17 @@
 
 
 def make_token_prefix(prompt: str, user: str) -> str:
-    """Give what stands in each token, so that a caller knows its own answer."""
+    """Return the prefix of each output token, by which a caller recognizes its own answer."""
     return f"{user}-{hashlib.sha256(prompt.encode()).hexdigest()[:8]}-"
 
 
 def expected_text(prompt: str, user: str, total: int) -> str:
-    """Give the whole answer to a request."""
+    """Return the complete text that the engine generates for a request."""
     return "".join(f"{make_token_prefix(prompt, user)}{number} " for number in range(total))
 
 
 class Batch:
-    """Run as many requests at one time as there are slots, the most urgent first."""
+    """Runs as many requests concurrently as there are slots, those of high priority first."""
 
     def __init__(self, slots: int, timing: Timing, cache: PrefixCache) -> None:
         self.slots = slots
@@ -160,12 +162,12 @@
         self._enqueue(run)
 
     def resume(self, run: Run) -> None:
-        """Go on with an interrupted run; it needs a slot again."""
+        """Queue an interrupted run again."""
         if run.state == "interrupted":
             self._enqueue(run)
 
     def interrupt(self, run: Run) -> None:
-        """Stop a run whose reader left; it can be resumed for a while."""
+        """Stop a run whose client disconnected; it can be resumed for `resume_s`."""
         if run.state in ("waiting", "running"):
             self._end(run, "interrupted")
 
@@ -176,8 +178,8 @@
         self._end(run, "cancelled")
         return True
 
-    def forget(self) -> None:
-        """Lose every run, as a restart does."""
+    def discard_all(self) -> None:
+        """Discard every run, as a restart does."""
         for run in list(self.runs.values()):
             if not run.ended:
                 self._end(run, "lost")
@@ -204,8 +206,8 @@
 
     async def _generate(self, run: Run) -> None:
         if not run.generated:
-            held = self.cache.record_prompt(run.words, time.monotonic())
-            await asyncio.sleep(self.timing.prefill_s * max(0, len(run.words) - held))
+            cached_words = self.cache.record_prompt(run.words, time.monotonic())
+            await asyncio.sleep(self.timing.prefill_s * max(0, len(run.words) - cached_words))
         while run.generated < run.total:
             await asyncio.sleep(self._interval.get(run, self.timing.token_s))
             run.generated += 1
--- a/cloverway/tests/standins/clients.py
+++ b/cloverway/tests/standins/clients.py
@@ -1,4 +1,4 @@
-"""A small caller: gets keys, sends calls, and checks that an answer is whole and its own."""
+"""A client for tests that requests keys, sends calls and verifies the answers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from cloverway.tests.standins.topology import MODEL, SERVICE, make_team_key
 
 NO_ANSWER = 0
-"""Status of a call that got no answer, or only a part of one."""
+"""Status of a call without a response."""
 
 
 class Result(NamedTuple):
-    """What a caller saw of one call."""
+    """The outcome of a call as its caller saw it."""
 
     status: int
     body: bytes = b""
@@ -36,7 +36,7 @@
 
 
 class Caller:
-    """One team's caller at one host."""
+    """A caller of one team that uses one host."""
 
     def __init__(self, url: str, team: str = "open", timeout_s: float = 15.0) -> None:
         self.url = url
@@ -49,7 +49,7 @@
         return json.loads(answer.body)
 
     def request_key(self, profile: str = "allocate") -> str:
-        """Get an idempotency key from the host."""
+        """Request an idempotency key from the host."""
         answer = self.request("POST", "/v1/idempotency-keys", profile=profile, json={})
         assert answer.status in (200, 201), answer
         return str(json.loads(answer.body)["keys"][0])
@@ -64,7 +64,7 @@
         prompt: str = "what is short today?",
         **options: Any,
     ) -> Result:
-        """Ask for a completion; `whole` says whether every token of this user's came."""
+        """Request a completion; `complete` is set if every expected token arrived."""
         body = {"model": MODEL, "user": user, "max_tokens": tokens, "stream": stream}
         body["messages"] = [{"role": "user", "content": prompt}]
         result = self.request("POST", "/v1/chat/completions", profile=profile, json=body, **options)
@@ -77,7 +77,7 @@
     def call_service(
         self, body: str, *, profile: str = "allocate", path: str = "orders", **options: Any
     ) -> Result:
-        """Call the plain service; `whole` says whether the answer is to this body."""
+        """Call the plain service; `complete` is set if the answer echoes this body."""
         target = f"/v1/services/{SERVICE}/{path}"
         result = self.request("POST", target, profile=profile, body=body.encode(), **options)
         if result.status != 200 or result.error:
@@ -96,9 +96,9 @@
         chunks: list[bytes] | None = None,
         **options: Any,
     ) -> Result:
-        """Send one call, once; never raise for what the network does.
+        """Send a call without retries; return a network failure as a result.
 
-        The pieces of the answer's body are put into `pieces` as they come.
+        The chunks of the response body are appended to `chunks` as they arrive.
         """
         sent = {"Authorization": f"Bearer {make_team_key(self.team)}"}
         sent |= {"Cloverway-Profile": profile} if profile else {}
@@ -131,7 +131,7 @@
 
 
 def read_events(body: bytes) -> tuple[str, bool]:
-    """Give the text of a stream, and whether its end came."""
+    """Return the text of a stream, and whether the stream was terminated."""
     lines = [line[6:] for line in body.decode().splitlines() if line.startswith("data: ")]
     ended = lines[-1:] == ["[DONE]"]
     events = [json.loads(line) for line in lines if line != "[DONE]"]
@@ -140,7 +140,7 @@
 
 
 def read_completion(body: bytes) -> tuple[str, bool]:
-    """Give the text of a completion, and whether it can be read."""
+    """Return the text of a completion, and whether the response could be parsed."""
     try:
         return json.loads(body)["choices"][0]["message"]["content"], True
     except (ValueError, LookupError):
--- a/cloverway/tests/standins/completions.py
+++ b/cloverway/tests/standins/completions.py
@@ -1,4 +1,4 @@
-"""The JSON that a stand-in engine answers with; `form` is "chat" or "text"."""
+"""Completion responses of the stand-in engine; `form` is "chat" or "text"."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_completion(run: Run, form: str) -> bytes:
-    """Give a whole answer."""
+    """Return the body of a response that is not streamed."""
     text = "".join(run.tokens(0, run.total))
     content = {"message": {"role": "assistant", "content": text}} if form == "chat" else {}
     content = content or {"text": text}
@@ -25,7 +25,7 @@
 
 
 def make_event(run: Run, token: str, form: str) -> bytes:
-    """Give the event of one token."""
+    """Return the stream event of one token."""
     content = json.dumps(token)
     part = f'"delta":{{"content":{content}}}' if form == "chat" else f'"text":{content}'
     choice = f'{{"index":0,{part},"finish_reason":null}}'
@@ -33,13 +33,13 @@
 
 
 def make_last_event(run: Run) -> bytes:
-    """Give the event that tells why the answer ended."""
+    """Return the event with the finish reason."""
     last = {"id": run.id, "choices": [{"index": 0, "delta": {}, "finish_reason": "length"}]}
     return f"data: {json.dumps(last)}\n\n".encode()
 
 
 class Answer:
-    """Send what a run produces over one connection, as the fault switches have it."""
+    """Sends the output of a run over a connection, with the selected faults."""
 
     def __init__(
         self, run: Run, form: str, connection: Connection, faults: Faults, *, live: Faults
@@ -51,7 +51,7 @@
         self._live = live
 
     async def send(self, *, stream: bool) -> None:
-        """Answer as a stream or whole."""
+        """Send the output as a stream or in one response."""
         if self._faults.close_at_once:
             await self._wait_for_tokens(1)
             self._channel.cut()
@@ -72,7 +72,7 @@
         await self._channel.send_faulty(self._faults, "application/json", body)
 
     async def stream(self, start: int) -> None:
-        """Send the tokens from one on as they come, and the end."""
+        """Stream the tokens from number `start` on as they are generated, and the end."""
         await self._wait_for_tokens(start + 1)
         await self._delay_first_byte()
         if self._faults.error:
@@ -117,7 +117,10 @@
         return False
 
     async def _wait_for_tokens(self, tokens: int) -> int:
-        """Wait until a run has so many tokens, ended, or its reader left."""
+        """Wait until the run has so many tokens or has ended; return how many it has.
+
+        Raise ConnectionError if the client disconnects before that.
+        """
         while (
             self._run.generated < min(tokens, self._run.total)
             and not self._run.ended
@@ -129,5 +132,5 @@
             progress.cancel()
             gone.cancel()
             if self._channel.gone.is_set():
-                raise ConnectionError("the reader left")
+                raise ConnectionError("client disconnected")
         return self._run.generated
--- a/cloverway/tests/standins/deployment.py
+++ b/cloverway/tests/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A published directory, run whole on one machine: its daemons, and stand-ins for its endpoints."""
+"""Runs all daemons of a published directory on this machine, with stand-ins for its endpoints."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 ADDRESS = re.compile(r"\b(127\.\d+\.\d+\.\d+):(\d+)\b")
 CLAIM_ADDRESS = ("127.0.0.10", 8000)
-"""Listened on by the run that has the published addresses."""
+"""Address on which the run that uses the published addresses listens."""
 START_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 15.0
 TOKEN_S = "0.005"
@@ -30,7 +30,7 @@
 
 
 class Deployment:
-    """Start every process of a published directory, and end each of them by its process id."""
+    """The processes of a published directory, each of which is stopped by its process id."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
@@ -38,7 +38,7 @@
         self.processes: dict[str, Process] = {}
         self._hosts: list[str] = []
         self.relocated: dict[str, str] = {}
-        """New addresses by those that were taken."""
+        """Replacement addresses by the published ones that were in use."""
 
     def __enter__(self) -> Deployment:
         self._folder = Path(tempfile.mkdtemp(prefix="cloverway-"))
@@ -58,7 +58,7 @@
         self.stop()
 
     def stop(self) -> dict[str, int]:
-        """End all processes, hosts first; give the exit status of each that was running."""
+        """Stop all processes, hosts first; return the exit status of each that was running."""
         others = [name for name in self.processes if name not in self._hosts]
         statuses = {**self._end(self._hosts), **self._end(others)}
         shutil.rmtree(self._folder, ignore_errors=True)
@@ -68,7 +68,7 @@
         return statuses
 
     def list_caller_addresses(self, region: str) -> list[str]:
-        """List the callers' addresses of a region's hosts."""
+        """Return the addresses on which a region's hosts accept callers."""
         return [
             host.callers
             for host in self.published.hosts.values()
@@ -76,7 +76,7 @@
         ]
 
     def count_runs(self, body: bytes) -> int:
-        """Count how often all services together have run a call with a body."""
+        """Return how often the services together have run a call with this body."""
         return sum(
             self._get_json(f"{endpoint.url}/test/runs")["bodies"].get(body.decode(), 0)
             for endpoint in self.published.endpoints.values()
@@ -84,7 +84,7 @@
         )
 
     def _copy_published(self) -> None:
-        """Copy the files, with other ports where one is taken."""
+        """Copy the files and replace ports that are in use."""
         target = self._folder / "published"
         target.mkdir()
         for file in sorted(self._directory.glob("*.toml")):
@@ -148,7 +148,7 @@
         for process in running.values():
             process.send(signal.SIGTERM)
         for process in running.values():
-            # One signal only: a second one would cut what a host still has in progress.
+            # Send only one signal: a second one would abort requests in progress at the host.
             with contextlib.suppress(subprocess.TimeoutExpired):
                 process.wait(STOP_TIMEOUT_S)
             process.kill()
@@ -156,10 +156,10 @@
 
 
 def claim_addresses() -> socket.socket | None:
-    """Claim the published addresses for one run at a time; None when another run has them.
+    """Reserve the published addresses for this run; return None if another run has them.
 
-    Two runs that look at the same time both find an address free, and one of them would then
-    take the other's hosts for its own.
+    Without the reservation, two runs that probe at the same time both find an address free, and
+    one of them then uses the other's hosts as its own.
     """
     claim = socket.socket()
     claim.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -173,11 +173,11 @@
 
 
 def is_free(host: str, port: int) -> bool:
-    """Tell whether nothing listens at an address, by TCP or UDP."""
+    """Return whether an address can be bound for TCP and UDP."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(socket.AF_INET, kind) as probe:
             if kind == socket.SOCK_STREAM:
-                # Connections of an earlier run that have ended don't take the port.
+                # Ignore closed connections of an earlier run in TIME_WAIT.
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 probe.bind((host, port))
--- a/cloverway/tests/standins/engine.py
+++ b/cloverway/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: completions, streams, orders and load reports, with fault switches."""
+"""Stand-in for a model engine: completions, streams, orders, load reports and fault switches."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     "event_lag_s": 0.0,
     "gap_every": 0,
 }
-"""Options of the program that are numbers, with their defaults."""
+"""Numeric command-line options and their defaults."""
 COMPLETIONS = {"/v1/chat/completions": "chat", "/v1/completions": "text"}
 
 
 class Engine(Server):
-    """An engine that batches continuously."""
+    """An engine with continuous batching."""
 
     def __init__(
         self,
@@ -68,9 +68,9 @@
                 self._reports.append((time.monotonic(), self._load_now()))
             await asyncio.sleep(SAMPLE_S)
 
-    def forget(self) -> None:
-        """Lose all runs, the cache and the fencing number, as a restart does."""
-        self.batch.forget()
+    def discard_state(self) -> None:
+        """Discard all runs, the cache and the fencing number, as a restart does."""
+        self.batch.discard_all()
         self.batch.cache = PrefixCache(self.cache_blocks, self.gap_every)
         self.incarnation = secrets.token_hex(8)
         self.orders.highest_fencing = 0
@@ -115,7 +115,7 @@
             self.timing = self.timing._replace(**timing)
             self.batch.timing = self.timing
         if forget:
-            self.forget()
+            self.discard_state()
 
     def counts(self) -> dict[str, Any]:
         return {
@@ -129,7 +129,7 @@
         }
 
     def load(self, now: float) -> dict[str, Any]:
-        """Give the report as it was `report_lag_s` ago."""
+        """Return the load report as it was `report_lag_s` ago."""
         due = now - self.report_lag_s
         old = [report for report in self._reports if report[0] <= due]
         at, report = old[-1] if self.report_lag_s and old else (now, self._load_now())
@@ -184,16 +184,16 @@
 
     def _make_run(self, request: Request, body: dict[str, Any]) -> Run:
         messages = body.get("messages", [])
-        before = messages[-1] if messages and messages[-1]["role"] == "assistant" else None
-        asked = [str(message["content"]) for message in messages if message is not before]
-        prompt = str(body.get("prompt", "")) or "\n".join(asked)
+        last_answer = messages[-1] if messages and messages[-1]["role"] == "assistant" else None
+        contents = [str(message["content"]) for message in messages if message is not last_answer]
+        prompt = str(body.get("prompt", "")) or "\n".join(contents)
         identity = request.headers.get("x-request-id") or f"run-{next(self._number)}"
         if identity in self.batch.runs:
             identity = f"{identity}+{next(self._number)}"
         priority = int(request.headers.get("cloverway-priority", "1"))
         total = int(body.get("max_tokens", 16))
         run = Run(identity, prompt, str(body.get("user", "")), total, priority)
-        run.before = len(before["content"].split()) if before else 0
+        run.continued_from = len(last_answer["content"].split()) if last_answer else 0
         return run
 
     async def _resume(self, request: Request, connection: Connection, faults: Faults) -> None:
--- a/cloverway/tests/standins/faults.py
+++ b/cloverway/tests/standins/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches of the stand-ins."""
+"""Fault switches of the stand-in servers."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Faults:
-    """What goes wrong; all switches are off at first."""
+    """The faults that a stand-in injects; all switches are off initially."""
 
     DEFAULTS: ClassVar[dict[str, Any]] = {
-        "refuse": False,  # 503 that says the request was not started
-        "error": 0,  # this status after the work was counted
-        "first_byte_s": 0.0,  # wait before the head of the answer
-        "silent": False,  # accept and never answer
-        "cut_after": None,  # close midway: tokens of a stream, bytes of a body
-        "stall_after": None,  # as cut_after, but stay open and say nothing
+        "refuse": False,  # respond 503 and say that the request was not started
+        "error": 0,  # respond with this status after the request was counted
+        "first_byte_s": 0.0,  # delay the head of the response
+        "silent": False,  # accept the request and never respond
+        "cut_after": None,  # close after so many tokens of a stream or bytes of a body
+        "stall_after": None,  # as cut_after, but keep the connection open and send nothing
         "short_body": False,  # declare a longer body than is sent, then close
         "close_at_once": False,  # close after the request was read and counted
-        "hold": False,  # wait before the head of the answer until the switch is off
-        "hold_after": None,  # wait after so many tokens (bytes of a body) until the switch is off
-        "duplicate": False,  # send the answer twice on one connection
-        "token_s": None,  # another interval between tokens
-        "times": None,  # how many requests the switches hold for
+        "hold": False,  # delay the head of the response until the switch is off
+        "hold_after": None,  # pause after so many tokens or bytes until the switch is off
+        "duplicate": False,  # send the response twice on one connection
+        "token_s": None,  # override the interval between tokens
+        "times": None,  # how many requests the switches apply to
     }
 
     def __init__(self) -> None:
@@ -33,19 +33,19 @@
     def set(self, **switches: Any) -> None:
         unknown = set(switches) - set(self.DEFAULTS)
         if unknown:
-            raise ValueError(f"no such fault: {sorted(unknown)}")
+            raise ValueError(f"unknown fault switches: {sorted(unknown)}")
         self.__dict__.update(switches)
 
     def clear(self) -> None:
         self.__dict__.update(self.DEFAULTS)
 
     async def wait_released(self, gone: asyncio.Event) -> None:
-        """Wait until both holds are off, or the other side left."""
+        """Wait until `hold` and `hold_after` are off or the client disconnected."""
         while (self.hold or self.hold_after is not None) and not gone.is_set():
             await asyncio.sleep(POLL_S)
 
     def take_for_request(self) -> Faults:
-        """Give the switches for one request, and count it against `times`."""
+        """Return the switches for one request and count it against `times`."""
         taken = Faults()
         if self.times == 0:
             return taken
--- a/cloverway/tests/standins/fleet.py
+++ b/cloverway/tests/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: daemons, engines, services and, if asked for, the platform."""
+"""A small fleet of real processes: daemons, engines, services and optionally the platform."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RemoteStandIn:
-    """A stand-in in another process, by its HTTP address."""
+    """Controls a stand-in in another process through its HTTP address."""
 
     def __init__(self, url: str) -> None:
         self.url = url
@@ -58,7 +58,7 @@
 
 
 class Fleet:
-    """Start everything with `start`, and end all of it, by pid, with `stop`."""
+    """The processes of a fleet; `start` starts all of them and `stop` ends each by its pid."""
 
     def __init__(
         self,
@@ -117,7 +117,7 @@
         self._temporary.cleanup()
 
     def start_daemons(self) -> None:
-        """Start the daemon of each host and wait until all are ready."""
+        """Start the daemons of all hosts and wait until they are ready."""
         for name in self.hosts:
             self.processes[name].start()
         for name in self.hosts:
@@ -134,7 +134,7 @@
         return answer.status == 200
 
     def url(self, host: str) -> str:
-        """Give the address at which a host takes calls."""
+        """Return the URL on which a host accepts callers."""
         return f"http://{self.hosts[host].callers}"
 
     def kill(self, name: str) -> None:
@@ -147,17 +147,17 @@
         self.processes[name].send(signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
-        """Ask a process to stop; `processes[name].wait()` gives its exit status."""
+        """Send SIGTERM to a process; `processes[name].wait()` returns its exit status."""
         self.processes[name].send(signal.SIGTERM)
 
     def restart(self, name: str) -> None:
-        """Start an ended process at its old address and wait until it is ready."""
+        """Start a process again at its address and wait until it is ready."""
         self.processes[name].kill()
         self.processes[name].start()
         self.wait_serving(name)
 
     def publish(self, changes: dict[str, Any]) -> int:
-        """Publish changes to the tables, nested as in TOML; give the revision."""
+        """Publish changes to the tables, nested as in TOML, and return the revision."""
         self.tables = merge(self.tables, changes)
         if self.platform_kind == "file":
             self._write_published()
@@ -172,15 +172,15 @@
         return self.revision
 
     def cut(self, left: list[str], right: list[str]) -> None:
-        """Cut every link between two groups of hosts and endpoints."""
-        for near, far in (*itertools.product(left, right), *itertools.product(right, left)):
-            self.links[near].cut(far)
+        """Cut every link between two groups of hosts and endpoints, in both directions."""
+        for receiver, sender in (*itertools.product(left, right), *itertools.product(right, left)):
+            self.links[receiver].cut(sender)
 
     def blackhole(self, left: list[str], right: list[str], *, one_way: bool = False) -> None:
-        """Drop what `left` sends to `right`, and what `right` sends unless it is one way."""
+        """Drop what `left` sends to `right`, and unless `one_way`, what `right` sends to `left`."""
         for sender, receiver in itertools.product(left, right):
-            self.links[receiver].blackhole(TO_TARGET, source=sender)
-            self.links[sender].blackhole(TO_CALLER, source=receiver)
+            self.links[receiver].blackhole(TO_TARGET, client=sender)
+            self.links[sender].blackhole(TO_CALLER, client=receiver)
         if not one_way:
             self.blackhole(right, left, one_way=True)
 
@@ -210,7 +210,7 @@
         self.remotes[name] = RemoteStandIn(f"http://127.0.0.1:{port}")
 
     def wait_serving(self, name: str) -> None:
-        """Wait until a process that was started serves."""
+        """Wait until a started process accepts requests."""
         if name in self.hosts:
             self.wait_ready(name)
             return
@@ -237,7 +237,7 @@
         self.tables = merge(tables, self._publish_also)
 
     def _link(self, name: str, target: str, *, udp: bool = False) -> str:
-        """Put a link before an address, if this fleet has links, and give its address."""
+        """Return the address of a new link to a target, or the target if there are no links."""
         if not self._with_links:
             return target
         link = Link(target, udp=udp, port=self._ports.take(), identify=self._identify)
@@ -285,7 +285,7 @@
 
 
 def to_documents(tables: dict[str, Any]) -> dict[str, Any]:
-    """Turn published tables into the platform's documents by key."""
+    """Convert published tables to the platform's documents by key."""
     single = {name: tables[name] for name in ("organisation", "objective") if name in tables}
     parts = [name for name in tables if name not in single and name != "revision"]
     return single | {
--- a/cloverway/tests/standins/launch.py
+++ b/cloverway/tests/standins/launch.py
@@ -1,6 +1,6 @@
-"""Run a module as a program that the kernel ends when the process that started it dies.
+"""Run a module as a program that the kernel kills when its parent process dies.
 
-A test run that is killed can't clean up; without this its daemons would stay behind.
+A killed test run can't stop its daemons itself, so they would keep running without this.
 """
 
 from __future__ import annotations
--- a/cloverway/tests/standins/links.py
+++ b/cloverway/tests/standins/links.py
@@ -1,4 +1,4 @@
-"""TCP and UDP links between two parties that a test cuts, slows down, silences and restores."""
+"""TCP and UDP proxies with injected faults: cut, delayed, dropping and stalled connections."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 BOTH = (TO_TARGET, TO_CALLER)
 
 
-EVERYONE = ""
+ANY_CLIENT = ""
 Identify = Callable[[str, int], str]
-"""Gives the name of who uses a local port of a kind ("tcp" or "udp")."""
+"""Returns the name of the process that uses a local port of a kind ("tcp" or "udp")."""
 
 
-class PeerIdentity:
-    """Who uses a port of this machine; found out when it first matters, for that takes long."""
+class ClientIdentity:
+    """The client that uses a local port; looked up on first use, because a lookup is slow."""
 
     def __init__(self, identify: Identify, kind: str, port: int) -> None:
         self._find = functools.partial(identify, kind, port)
@@ -35,19 +35,19 @@
         return self._find()
 
     def is_among(self, names: set[str]) -> bool:
-        return bool(names) and (EVERYONE in names or self.name in names)
+        return bool(names) and (ANY_CLIENT in names or self.name in names)
 
 
 class Pair(NamedTuple):
-    """The two halves of one connection, and who opened it."""
+    """The two sides of a proxied connection and the client that opened it."""
 
-    source: PeerIdentity
+    client: ClientIdentity
     caller_writer: asyncio.StreamWriter
     target_writer: asyncio.StreamWriter
 
 
 class Link:
-    """Pass TCP connections and UDP datagrams at one port on to a target."""
+    """A proxy that forwards the TCP connections and UDP datagrams of one port to a target."""
 
     def __init__(
         self, target: str, *, udp: bool = False, port: int = 0, identify: Identify | None = None
@@ -59,9 +59,9 @@
         self.connections = 0
         self.held = 0
         self.passed_bytes = dict.fromkeys(BOTH, 0)
-        self.identify = identify or (lambda _kind, _port: EVERYONE)
+        self.identify = identify or (lambda _kind, _port: ANY_CLIENT)
         self._cut: set[str] = set()
-        self._blackholed_clients: dict[str, set[str]] = {way: set() for way in BOTH}
+        self._blackholed_clients: dict[str, set[str]] = {direction: set() for direction in BOTH}
         self._delay_s = 0.0
         self._bytes_per_s: float | None = None
         self._max_passed: int | None = None
@@ -99,38 +99,39 @@
     def __exit__(self, *_: object) -> None:
         self.stop()
 
-    def cut(self, *sources: str) -> None:
-        """Reset the connections of some callers, or of all, and refuse their new ones."""
-        self._cut |= set(sources or {EVERYONE})
+    def cut(self, *clients: str) -> None:
+        """Reset the connections of the named clients, or of all, and refuse new ones."""
+        self._cut |= set(clients or {ANY_CLIENT})
         self._wait(self._reset())
 
-    def blackhole(self, *directions: str, source: str = EVERYONE) -> None:
-        """Keep connections open and accept new ones, but pass nothing, or nothing one way."""
-        for way in directions or BOTH:
-            self._blackholed_clients[way].add(source)
+    def blackhole(self, *directions: str, client: str = ANY_CLIENT) -> None:
+        """Keep accepting connections, but drop all data in some directions, by default in both."""
+        for direction in directions or BOTH:
+            self._blackholed_clients[direction].add(client)
 
     def blackhole_open(self) -> None:
-        """Pass nothing more on the connections that are open now; new ones work."""
+        """Forward nothing more on the connections that are open now; new ones work."""
         self._wait(self._blackhole_open_pairs())
 
     def slow(self, delay_s: float, bytes_per_s: float | None = None) -> None:
-        """Hold each piece back for a while, and pass only so many bytes a second."""
+        """Delay each chunk, and limit the throughput to `bytes_per_s`."""
         self._delay_s = delay_s
         self._bytes_per_s = bytes_per_s
 
     def hold_large(self, max_passed: int) -> None:
-        """Of each large piece to the target pass so many bytes, and hold the rest until restored.
+        """Forward only the first `max_passed` bytes of each large chunk sent to the target.
 
-        Small requests, such as those for load reports, go on as before.
+        The rest is held until `release_large` or `restore`. Small requests, such as those for
+        load reports, are forwarded as usual.
         """
         self._max_passed = max_passed
 
     def release_large(self) -> None:
-        """Pass what is held back, and leave other faults as they are."""
+        """Forward the held data and keep other faults in place."""
         self._max_passed = None
 
     def restore(self) -> None:
-        """Pass everything again; what was dropped stays lost."""
+        """Remove all faults; data that was dropped stays lost."""
         self._cut.clear()
         for names in self._blackholed_clients.values():
             names.clear()
@@ -139,11 +140,11 @@
         if self._listener is None:
             self._wait(self._listen())
 
-    def is_cut(self, source: PeerIdentity) -> bool:
-        return source.is_among(self._cut)
+    def is_cut(self, client: ClientIdentity) -> bool:
+        return client.is_among(self._cut)
 
-    def is_blackholed(self, source: PeerIdentity, way: str) -> bool:
-        return source.is_among(self._blackholed_clients[way])
+    def is_blackholed(self, client: ClientIdentity, direction: str) -> bool:
+        return client.is_among(self._blackholed_clients[direction])
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
@@ -165,11 +166,11 @@
         )
 
     async def _reset(self) -> None:
-        if EVERYONE in self._cut and self._listener is not None:
+        if ANY_CLIENT in self._cut and self._listener is not None:
             self._listener.close()
             self._listener = None
         for pair in [
-            pair for pair in self._pairs | self._blackholed_pairs if self.is_cut(pair.source)
+            pair for pair in self._pairs | self._blackholed_pairs if self.is_cut(pair.client)
         ]:
             pair.caller_writer.transport.abort()
             pair.target_writer.transport.abort()
@@ -183,8 +184,8 @@
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        source = PeerIdentity(self.identify, "tcp", writer.get_extra_info("peername")[1])
-        if self.is_cut(source):
+        client = ClientIdentity(self.identify, "tcp", writer.get_extra_info("peername")[1])
+        if self.is_cut(client):
             writer.transport.abort()
             return
         try:
@@ -192,7 +193,7 @@
         except OSError:
             writer.transport.abort()
             return
-        pair = Pair(source, writer, target_writer)
+        pair = Pair(client, writer, target_writer)
         self._pairs.add(pair)
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
@@ -204,33 +205,33 @@
         self._blackholed_pairs.discard(pair)
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pair: Pair, way: str
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pair: Pair, direction: str
     ) -> None:
         try:
             while received := await reader.read(MAX_CHUNK_BYTES):
                 chunk = received
                 await self._delay(len(chunk))
                 if (
-                    way == TO_TARGET
+                    direction == TO_TARGET
                     and len(chunk) > LARGE_CHUNK_BYTES
                     and self._max_passed is not None
                 ):
                     chunk = await self._pass_beginning(chunk, writer)
-                if not self._drops(pair, way):
-                    self.passed_bytes[way] += len(chunk)
+                if not self._drops(pair, direction):
+                    self.passed_bytes[direction] += len(chunk)
                     writer.write(chunk)
                     await writer.drain()
         except OSError:
             writer.transport.abort()
             return
-        if not self._drops(pair, way):
+        if not self._drops(pair, direction):
             writer.close()
 
-    def _drops(self, pair: Pair, way: str) -> bool:
-        return pair in self._blackholed_pairs or self.is_blackholed(pair.source, way)
+    def _drops(self, pair: Pair, direction: str) -> bool:
+        return pair in self._blackholed_pairs or self.is_blackholed(pair.client, direction)
 
     async def _pass_beginning(self, chunk: bytes, writer: asyncio.StreamWriter) -> bytes:
-        """Pass a part of a piece, wait for the restoring, and give the rest."""
+        """Forward the beginning of a chunk, wait for its release, and return the rest."""
         part = chunk[: self._max_passed]
         self.passed_bytes[TO_TARGET] += len(part)
         self.held += 1
@@ -245,49 +246,53 @@
         if self._bytes_per_s:
             await asyncio.sleep(size / self._bytes_per_s)
 
-    def schedule_datagram(self, source: PeerIdentity, way: str, send: Callable[[], object]) -> None:
-        """Send a datagram unless the link drops it; on the loop."""
-        if not self.is_cut(source) and not self.is_blackholed(source, way):
+    def schedule_datagram(
+        self, client: ClientIdentity, direction: str, send: Callable[[], object]
+    ) -> None:
+        """Schedule the sending of a datagram unless the link drops it; call this on the loop."""
+        if not self.is_cut(client) and not self.is_blackholed(client, direction):
             self._loop.call_later(self._delay_s, send)
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Pass datagrams on, each sender by a socket of its own, and their answers back."""
+    """Forwards datagrams through one socket per sender, and the responses back to the sender."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
         self._senders: dict[Any, socket.socket] = {}
-        self._sources: dict[Any, PeerIdentity] = {}
+        self._clients: dict[Any, ClientIdentity] = {}
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
 
     def datagram_received(self, data: bytes, sender: Any) -> None:
-        own = self._socket_of(sender)
-        self._link.schedule_datagram(self._sources[sender], TO_TARGET, lambda: _send(own, data))
+        upstream = self._socket_of(sender)
+        self._link.schedule_datagram(
+            self._clients[sender], TO_TARGET, lambda: _send(upstream, data)
+        )
 
     def _socket_of(self, sender: Any) -> socket.socket:
         if sender not in self._senders:
-            own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            own.setblocking(False)
-            own.connect(self._link.target)
-            self._senders[sender] = own
-            self._sources[sender] = PeerIdentity(self._link.identify, "udp", sender[1])
-            asyncio.get_running_loop().add_reader(own, self._answer, own, sender)
+            upstream = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            upstream.setblocking(False)
+            upstream.connect(self._link.target)
+            self._senders[sender] = upstream
+            self._clients[sender] = ClientIdentity(self._link.identify, "udp", sender[1])
+            asyncio.get_running_loop().add_reader(upstream, self._answer, upstream, sender)
         return self._senders[sender]
 
-    def _answer(self, own: socket.socket, sender: Any) -> None:
+    def _answer(self, upstream: socket.socket, sender: Any) -> None:
         try:
-            data = own.recv(MAX_CHUNK_BYTES)
+            data = upstream.recv(MAX_CHUNK_BYTES)
         except OSError:
             return
-        source = self._sources[sender]
+        client = self._clients[sender]
         self._link.schedule_datagram(
-            source, TO_CALLER, lambda: self._transport.sendto(data, sender)
+            client, TO_CALLER, lambda: self._transport.sendto(data, sender)
         )
 
 
-def _send(own: socket.socket, data: bytes) -> None:
-    """Send a datagram; one that can't be sent is lost, as on any network."""
+def _send(upstream: socket.socket, data: bytes) -> None:
+    """Send a datagram; if that fails it is lost, as on any network."""
     with contextlib.suppress(OSError):
-        own.send(data)
+        upstream.send(data)
--- a/cloverway/tests/standins/orders.py
+++ b/cloverway/tests/standins/orders.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine was ordered to do."""
+"""Orders that a stand-in engine accepts: load or unload a model, change role, drain."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Orders:
-    """Models, role and drain of an engine; old fencing numbers are refused where it checks."""
+    """Models, role and drain state of an engine; with `fencing` it refuses old fencing numbers."""
 
     def __init__(self, models: tuple[str, ...], fencing: bool) -> None:
         self.models = list(models)
@@ -20,7 +20,7 @@
         self.refused = 0
 
     def apply(self, order: dict[str, Any]) -> bool:
-        """Carry out an order but for its load; say whether it was accepted."""
+        """Apply an order except for loading a model; return whether it was accepted."""
         number = int(order.get("fencing", 0))
         if self.fencing and number < self.highest_fencing:
             self.refused += 1
--- a/cloverway/tests/standins/owners.py
+++ b/cloverway/tests/standins/owners.py
@@ -1,4 +1,4 @@
-"""Find which process a local port belongs to, so that a link knows who calls."""
+"""Find the process that uses a local port, so that a link can identify its clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def find_owner(kind: str, port: int, pids: Mapping[str, int]) -> str:
-    """Give the name of the process that uses a port, or an empty name."""
+    """Return the name of the process that uses a port, or an empty string."""
     inodes = _find_inodes(kind, port)
     owners = (name for name, pid in pids.items() if inodes & _list_sockets(pid))
     return next(owners, "")
--- a/cloverway/tests/standins/platform.py
+++ b/cloverway/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform: read-and-watch configuration, host list, directory and weight store."""
+"""Stand-in for the platform: configuration to read and watch, host list, directory, weights."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TokenBucket:
-    """Allow so many calls a second, with one second's worth at once."""
+    """A token bucket of so many calls a second whose burst is one second's worth."""
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
@@ -35,7 +35,7 @@
 
 
 class Platform(Server):
-    """Callers only read; operators publish in process or below /test."""
+    """The platform's read-only service; tests publish in process or under /test."""
 
     def __init__(
         self,
@@ -67,9 +67,9 @@
         self._changed = asyncio.Event()
 
     def publish(self, key: str, value: Any) -> int:
-        """Publish one document, or delete it with None; give its revision."""
+        """Publish a document, or delete it if the value is None; return its revision."""
         if len(json.dumps(value)) > MAX_VALUE_BYTES:
-            raise ValueError(f"{key} is over a megabyte")
+            raise ValueError(f"document {key} is larger than 1 MiB")
         return int(self.call(lambda: self._put(key, value)))
 
     def publish_all(self, documents: dict[str, Any]) -> int:
@@ -78,11 +78,11 @@
     def set_listed(
         self, *, hosts: dict[str, str] | None = None, endpoints: dict[str, str] | None = None
     ) -> None:
-        """Change entries of the list of hosts; seen after the lag."""
+        """Change entries of the host list; readers see this after `list_lag_s`."""
         self.call(lambda: self._set_listed(hosts or {}, endpoints or {}))
 
     def freeze(self, revision: int | None = None) -> None:
-        """Serve an old revision until thawed."""
+        """Serve an old revision until `thaw`."""
         self._frozen_at = self.revision if revision is None else revision
 
     def thaw(self) -> None:
@@ -90,7 +90,7 @@
         self.call(self._wake)
 
     def restart_at(self, revision: int) -> None:
-        """Restart with older data: later changes are lost and their revisions used again."""
+        """Restart with older data: later changes are lost and their revisions are reused."""
         self.call(lambda: self._restart(revision))
 
     def _restart(self, revision: int) -> None:
@@ -178,7 +178,7 @@
         return {"revision": served, "documents": documents}
 
     def listed(self, now: float) -> dict[str, Any]:
-        """Give the list as it was `list_lag_s` ago."""
+        """Return the host list as it was `list_lag_s` ago."""
         return [entry for at, entry in self._lists if at <= now - self.list_lag_s][-1]
 
     def _directory(self) -> dict[str, Any]:
@@ -222,7 +222,7 @@
 
 def main() -> None:
     options = make_parser("The platform.")
-    options.add_argument("--documents", help="JSON file with documents by key")
+    options.add_argument("--documents", help="JSON file with the documents by key")
     options.add_argument("--list-lag-s", type=float, default=0.0)
     arguments = options.parse_args()
     documents = json.loads(Path(arguments.documents).read_text()) if arguments.documents else {}
--- a/cloverway/tests/standins/processes.py
+++ b/cloverway/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a test starts, pauses and ends, and ports for them."""
+"""Child processes of a test, and ports for them."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 PORTS_PER_BLOCK = 128
-"""Ports that one fleet has to itself."""
+"""Ports reserved for one fleet."""
 FIRST_PORT, LAST_PORT = 12_000, 32_000
-"""Below the range from which the system gives ports away by itself."""
+"""Below the range of ephemeral ports that the system assigns."""
 LAUNCHER = "cloverway.tests.standins.launch"
 
 
 class Ports:
-    """A block of ports, claimed by listening on its first one until `close`."""
+    """A block of ports, reserved by listening on its first port until `close`."""
 
     def __init__(self) -> None:
         self._claim, base = _claim_block()
@@ -62,7 +62,7 @@
 
 
 class Process:
-    """One Python program of this tree; its output goes to a file."""
+    """A Python program of this source tree whose output is written to a log file."""
 
     def __init__(
         self,
@@ -110,12 +110,12 @@
         self.wait()
 
     def wait(self, timeout_s: float = 10.0) -> int:
-        """Wait until it has ended and give its exit status."""
+        """Wait until the process has exited and return its exit status."""
         assert self._process is not None
         return self._process.wait(timeout_s)
 
     def stop(self, timeout_s: float = 3.0) -> None:
-        """End it: politely, and then by force."""
+        """Stop the process with SIGTERM, and with SIGKILL after the timeout."""
         if not self.running:
             return
         self.send(signal.SIGCONT)
@@ -129,7 +129,7 @@
         return "\n".join(text.splitlines()[-lines:])
 
     def wait_ready(self, check: object, timeout_s: float) -> None:
-        """Wait until `check()` is true; fail at once, with its output, when the process ended."""
+        """Wait until `check()` is true; raise AssertionError with its output if it exits."""
 
         def ready_or_ended() -> bool:
             return not self.running or bool(check())  # type: ignore[operator]
@@ -139,4 +139,4 @@
         except AssertionError as error:
             raise AssertionError(f"{error}\n{self.tail()}") from error
         if not self.running:
-            raise AssertionError(f"{self.name} ended with {self.wait()}\n{self.tail()}")
+            raise AssertionError(f"{self.name} exited with {self.wait()}\n{self.tail()}")
--- a/cloverway/tests/standins/service.py
+++ b/cloverway/tests/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts its calls."""
+"""Stand-in for a plain service that counts its calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Service(Server):
-    """Answer any path; a call is counted when its work starts."""
+    """A service that answers any path and counts a call when it starts to run it."""
 
     def __init__(
         self,
@@ -41,11 +41,11 @@
 
     @property
     def total(self) -> int:
-        """How many calls were run."""
+        """Return how many calls were run."""
         return sum(self.by_path.values())
 
-    def forget(self) -> None:
-        """Lose all counts and take a new incarnation, as a restart does."""
+    def discard_state(self) -> None:
+        """Discard all counts and change the incarnation, as a restart does."""
         self.incarnation = secrets.token_hex(8)
         for counter in (self.by_key, self.by_body, self.by_id, self.by_path):
             counter.clear()
@@ -71,7 +71,7 @@
         if renew:
             self.incarnation = secrets.token_hex(8)
         if forget:
-            self.forget()
+            self.discard_state()
 
     def load(self) -> dict[str, object]:
         return {
@@ -144,7 +144,7 @@
 
 
 def digest(body: bytes) -> str:
-    """Give a short digest by which a caller knows its own answer."""
+    """Return a short digest by which a caller recognizes the answer to its request."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
--- a/cloverway/tests/standins/topology.py
+++ b/cloverway/tests/standins/topology.py
@@ -1,4 +1,4 @@
-"""What a fleet of the tests publishes, and the settings of its daemons."""
+"""Published configuration of the test fleets, and the settings of their daemons."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class Topology(NamedTuple):
-    """Regions, each with failure domains of the same shape."""
+    """The shape of a test fleet: regions whose failure domains all have the same size."""
 
     regions: tuple[str, ...] = ("pl", "cu", "ro")
     domains: int = 1
-    """Failure domains of each region."""
+    """Number of failure domains in each region."""
     hosts: int = 2
+    """Hosts, engines and services: numbers in each failure domain."""
     engines: int = 1
     services: int = 1
     slots: int = 8
@@ -26,7 +27,7 @@
     engine_options: tuple[str, ...] = ("--token-s", "0.002")
     service_options: tuple[str, ...] = ()
     settings: Mapping[str, Any] = {}
-    """Tables that are merged into the settings of each daemon."""
+    """Tables to merge into the settings of each daemon."""
 
     @property
     def domain_names(self) -> list[str]:
@@ -34,7 +35,7 @@
         return [f"{region}-{letter}" for region in self.regions for letter in letters]
 
     def list_names(self, what: str) -> list[str]:
-        """List the names of all "hosts", "engines" or "services"."""
+        """Return the names of all "hosts", "engines" or "services"."""
         counts = {"hosts": self.hosts, "engines": self.engines, "services": self.services}
         stem = {"hosts": "host", "engines": "engine", "services": "service"}[what]
         numbers = range(1, counts[what] + 1)
@@ -42,7 +43,7 @@
 
 
 class HostAddresses(NamedTuple):
-    """Where a daemon listens, and where the others reach it."""
+    """The addresses on which a daemon listens, and the published address for its peers."""
 
     callers: str
     admin: str
@@ -59,7 +60,7 @@
 
 
 def make_team_key(team: str) -> str:
-    """Give the bearer key of a team."""
+    """Return the bearer key of a team."""
     return f"key-of-{team}-for-tests-only"
 
 
@@ -68,7 +69,7 @@
 
 
 def make_profiles() -> dict[str, Any]:
-    """Give profiles for models and services, idempotent and not."""
+    """Return profiles for the model and the service, both idempotent and non-idempotent."""
     quick = {"deadline_ms": 5_000, "gap_ms": 1_000}
     return {
         "chat": {"model": MODEL, "idempotent": True, **quick},
@@ -79,7 +80,7 @@
 
 
 def make_teams(topology: Topology) -> dict[str, Any]:
-    """Give one team that is bound to each region, and one that is not bound."""
+    """Return one team bound to each region, and one that is not bound."""
     profiles = list(make_profiles())
     bound = {f"bound-{region}": (region, True) for region in topology.regions}
     teams = {**bound, "open": (topology.regions[0], False)}
@@ -97,7 +98,7 @@
 def make_tables(
     topology: Topology, hosts: Mapping[str, HostAddresses], urls: Mapping[str, str]
 ) -> dict[str, Any]:
-    """Give the published tables; `urls` has each engine and service."""
+    """Return the published tables; `urls` maps each engine and service to its URL."""
     engines = {
         name: {"domain": domain_of(name), "url": urls[name], "models": [MODEL]}
         for name in topology.list_names("engines")
@@ -143,7 +144,7 @@
     secret_file: str,
     more: Mapping[str, Any],
 ) -> dict[str, Any]:
-    """Give the settings of one daemon, quick enough for tests."""
+    """Return the settings of a daemon, with short intervals for tests."""
     settings = {
         "host": name,
         "domain": domain_of(name),
@@ -168,7 +169,7 @@
 
 
 def merge(base: Mapping[str, Any], more: Mapping[str, Any]) -> dict[str, Any]:
-    """Give nested tables with the values of `more` in place of those of `base`."""
+    """Merge nested tables; the values of `more` override those of `base`."""
     merged = dict(base)
     for name, value in more.items():
         old = merged.get(name)
@@ -178,7 +179,7 @@
 
 
 def to_toml(tables: Mapping[str, Any], prefix: str = "") -> str:
-    """Write nested tables as TOML."""
+    """Format nested tables as TOML."""
     plain = {name: value for name, value in tables.items() if not isinstance(value, Mapping)}
     nested = {name: value for name, value in tables.items() if isinstance(value, Mapping)}
     lines = [f"[{prefix}]"] if prefix and plain else []
--- a/cloverway/tests/standins/waiting.py
+++ b/cloverway/tests/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Wait for a condition, for a bounded time, and end what runs on a loop."""
+"""Wait for a condition with a timeout, and cancel the tasks of an event loop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def wait_until(condition: Callable[[], T], timeout_s: float = 10.0, what: str = "") -> T:
-    """Give the first true value of a condition; raise AssertionError when none comes."""
+    """Return the first true value of a condition; raise AssertionError after the timeout."""
     pause = threading.Event()
     end = time.monotonic() + timeout_s
     while True:
@@ -27,7 +27,7 @@
 
 
 def end_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancel what still runs on a stopped loop, and close it."""
+    """Cancel the remaining tasks of a stopped loop and close it."""
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
         task.cancel()
