--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -1,6 +1,6 @@
-"""What is logged and measured of each request: one line and one observation when it has ended.
+"""Reports each request when it has ended: one log line and one observation for the metrics.
 
-Neither a body, nor a caller's key, nor an idempotency key is passed on from here.
+Bodies, caller keys and idempotency keys are never reported.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class EndedRequest(Protocol):
-    """What the gateway knows of a request that has ended. Times are seconds."""
+    """The gateway's record of a request that has ended. Times are seconds."""
 
     @property
     def request(self) -> Request: ...  # noqa: D102
@@ -42,7 +42,7 @@
 
 
 class EndedStream(Protocol):
-    """What the relay knows of a stream that has ended."""
+    """The relay's record of a stream that has ended."""
 
     @property
     def tokens(self) -> int: ...  # noqa: D102
@@ -53,16 +53,18 @@
 
 
 class Reporter:
-    """Takes what the parts of the daemon report, and logs and counts it."""
+    """Logs and counts requests and streams that have ended."""
 
     def __init__(self, metrics: Metrics, holder: ViewHolder) -> None:
         self._metrics = metrics
         self._holder = holder
 
-    def report_request(self, ended: EndedRequest) -> None:
-        """Report a request that the gateway has run or refused."""
-        request = ended.request
-        first_ms = _to_ms(ended.first_byte_s) if ended.first_byte_s is not None else None
+    def report_request(self, request_record: EndedRequest) -> None:
+        """Report a request that the gateway ran or refused."""
+        request = request_record.request
+        first_ms = (
+            _to_ms(request_record.first_byte_s) if request_record.first_byte_s is not None else None
+        )
         log.info(
             "request",
             extra={
@@ -70,13 +72,13 @@
                 "team": request.team,
                 "profile": request.profile,
                 "method": request.method,
-                "endpoint": ended.endpoint,
-                "attempts": ended.attempts,
-                "queue_ms": _to_ms(ended.queue_s),
+                "endpoint": request_record.endpoint,
+                "attempts": request_record.attempts,
+                "queue_ms": _to_ms(request_record.queue_s),
                 "first_byte_ms": first_ms,
-                "total_ms": _to_ms(ended.total_s),
-                "outcome": str(ended.kind or "ok"),
-                "ran": str(ended.ran),
+                "total_ms": _to_ms(request_record.total_s),
+                "outcome": str(request_record.kind or "ok"),
+                "ran": str(request_record.ran),
                 "passed_on": request.is_forwarded,
             },
         )
@@ -84,18 +86,18 @@
             RequestEnded(
                 team=request.team,
                 urgency=self._find_urgency(request.profile),
-                kind=ended.kind,
-                ran=ended.ran,
-                endpoint=ended.endpoint,
-                attempts=ended.attempts,
-                queue_s=ended.queue_s,
-                first_byte_s=ended.first_byte_s,
-                total_s=ended.total_s,
+                kind=request_record.kind,
+                ran=request_record.ran,
+                endpoint=request_record.endpoint,
+                attempts=request_record.attempts,
+                queue_s=request_record.queue_s,
+                first_byte_s=request_record.first_byte_s,
+                total_s=request_record.total_s,
             )
         )
 
     def report_refusal(self, refusal: Rejection) -> None:
-        """Report a request that was refused before the gateway saw it."""
+        """Report a request that was refused before it reached the gateway."""
         log.info(
             "request",
             extra={
@@ -119,11 +121,11 @@
             )
         )
 
-    def report_stream(self, request: Request, gaps: EndedStream) -> None:
+    def report_stream(self, request: Request, stream: EndedStream) -> None:
         """Report the tokens of a stream that has ended."""
         urgency = self._find_urgency(request.profile)
         self._metrics.record(
-            StreamEnded(request.team, urgency, gaps.tokens, gaps.gaps, gaps.gap_sum_s)
+            StreamEnded(request.team, urgency, stream.tokens, stream.gaps, stream.gap_sum_s)
         )
 
     def _find_urgency(self, profile: str) -> str:
