--- a/cloverway/tests/matrix/__init__.py
+++ b/cloverway/tests/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""Every fault at every step of a call, through real processes."""
+"""The fault matrix: each fault at each step of a call, with real processes."""
--- a/cloverway/tests/matrix/__main__.py
+++ b/cloverway/tests/matrix/__main__.py
@@ -1,4 +1,4 @@
-"""Run the whole matrix, or the cells whose names hold a word, and write docs/fault-matrix.md."""
+"""Run the fault matrix, or the cells whose names contain given words; write its docs page."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 def main() -> int:
     options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("words", nargs="*", help="run only cells whose names hold all of these")
-    options.add_argument("--twice", action="store_true", help="run each cell two times")
-    options.add_argument("--quick", action="store_true", help="run the cells of the test run only")
-    options.add_argument("--no-page", action="store_true", help="write no page")
+    options.add_argument("words", nargs="*", help="run only cells whose names contain all of these")
+    options.add_argument("--twice", action="store_true", help="run each cell twice")
+    options.add_argument("--quick", action="store_true", help="run only the cells of the test run")
+    options.add_argument("--no-page", action="store_true", help="do not write the page")
     given = options.parse_args()
     cells = [cell for cell in CELLS if all(word in cell.name for word in given.words)]
     cells = [cell for cell in cells if cell.quick or not given.quick]
@@ -49,7 +49,7 @@
 
 
 def run_all(cells: list[Cell]) -> list[tuple[Cell, Outcome]]:
-    """Run cells one after the other on one fleet; a cell that breaks it gets a new one."""
+    """Run the cells in sequence on one fleet; start a new fleet after a cell that can't be run."""
     testbed = FaultTestbed.start()
     outcomes = []
     try:
@@ -71,14 +71,14 @@
 
 def _print(cell: Cell, outcome: Outcome) -> None:
     word = "FAILED" if outcome.violations else "ok"
-    print(f"{word:7}{outcome.answer_s:5.1f} s  {cell.name}: {outcome.told}, ran {outcome.runs}")
+    print(f"{word:7}{outcome.answer_s:5.1f} s  {cell.name}: {outcome.result}, ran {outcome.runs}")
     for violation in outcome.violations:
         print(f"        {violation[:600]}")
     sys.stdout.flush()
 
 
 def render(outcomes: list[tuple[Cell, Outcome]]) -> list[str]:
-    """Give the lines of the page."""
+    """Return the lines of the page."""
     by_pair = defaultdict(list)
     for cell, outcome in outcomes:
         by_pair[cell.kind, cell.step].append((cell, outcome))
@@ -128,13 +128,13 @@
 
 
 def _render_cell(cell: Cell, outcome: Outcome) -> str:
-    told = " or ".join(cell.told)
+    told = " or ".join(cell.allowed_results)
     where = cell.fault + (f" of {cell.subject}" if cell.subject else "")
-    may = " or ".join(str(count) for count in cell.runs)
+    may = " or ".join(str(count) for count in cell.allowed_runs)
     verdict = "holds" if not outcome.violations else "FAILED: " + outcome.violations[0][:200]
     repeats = ", ".join(label for label, _ in itertools.groupby(outcome.repeats))
     return (
-        f"| {cell.step} | {where} | {told}, ran {may} | {outcome.told} | {outcome.runs} "
+        f"| {cell.step} | {where} | {told}, ran {may} | {outcome.result} | {outcome.runs} "
         f"| {repeats} | {verdict} |"
     )
 
--- a/cloverway/tests/matrix/faults.py
+++ b/cloverway/tests/matrix/faults.py
@@ -1,8 +1,9 @@
-"""Put a fault in place for a call that stands at a step.
+"""Inject a fault while a call is held at a step.
 
-A subject says where: "host" is the host that the caller asked, "endpoint" every endpoint of the
-call's region that could run it, "one endpoint" the first of them, "far" the hosts of the other
-region, "peers" every other host.
+The subject of a fault names the processes that it affects: "host" is the host that the caller uses,
+"endpoint" all endpoints of the call's region that can run it, "one endpoint" the first of these,
+"far" the hosts of the remote region, "peers" all other hosts, "second" the other host of the
+entry host's failure domain.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def list_subjects(testbed: FaultTestbed, pending: PendingCall, subject: str) -> list[str]:
-    """List the processes that a subject stands for."""
+    """Return the processes that a subject names."""
     endpoints = testbed.endpoints(pending.call)
     others = [host for host in testbed.fleet.hosts if host != ENTRY]
     return {
@@ -45,13 +46,13 @@
 
 
 def pause(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Stop a process until the call's deadline has passed; the runner wakes it then."""
+    """Pause a process; the runner resumes it when the call's deadline has passed."""
     for name in list_subjects(testbed, pending, subject):
         testbed.pause(name)
 
 
 def cut(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Reset what is open and refuse what is new; between two hosts for these two only."""
+    """Reset open connections and refuse new ones; a cut between hosts affects only that pair."""
     if "endpoint" in subject:
         for name in list_subjects(testbed, pending, subject):
             testbed.fleet.links[name].cut()
@@ -63,21 +64,21 @@
 
 
 def drop_requests(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Drop all that the host sends; what comes back still arrives."""
+    """Drop everything that the host sends; data in the other direction still arrives."""
     if subject == "host":
         subject = "peers"
     testbed.fleet.blackhole([ENTRY], list_subjects(testbed, pending, subject), one_way=True)
 
 
 def drop_answers(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Drop all that comes back to the host; what it sends still arrives."""
+    """Drop everything that is sent to the host; its own data still arrives."""
     if subject == "host":
         subject = "peers"
     testbed.fleet.blackhole(list_subjects(testbed, pending, subject), [ENTRY], one_way=True)
 
 
 def blackhole_open(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Have the open connections pass nothing for good, while new ones work."""
+    """Drop all further data on the open connections; new connections work."""
     if subject == "host":
         subject = "peers"
     for name in list_subjects(testbed, pending, subject):
@@ -96,22 +97,22 @@
 
 
 def make_platform_stale(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Publish a change, and have the platform serve what was before it."""
+    """Publish a change, then let the platform serve the revision before it."""
     testbed.publish_deadline(4500)
     revision = testbed.fleet.revision
-    wait_until(lambda: testbed.has_revision(revision), 5, "the change to be in force")
+    wait_until(lambda: testbed.has_revision(revision), 5, "all hosts to apply the change")
     testbed.fleet.remotes["platform"].post("/test/freeze", revision=revision - 1)
 
 
 def list_leaving_endpoint(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Have an endpoint leave while the platform's list calls it live."""
+    """Make an endpoint leave while the platform's list shows it as live."""
     first = testbed.endpoints(pending.call)[0]
     testbed.fleet.remotes["platform"].post("/test/list", endpoints={first: "live"})
     testbed.mark_leaving(first)
 
 
 def answer_late(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Have the answer come after the deadline; the runner lets it go then."""
+    """Do nothing: the call is held, and the runner releases it after the deadline."""
 
 
 def answer_twice(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
@@ -119,13 +120,13 @@
 
 
 def delay_settlement(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Have all that passes between the hosts of the region come late."""
+    """Delay the traffic between the hosts of the home region."""
     for name in testbed.hosts(HOME):
         testbed.fleet.links[name].slow(0.3)
 
 
 def fill_host(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Hold the answers of a region's endpoints, and send calls until its hosts refuse them."""
+    """Hold the answers of a region's endpoints and send calls until its hosts refuse them."""
     region = REMOTE if subject == "far" else HOME
     filler = Call("lookup", team=f"bound-{region}", deadline_ms=9000)
     testbed.set_faults(testbed.endpoints(filler), hold=True)
@@ -134,14 +135,14 @@
 
 
 def publish_concurrently(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Have two operators publish the same document at once, and go on when it is in force."""
+    """Publish two versions of a document concurrently and wait until all hosts apply the last."""
     values = (4200, 4700)
     list(testbed.pool.map(testbed.publish_deadline, values))
-    wait_until(lambda: testbed.has_revision(testbed.platform_revision()), 5, "all to agree")
+    wait_until(lambda: testbed.has_revision(testbed.platform_revision()), 5, "all hosts to agree")
 
 
 def withdraw_profile(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    """Take the profile away from the team while another operator changes the profile."""
+    """Withdraw the profile from the team while another operator changes the profile."""
     team = make_teams(TOPOLOGY)[pending.call.team]
     fewer = {**team, "profiles": [name for name in make_profiles() if name != pending.call.profile]}
     testbed.fleet.publish({"teams": {pending.call.team: fewer}})
@@ -178,4 +179,4 @@
 }
 
 ENDED_AFTER_DEADLINE = {"pause and wake", "late answer"}
-"""Faults that the runner ends when the call's deadline has passed."""
+"""Faults that the runner ends after the call's deadline."""
--- a/cloverway/tests/matrix/runner.py
+++ b/cloverway/tests/matrix/runner.py
@@ -1,4 +1,4 @@
-"""Run one cell, and judge what the caller saw against what the endpoints counted."""
+"""Run a cell, and compare what the caller saw with what the endpoints counted."""
 
 from __future__ import annotations
 
@@ -23,37 +23,37 @@
     "forbidden",
     "leaving",
 )
-"""Refusals that are final: a caller that waits for one loses the time to go elsewhere."""
+"""Refusals that must come at once, since a caller that waits loses time to try another host."""
 MAX_REFUSAL_S = 1.0
 DEADLINE_TOLERANCE_S = 0.5
-"""How much later than its deadline a call may be answered, on a busy machine."""
+"""How long after its deadline a call may be answered, for runs on a busy machine."""
 
 
 class Outcome(NamedTuple):
-    """What one cell gave."""
+    """The outcome of a cell."""
 
-    told: str
+    result: str
     runs: int
     repeats: tuple[str, ...] = ()
     violations: tuple[str, ...] = ()
-    """What is wrong; empty when the cell holds."""
+    """Violated expectations; empty if the cell holds."""
     answer_s: float = 0.0
-    """From the fault to the caller's answer."""
+    """Time from the fault to the caller's answer."""
 
 
 class Observation(NamedTuple):
-    """What the caller saw, and what the endpoints counted."""
+    """What the caller saw and what the endpoints counted."""
 
     result: Result
     answer_s: float
     runs: int
     repeats: list[Result]
     total: int
-    """Runs after the repeats."""
+    """Number of runs after the repeats."""
 
 
 def run_cell(testbed: FaultTestbed, cell: Cell) -> Outcome:
-    """Bring the call to its step, put the fault in place, and judge the outcome."""
+    """Bring the call to its step, inject the fault, and check the outcome."""
     pending = STEPS[cell.step](testbed, cell.call, cell.step.replace(" ", "-"))
     FAULTS[cell.fault](testbed, pending, cell.subject)
     released = time.monotonic()
@@ -65,8 +65,8 @@
     testbed.clear_faults()
     repeats = _repeat(testbed, pending)
     observed = Observation(result, answer_s, runs, repeats, testbed.runs(pending.tag))
-    told = tuple(describe(repeat) for repeat in repeats)
-    return Outcome(describe(result), runs, told, tuple(_judge(cell, observed)), answer_s)
+    described = tuple(describe(repeat) for repeat in repeats)
+    return Outcome(describe(result), runs, described, tuple(_judge(cell, observed)), answer_s)
 
 
 def _release(testbed: FaultTestbed, cell: Cell, pending: PendingCall) -> Result:
@@ -83,7 +83,7 @@
 
 
 def describe(result: Result) -> str:
-    """Give "whole", "broken" or KIND/RAN."""
+    """Return "whole" (a complete answer), "broken" (no or a truncated answer) or KIND/RAN."""
     if result.complete:
         return "whole"
     if result.status in (NO_ANSWER, 200):
@@ -92,7 +92,7 @@
 
 
 def _repeat(testbed: FaultTestbed, pending: PendingCall) -> list[Result]:
-    """Send a call that may run once again with its key, to both hosts of the entry's domain."""
+    """Repeat an at-most-once call with its key at both hosts of the entry's failure domain."""
     if not pending.key:
         return []
     hosts = [host for host in (ENTRY, SECOND_ENTRY) if testbed.is_alive(host)]
@@ -101,15 +101,16 @@
 
 
 def _judge(cell: Cell, observed: Observation) -> list[str]:
-    """List what breaks the cell's row, and what breaks a promise that every call has."""
-    told = describe(observed.result)
+    """Return the violations of the cell's row and of the guarantees for every call."""
+    received = describe(observed.result)
     violations = []
-    if not any(fnmatch.fnmatchcase(told, pattern) for pattern in cell.told):
+    if not any(fnmatch.fnmatchcase(received, pattern) for pattern in cell.allowed_results):
         violations.append(
-            f"the caller was told {told}, not {' or '.join(cell.told)}: {observed.result}"
+            f"the caller was told {received}, "
+            f"not {' or '.join(cell.allowed_results)}: {observed.result}"
         )
-    if observed.runs not in cell.runs:
-        violations.append(f"it ran {observed.runs} times, not {cell.runs}")
+    if observed.runs not in cell.allowed_runs:
+        violations.append(f"it ran {observed.runs} times, not {cell.allowed_runs}")
     violations += _judge_time(cell, observed)
     violations += _judge_guarantees(cell, observed.result, observed.runs)
     again = [describe(repeat) for repeat in observed.repeats]
@@ -117,7 +118,7 @@
         violations.append(f"it ran {observed.total} times after the repeats {again}")
     bodies = {repeat.body for repeat in (*observed.repeats, observed.result) if repeat.complete}
     if cell.call.at_most_once and len(bodies) > 1:
-        violations.append("two repeats gave different answers")
+        violations.append("repeats received different answers")
     return violations
 
 
@@ -128,16 +129,16 @@
     if observed.answer_s > cell.call.deadline_ms / 1000 + DEADLINE_TOLERANCE_S:
         violations.append(f"the answer came after {observed.answer_s:.1f} s")
     if observed.result.kind in IMMEDIATE_REFUSALS and observed.answer_s > MAX_REFUSAL_S:
-        violations.append(f"it was refused after {observed.answer_s:.1f} s, and not at once")
+        violations.append(f"it was refused only after {observed.answer_s:.1f} s")
     return violations
 
 
 def _judge_guarantees(cell: Cell, result: Result, runs: int) -> list[str]:
     violations = []
     if result.ran == "no" and runs and cell.step != "recording":
-        violations.append(f"the caller was told that it did not run, and it ran {runs} times")
+        violations.append(f"the caller was told that it did not run, but it ran {runs} times")
     if result.complete and not runs:
-        violations.append("a whole answer came, and nothing ran")
+        violations.append("the answer is complete, but nothing ran")
     expects_retry_after = result.ran == "no" and ERROR_ANSWERS[Kind(result.kind)].has_retry_after
     if expects_retry_after and not _has_retry_after(result):
         violations.append(f"{result.kind} came without Retry-After")
@@ -149,6 +150,6 @@
 
 
 def check_next_call(testbed: FaultTestbed, host: str, team: str) -> bool:
-    """Tell whether the next caller gets its own answer."""
+    """Return whether the next call receives its own answer."""
     answer = Caller(testbed.fleet.url(host), team).call_service("next", profile="lookup")
     return answer.complete and json.loads(answer.body)["echo"] == "next"
--- a/cloverway/tests/matrix/steps.py
+++ b/cloverway/tests/matrix/steps.py
@@ -1,4 +1,4 @@
-"""Bring a call to a step, and hold it there until a fault is in place."""
+"""Bring a call to a step, and hold it there until the fault is injected."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def begin_lookup(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Ask one host, and if it does not answer the next, which to use; call the first that is up."""
+    """Look up the hosts at one host, or at the next if it fails; call the first that is up."""
     pending = PendingCall(call, testbed.make_tag(name), "")
 
     def look_up_and_call() -> Result:
@@ -41,7 +41,7 @@
         answers = (caller.request("GET", "/v1/hosts") for caller in asked)
         listed = next((answer for answer in answers if answer.status == 200), None)
         if listed is None:
-            return Result(NO_ANSWER, error="no host gave a list")
+            return Result(NO_ANSWER, error="no host answered the lookup")
         named = [entry["name"] for entry in json.loads(listed.body)["hosts"]]
         up = next(host for host in named if _is_answering(testbed, host))
         pending.key = testbed.request_key(call, up)
@@ -60,7 +60,7 @@
 
 
 def begin_admit(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Send the head and half of the body; the rest comes with the release."""
+    """Send the head and half of the body; the release sends the rest."""
     pending = _make_pending(testbed, call, name)
     body = pending.tag.ljust(call.body_size, ".").encode()
     address = testbed.fleet.hosts[ENTRY].callers
@@ -106,7 +106,7 @@
 
 
 def begin_queue(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Fill every slot of the region with calls that are held, and send one more."""
+    """Fill every slot of the region with calls that are held, and queue one more call."""
     endpoints = testbed.endpoints(call)
     testbed.warm_up(ENTRY, call)
     testbed.set_faults(endpoints, hold=True)
@@ -114,17 +114,17 @@
     pending = _make_pending(testbed, call, name)
     before = testbed.queued(ENTRY)
     _send_in_background(testbed, pending)
-    wait_until(lambda: testbed.queued(ENTRY) > before or pending.result.done(), 5, "the queue")
+    wait_until(lambda: testbed.queued(ENTRY) > before or pending.result.done(), 5, "a queued call")
     assert not pending.result.done(), pending.result.result()
     pending.release = testbed.clear_faults  # type: ignore[method-assign]
     return pending
 
 
 def begin_unsent(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Hold the call back until the fault is in place: it meets the fault where it comes to it.
+    """Send the call only after the fault is injected.
 
-    The host has some successes first, for its budget of retries is a share of them, and takes every
-    endpoint of its region into use again after an earlier cell's fault.
+    Before that, wait until the host uses every endpoint of its region again after the fault of an
+    earlier cell, and send calls that succeed, because the retry budget is a fraction of these.
     """
     endpoints = set(testbed.endpoints(call))
     wait_until(
@@ -139,7 +139,7 @@
 
 
 def begin_send(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Let the link pass a part of the body only."""
+    """Let the links forward only a part of the body."""
     links = [testbed.fleet.links[endpoint] for endpoint in testbed.endpoints(call)]
     before = sum(link.held for link in links)
     for link in links:
@@ -157,19 +157,19 @@
 
 
 def begin_first_byte(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Let the endpoint have the whole request, and hold its answer."""
+    """Let the endpoint receive the request, and hold its response."""
     return _begin_held(testbed, call, name, hold=True)
 
 
 def begin_mid_stream(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Let the caller have a few tokens, and hold the next one."""
+    """Let the caller receive a few tokens, and hold the next one."""
     pending = _begin_held(testbed, call, name, hold_after=3)
     wait_until(lambda: b"-2 " in b"".join(pending.chunks), 5, "the first tokens to arrive")
     return pending
 
 
 def begin_end(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Let the caller have every token, and hold the end of the stream."""
+    """Let the caller receive every token, and hold the end of the stream."""
     pending = _begin_held(testbed, call, name, hold_after=TOKENS)
     last = f"-{TOKENS - 1} ".encode()
     wait_until(lambda: last in b"".join(pending.chunks), 5, "all tokens to arrive")
@@ -177,7 +177,7 @@
 
 
 def begin_recording(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
-    """Run a call whole; what is released is a repeat with its key at the other host."""
+    """Complete a call; the release repeats it with its key at the other host."""
     pending = _make_pending(testbed, call, name)
     _send_in_background(testbed, pending)
     first = pending.result.result(10)
@@ -193,7 +193,7 @@
     _send_in_background(testbed, pending)
 
     def has_reached_endpoint() -> bool:
-        # A call that was refused never arrives: what it was told is the trace of the cause.
+        # A refused call never reaches an endpoint; its result then shows the cause.
         assert not pending.result.done(), pending.result.result()
         return testbed.runs(pending.tag) == 1
 
@@ -222,4 +222,4 @@
     "end": Call("dossier", stream=True),
     "passing on": Call(team="bound-cu"),
 }
-"""The call of each step, where it is not the plain one: an allocation with a key."""
+"""The call of a step, where it differs from the default: an allocation with a key."""
--- a/cloverway/tests/matrix/table.py
+++ b/cloverway/tests/matrix/table.py
@@ -1,4 +1,4 @@
-"""The matrix: what a caller may be told, and how often its request may have run, cell by cell."""
+"""The cells of the matrix: what a caller may be told, and how often its request may have run."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
 
 
 class Cell(NamedTuple):
-    """One fault at one step of one call."""
+    """A fault at a step of a call, with the allowed outcomes."""
 
     kind: str
     step: str
     fault: str
     subject: str
-    told: tuple[str, ...]
-    """What the caller may see: "whole", "broken" (visibly no answer, or a part), or KIND/RAN."""
-    runs: tuple[int, ...]
+    allowed_results: tuple[str, ...]
+    """What the caller may see: "whole" (a complete answer), "broken" (none, or one that is visibly
+    truncated) or KIND/RAN."""
+    allowed_runs: tuple[int, ...]
     """How often the request may have run when the call has ended."""
     call: Call
     quick: bool = False
-    """Whether the cell is part of the ordinary test run."""
+    """Whether the cell is part of the regular test run."""
 
     @property
     def name(self) -> str:
@@ -56,8 +57,8 @@
     kind: str,
     step: str,
     subject: str,
-    told: tuple[str, ...],
-    runs: tuple[int, ...],
+    allowed_results: tuple[str, ...],
+    allowed_runs: tuple[int, ...],
     *,
     fault: str = "",
     quick: bool = False,
@@ -65,7 +66,7 @@
     **changes: object,
 ) -> Cell:
     chosen = (call or CALLS.get(step, Call()))._replace(**changes)
-    return Cell(kind, step, fault or kind, subject, told, runs, chosen, quick)
+    return Cell(kind, step, fault or kind, subject, allowed_results, allowed_runs, chosen, quick)
 
 
 KILL = [
@@ -208,7 +209,7 @@
     fault: str = "",
     quick: tuple[str, ...] = (),
 ) -> list[Cell]:
-    """Make a cell at each step for a fault that must change nothing for a caller."""
+    """Return a cell at each step for a fault that must not affect callers."""
     return [
         _make_cell(kind, step, subject, COMPLETE, ONCE, fault=fault, quick=step in quick)
         for step in STEPS
@@ -241,8 +242,8 @@
         quick=True,
     ),
     *(
-        _make_cell("late or duplicate answer", step, "", told, ONCE, fault=fault, **short)
-        for step, told, fault, short in (
+        _make_cell("late or duplicate answer", step, "", results, ONCE, fault=fault, **short)
+        for step, results, fault, short in (
             ("first byte", COMPLETE, "duplicate answer", {}),
             ("mid-stream", BROKEN, "late answer", {"deadline_ms": 1200}),
             ("mid-stream", COMPLETE, "duplicate answer", {}),
@@ -257,7 +258,7 @@
 
 HOST_FULL = "memory limit: host full"
 LONG_DEADLINE_CALL = Call("lookup", deadline_ms=5000)
-"""A call with an earlier deadline would take the place of one that waits."""
+"""A call with an earlier deadline would displace one that is queued."""
 MEMORY = [
     _make_cell("memory limit", "lookup", "", COMPLETE, ONCE, fault=HOST_FULL, team="bound-cu"),
     _make_cell(
@@ -319,6 +320,6 @@
 
 
 def list_missing_pairs() -> list[tuple[str, str]]:
-    """List the pairs of fault and step that the table says nothing of."""
-    told = {(cell.kind, cell.step) for cell in CELLS} | set(NOT_APPLICABLE) | set(NOT_RUN_YET)
-    return [pair for pair in itertools.product(KINDS, STEPS) if pair not in told]
+    """Return the pairs of fault and step that are missing from the table."""
+    covered = {(cell.kind, cell.step) for cell in CELLS} | set(NOT_APPLICABLE) | set(NOT_RUN_YET)
+    return [pair for pair in itertools.product(KINDS, STEPS) if pair not in covered]
--- a/cloverway/tests/matrix/testbed.py
+++ b/cloverway/tests/matrix/testbed.py
@@ -1,4 +1,4 @@
-"""The fleet that the matrix runs on, what a call did there, and how it comes to rest again."""
+"""The fleet on which the fault matrix runs: sends calls, counts their runs and resets faults."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 
 class Call(NamedTuple):
-    """What a caller asks for."""
+    """The call of a cell."""
 
     profile: str = "allocate"
     team: str = f"bound-{HOME}"
     deadline_ms: int = 4000
     stream: bool = False
     body_size: int = 0
-    """Length to which the body is filled up."""
+    """Length to which the body is padded."""
 
     @property
     def at_most_once(self) -> bool:
-        """Whether it may run once only."""
+        """Return whether the call may run at most once."""
         return self.profile in ("allocate", "dossier")
 
     @property
@@ -63,7 +63,7 @@
 
 
 class PendingCall:
-    """A call on its way; `release` lets it go on."""
+    """A call that is held at a step until `release`."""
 
     def __init__(self, call: Call, tag: str, key: str) -> None:
         self.call = call
@@ -73,11 +73,11 @@
         self.result: Future[Result] = Future()
 
     def release(self) -> None:
-        """Let the call go on; the step replaces this."""
+        """Let the call continue; each step replaces this method."""
 
 
 class FaultTestbed:
-    """A fleet, with the counts of what ran, also at endpoints that were killed since."""
+    """A fleet that keeps the run counts of its endpoints, also of those that were killed."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -100,11 +100,11 @@
         self.pool.shutdown(wait=False, cancel_futures=True)
 
     def make_tag(self, name: str) -> str:
-        """Give a name under which one call is counted."""
+        """Return a unique tag under which the runs of one call are counted."""
         return f"{name}-{next(self._numbers)}"
 
     def endpoints(self, call: Call) -> list[str]:
-        """List the endpoints that may run a call in its own region."""
+        """Return the endpoints that may run a call in its own region."""
         names = self.fleet.topology.list_names(call.endpoint_kind)
         return [name for name in names if name.startswith(f"{call.region}-")]
 
@@ -112,7 +112,7 @@
         return [name for name in self.fleet.hosts if name.startswith(f"{region}-")]
 
     def send(self, host: str, pending: PendingCall, timeout_s: float = 9.0) -> Result:
-        """Send a flight's call to a host and wait for its answer."""
+        """Send a call to a host and wait for its answer."""
         call = pending.call
         caller = Caller(self.fleet.url(host), call.team, timeout_s)
         options: dict[str, Any] = {"key": pending.key, "deadline_ms": call.deadline_ms}
@@ -127,11 +127,11 @@
         return Caller(self.fleet.url(host), call.team).request_key() if call.at_most_once else ""
 
     def runs(self, tag: str) -> int:
-        """Count how often calls with a mark ran, at any endpoint."""
+        """Return how often calls with a tag ran at all endpoints together."""
         return self._runs_of_killed[tag] + sum(self.runs_at(tag).values())
 
     def runs_at(self, tag: str) -> dict[str, int]:
-        """Give the count of each endpoint that can be asked and has run a mark."""
+        """Return the number of runs with a tag at each reachable endpoint that ran any."""
         asked = [name for name in self.fleet.remotes if name != "platform"]
         asked = [name for name in asked if name not in self._killed | self._paused]
         counts = {name: self._count_at(name, tag) for name in asked}
@@ -145,12 +145,13 @@
         return sum(count for path, count in paths if path.endswith(f"/{tag}"))
 
     def kill(self, name: str, tag: str) -> None:
-        """Kill a process; what an endpoint had counted is kept."""
+        """Kill a process; keep the run count of an endpoint."""
         if name in self.fleet.remotes:
             self._runs_of_killed[tag] += self._count_at(name, tag)
         self.fleet.kill(name)
         self._killed.add(name)
-        # A link accepts before it connects; without this a dead process would seem to answer.
+        # A link accepts a connection before it connects to its target. Without the cut, a killed
+        # process would seem to accept connections.
         self.fleet.links[name].cut()
 
     def pause(self, name: str) -> None:
@@ -166,7 +167,7 @@
         return host not in self._killed | self._paused
 
     def mark_leaving(self, name: str) -> None:
-        """Have an endpoint report that it leaves."""
+        """Make an endpoint report that it is leaving."""
         self.fleet.remotes[name].set_state(leaving=True)
         self._leaving.add(name)
 
@@ -180,7 +181,7 @@
                 remote.clear_faults()
 
     def reset(self) -> None:
-        """Bring everything back and wait until all of it serves again."""
+        """Undo all faults and wait until every host serves calls again."""
         self.resume()
         self.fleet.heal()
         for name in sorted(self._killed):
@@ -190,7 +191,7 @@
         self._killed.clear()
         self.clear_faults()
         for name in sorted(self._leaving):
-            # Hosts hold an endpoint to be leaving for as long as it is the same incarnation.
+            # Hosts treat an endpoint as leaving until its incarnation changes.
             self.fleet.remotes[name].set_state(leaving=False, forget=True)
         self._leaving.clear()
         self.fleet.remotes["platform"].post("/test/thaw")
@@ -198,7 +199,7 @@
         wait_until(self._is_serving, 20, "every host to serve again")
 
     def _restore_published(self) -> None:
-        """Publish again what a fault changed."""
+        """Publish the initial tables again where a fault changed them."""
         first = {
             "profiles": {name: {**value, "regions": []} for name, value in make_profiles().items()},
             "teams": make_teams(TOPOLOGY),
@@ -231,13 +232,16 @@
         return serves
 
     def warm_up(self, host: str, call: Call, times: int = WARM_UP_CALLS) -> None:
-        """Have a host learn how long calls of a profile take; it refuses what may take too long."""
+        """Send calls so that a host learns their duration.
+
+        A host refuses calls that it expects to take too long.
+        """
         for _ in range(times):
             pending = PendingCall(call, self.make_tag("warm"), self.request_key(call, host))
             assert self.send(host, pending).complete
 
     def fill_slots(self, host: str, call: Call) -> None:
-        """Send calls, whose answers are held, until every slot of their region is taken."""
+        """Send calls, whose answers are held, until every slot of the region is taken."""
         endpoints = self.endpoints(call)
         waiting: list[Future[Result]] = []
 
@@ -248,10 +252,10 @@
             pause_for(FILL_PERIOD_S)
             return self.are_slots_taken(endpoints)
 
-        wait_until(send_filler_and_check, 8, "the slots to be taken")
+        wait_until(send_filler_and_check, 8, "all slots to be taken")
 
     def fill_queue(self, host: str, call: Call) -> None:
-        """Send calls, whose answers are held, until the slots are taken and a call is refused."""
+        """Send calls, whose answers are held, until the slots and the queue are full."""
         self.fill_slots(host, call)
 
         def send_filler_and_check() -> bool:
@@ -265,7 +269,7 @@
         return self.pool.submit(self.send, host, PendingCall(call, self.make_tag("filler"), ""))
 
     def _accepts_keys_of_both_hosts(self) -> bool:
-        """Tell whether each of the two hosts runs a call with the other one's key."""
+        """Return whether both hosts run a call with a key that the other one issued."""
         call = Call(deadline_ms=1000)
         return all(
             self.send(
@@ -275,7 +279,7 @@
         )
 
     def are_slots_taken(self, names: list[str]) -> bool:
-        """Tell whether endpoints run as many requests as they have slots."""
+        """Return whether all slots of the endpoints are taken."""
         return all(self._load(name) >= TOPOLOGY.slots for name in names)
 
     def _load(self, name: str) -> int:
@@ -284,11 +288,11 @@
         return int(answer.json()["running"])
 
     def in_progress(self, host: str) -> int:
-        """Give how many callers' requests a host has taken in and not answered."""
+        """Return how many requests a host has accepted and not answered yet."""
         return self._read_count(host, "in_progress")
 
     def queued(self, host: str) -> int:
-        """Give how many requests wait at a host for an endpoint."""
+        """Return how many requests are queued at a host."""
         return self._read_count(host, "queued")
 
     def _read_count(self, host: str, name: str) -> int:
@@ -296,7 +300,7 @@
         return int(urllib3.request("GET", url, retries=False).json()[name])
 
     def list_available_endpoints(self, host: str, call: Call) -> set[str]:
-        """Give the places that a host would use for a call now."""
+        """Return the endpoints and regions with free capacity that a host would use for a call."""
         url = f"http://{self.fleet.hosts[host].admin}/v1/explain"
         question = {"team": call.team, "profile": call.profile}
         answer = urllib3.request("POST", url, json=question, retries=False).json()
@@ -306,7 +310,7 @@
         return int(self.fleet.remotes["platform"].set_state()["revision"])
 
     def has_revision(self, revision: int) -> bool:
-        """Tell whether a revision is in force on every host that can be asked."""
+        """Return whether every reachable host has applied a revision."""
         hosts = [host for host in self.fleet.hosts if self.is_alive(host)]
         urls = [f"http://{self.fleet.hosts[host].admin}/v1/status" for host in hosts]
         answers = [urllib3.request("GET", url, retries=False).json() for url in urls]
@@ -318,5 +322,5 @@
 
 
 def pause_for(seconds: float) -> None:
-    """Let time pass for a fault that is one of time."""
+    """Wait, for faults that depend on elapsed time."""
     threading.Event().wait(seconds)
--- a/cloverway/tests/test_fault_matrix.py
+++ b/cloverway/tests/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""The quick cells of the fault matrix; `make matrix` runs all of them."""
+"""The quick cells of the fault matrix; `make matrix` runs all cells."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
 
 @pytest.mark.parametrize("cell", QUICK, ids=lambda cell: cell.name)
 def test_cell(ready_testbed, cell):
-    """What the caller sees and what the endpoints count agree with the cell and its promises."""
+    """The caller's result and the endpoints' run counts match the cell and the guarantees."""
     outcome = run_cell(ready_testbed, cell)
     assert not outcome.violations, outcome
