--- a/cloverway/config/settings.py
+++ b/cloverway/config/settings.py
@@ -10,7 +10,7 @@
 from cloverway.config.findings import Findings, read_toml
 from cloverway.config.schema import Address, Name
 from cloverway.config.validation import validate
-from cloverway.core.quarantine import QuarantineTerms
+from cloverway.core.quarantine import QuarantineSettings
 
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
 Count = Annotated[int, Field(ge=1, le=1_000_000)]
@@ -103,7 +103,7 @@
     security: Security
     limits: Limits = Limits()
     timing: Timing = Timing()
-    quarantine: QuarantineTerms = QuarantineTerms()
+    quarantine: QuarantineSettings = QuarantineSettings()
     policy: Literal[
         "cloverway",
         "random",
@@ -124,7 +124,7 @@
         if settings is not None:
             _check_platform(settings.platform, findings)
             _check_limits(settings.limits, findings)
-            for name, why in settings.quarantine.find_faults():
+            for name, why in settings.quarantine.find_invalid_values():
                 findings.add(f"quarantine.{name}", why)
         findings.raise_if_any()
         assert settings is not None
--- a/cloverway/core/calls.py
+++ b/cloverway/core/calls.py
@@ -50,7 +50,7 @@
     """When the caller stops waiting."""
     prompt: Prompt | None = None
     last_event_id: str = ""
-    passed_on: ForwardingContext | None = None
+    forwarding: ForwardingContext | None = None
 
     @property
     def path(self) -> str:
--- a/cloverway/core/cold_start.py
+++ b/cloverway/core/cold_start.py
@@ -17,7 +17,7 @@
 an endpoint that sustains five."""
 
 
-class ColdStartTerms(NamedTuple):
+class ColdStartSettings(NamedTuple):
     """How far the hosts together may exceed the stated rate of a cold endpoint."""
 
     overshoot: float = 1.0
@@ -26,7 +26,7 @@
 
 def compute_cold_send_interval(
     cold_per_s: float,
-    terms: ColdStartTerms,
+    settings: ColdStartSettings,
     endpoint: str,
     host: str,
     hosts: Iterable[str],
@@ -42,7 +42,7 @@
     """
     if age_s < MIN_HOST_AGE_S:
         return None
-    bound = int(cold_per_s * terms.overshoot + terms.slack)
+    bound = int(cold_per_s * settings.overshoot + settings.slack)
     rank = sorted({host, *hosts}, key=lambda name: rank_host(endpoint, name))
     if rank.index(host) >= bound:
         return None
--- a/cloverway/core/deployment.py
+++ b/cloverway/core/deployment.py
@@ -61,7 +61,7 @@
         return self.services[-1].service
 
 
-class EngineShape(NamedTuple):
+class EngineSpec(NamedTuple):
     """Capacity of each replica of a model service."""
 
     slots: int
@@ -90,7 +90,7 @@
     """Time for which an endpoint is cold after it has started."""
     cold_requests_per_s: float = 0.0
     """Requests per second that a cold endpoint can sustain; 0 for no limit."""
-    engine: EngineShape | None = None
+    engine: EngineSpec | None = None
 
 
 class CallerLimits(NamedTuple):
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -20,7 +20,7 @@
     Topology,
 )
 from cloverway.core.load import EndpointLoad
-from cloverway.core.statements import News, Statement, Statements
+from cloverway.core.statements import Statement, StatementChange, Statements
 
 log = logging.getLogger(__name__)
 
@@ -131,20 +131,22 @@
             and not endpoint.is_down(now)
         ]
 
-    def note_statement(self, incarnation: str, statement: Statement) -> tuple[News, ...]:
+    def record_statement(
+        self, incarnation: str, statement: Statement
+    ) -> tuple[StatementChange, ...]:
         """Apply the statement of an incarnation of an endpoint; return what is new in it."""
-        news = self.statements.note(incarnation, statement)
-        if News.LEAVING in news:
+        changes = self.statements.record(incarnation, statement)
+        if StatementChange.LEAVING in changes:
             for endpoint in self.endpoints.values():
                 endpoint.has_announced_leaving |= endpoint.entry.incarnation == incarnation
-        return news
+        return changes
 
     def list_statements(self, since: float) -> list[tuple[str, Statement]]:
         """Return the statements of present endpoints and the limits that ended since a time."""
         incarnations = {endpoint.entry.incarnation for endpoint in self.endpoints.values()}
         return [item for item in self.statements.list_since(since) if item[0] in incarnations]
 
-    def note_pause(self, incarnation: str, seconds: float, now: float) -> None:
+    def record_pause(self, incarnation: str, seconds: float, now: float) -> None:
         """Record that an incarnation of an endpoint asked this host for no requests for a time."""
         until = now + min(seconds, MAX_PAUSE_S)
         self._paused_until[incarnation] = max(until, self._paused_until.get(incarnation, until))
@@ -164,7 +166,7 @@
         """Return the number of endpoints with a rate limit."""
         return sum(map(self.is_limited, self.endpoints.values()))
 
-    def note_start(self, name: str, born_ms: int, now: float) -> list[Change]:
+    def record_restart(self, name: str, started_ms: int, now: float) -> list[Change]:
         """Apply the start time that an endpoint has reported itself; return the changes.
 
         Its entry arrives later. Until then the new incarnation is treated as cold for as long as
@@ -175,11 +177,11 @@
         if (
             endpoint is None
             or endpoint.entry.started_ms is None
-            or born_ms <= endpoint.entry.started_ms
+            or started_ms <= endpoint.entry.started_ms
         ):
             return []
         entry = endpoint.entry._replace(
-            started_ms=born_ms,
+            started_ms=started_ms,
             draining=False,
             removal_in_s=None,
             cold_s=self._get_cold_s(endpoint.entry.service),
@@ -196,7 +198,7 @@
             if endpoint.missing_since is not None and endpoint.is_leaving(now)
         ]
         for name in gone:
-            self._note_past_entry(self.endpoints.pop(name).entry)
+            self._record_past_entry(self.endpoints.pop(name).entry)
         if gone:
             self._index()
         return [Change("endpoint_gone", name) for name in gone]
@@ -315,7 +317,7 @@
         found = configuration.services.get(service) if configuration is not None else None
         return found.cold_s if found is not None else 0.0
 
-    def _note_past_entry(self, entry: EndpointEntry) -> None:
+    def _record_past_entry(self, entry: EndpointEntry) -> None:
         self._past_entries[entry.id] = entry
         if len(self._past_entries) > MAX_PAST_ENTRIES:
             self._past_entries.popitem(last=False)
--- a/cloverway/core/engine_speed.py
+++ b/cloverway/core/engine_speed.py
@@ -58,7 +58,7 @@
         self._seconds = DecayingSum(DECODE_HALF_LIFE_S)
         self._tokens = DecayingSum(DECODE_HALF_LIFE_S)
 
-    def note(self, gap_s: float, tokens: int, now: float) -> None:
+    def record(self, gap_s: float, tokens: int, now: float) -> None:
         """Record the time that some tokens of an answer took."""
         self._seconds.add(gap_s, now)
         self._tokens.add(tokens, now)
--- a/cloverway/core/failures.py
+++ b/cloverway/core/failures.py
@@ -17,7 +17,7 @@
         self.value = 0.0
         self.count = 0
 
-    def note(self, failed: bool) -> None:
+    def record(self, failed: bool) -> None:
         self.count += 1
         self.value += max(MIN_SAMPLE_WEIGHT, 1 / (self.count + 1)) * (failed - self.value)
 
@@ -34,9 +34,9 @@
     def __init__(self) -> None:
         self._rates: defaultdict[str, _FailureRate] = defaultdict(_FailureRate)
 
-    def note(self, route: str, failed: bool) -> None:
+    def record(self, route: str, failed: bool) -> None:
         """Record a complete answer of an endpoint."""
-        self._rates[route].note(failed)
+        self._rates[route].record(failed)
 
     def weigh(self, route: str) -> float:
         """Return the weight, from 0 to 1, of a failure on a route against its endpoint."""
--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -50,15 +50,15 @@
         self._stalled_answers = DecayingSum(OBSERVATION_HALF_LIFE_S)
         self._prefill = DecayingSum(OBSERVATION_HALF_LIFE_S)
         self._large_prefill = DecayingSum(OBSERVATION_HALF_LIFE_S)
-        self._chosen: frozenset[str] = frozenset()
-        self._chosen_at = float("-inf")
+        self._selected: frozenset[str] = frozenset()
+        self._selected_at = float("-inf")
 
-    def note_answer(self, longest_gap_s: float, objective_s: float, now: float) -> None:
+    def record_answer(self, longest_gap_s: float, objective_s: float, now: float) -> None:
         """Record a complete answer and its longest inter-token gap."""
         self._answers.add(1.0, now)
         self._stalled_answers.add(float(longest_gap_s > objective_s), now)
 
-    def note_prompt(self, routed: RoutedCall, candidate: Candidate, now: float) -> None:
+    def record_prompt(self, routed: RoutedCall, candidate: Candidate, now: float) -> None:
         """Record a prompt that is sent to an engine."""
         self._prefill.add(candidate.prefill_s, now)
         if is_large_prompt(routed, candidate):
@@ -70,16 +70,18 @@
         The result is empty, and all engines get large prompts, if answers don't stall or there is
         only one engine. Failing engines are not selected.
         """
-        if now - self._chosen_at >= SELECTION_TTL_S:
-            self._chosen = self._select_engines(endpoints, now)
-            self._chosen_at = now
-        return self._chosen
+        if now - self._selected_at >= SELECTION_TTL_S:
+            self._selected = self._select_engines(endpoints, now)
+            self._selected_at = now
+        return self._selected
 
     def _select_engines(self, endpoints: Iterable[Endpoint], now: float) -> frozenset[str]:
         answers = self._answers.get(now)
         if answers < MIN_ANSWERS or self._stalled_answers.get(now) < MIN_STALLED_FRACTION * answers:
             return frozenset()
-        healthy = [e.entry.id for e in endpoints if e.load.failures(now) <= MAX_HEALTHY_FAILURES]
+        healthy = [
+            e.entry.id for e in endpoints if e.load.count_failures(now) <= MAX_HEALTHY_FAILURES
+        ]
         if len(healthy) < 2:
             return frozenset()
         healthy.sort(key=lambda name: rank_host(self._service, name))
@@ -95,24 +97,24 @@
 
 
 def apply_isolation(
-    routed: RoutedCall, candidates: Sequence[Candidate], chosen: frozenset[str]
+    routed: RoutedCall, candidates: Sequence[Candidate], selected: frozenset[str]
 ) -> Sequence[Candidate]:
     """Remove engines not selected for a large prompt; raise the cost of selected ones for others.
 
     If no selected engine is among the candidates of a large prompt, all candidates are kept.
     """
-    if not chosen:
+    if not selected:
         return candidates
     kept = [
-        _add_avoidance_cost(routed, candidate, candidate.endpoint.entry.id in chosen)
+        _add_avoidance_cost(routed, candidate, candidate.endpoint.entry.id in selected)
         for candidate in candidates
-        if candidate.endpoint.entry.id in chosen or not is_large_prompt(routed, candidate)
+        if candidate.endpoint.entry.id in selected or not is_large_prompt(routed, candidate)
     ]
     return kept or candidates
 
 
-def _add_avoidance_cost(routed: RoutedCall, candidate: Candidate, is_chosen: bool) -> Candidate:
-    if not is_chosen or is_large_prompt(routed, candidate):
+def _add_avoidance_cost(routed: RoutedCall, candidate: Candidate, is_selected: bool) -> Candidate:
+    if not is_selected or is_large_prompt(routed, candidate):
         return candidate
     overlap_probability = min(1.0, candidate.decode_s / LARGE_PROMPT_INTERVAL_S)
     return candidate._replace(cost_s=candidate.cost_s + AVOIDANCE_COST_S * overlap_probability)
--- a/cloverway/core/kv_fetch.py
+++ b/cloverway/core/kv_fetch.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from cloverway.core.calls import Prompt
-from cloverway.core.deployment import EngineShape
+from cloverway.core.deployment import EngineSpec
 from cloverway.core.endpoints import Endpoint
 
 FETCH_SETUP_S = 0.005
@@ -26,7 +26,9 @@
     tokens: int
 
 
-def find_source(prompt: Prompt, endpoints: Iterable[Endpoint], now: float) -> FetchSource | None:
+def find_fetch_source(
+    prompt: Prompt, endpoints: Iterable[Endpoint], now: float
+) -> FetchSource | None:
     """Return the endpoint that has most of a prompt cached; None if none has enough of it.
 
     Endpoints that are leaving, cold or have failed recently are not considered.
@@ -36,7 +38,7 @@
         for endpoint in endpoints
         if not endpoint.is_leaving(now)
         and not endpoint.is_cold(now)
-        and endpoint.load.failures(now) <= MAX_HEALTHY_FAILURES
+        and endpoint.load.count_failures(now) <= MAX_HEALTHY_FAILURES
     )
     sources = (
         FetchSource(endpoint, endpoint.load.count_ready(prompt, now)) for endpoint in healthy
@@ -53,8 +55,8 @@
     return fetched if fetched >= MIN_TOKENS else 0
 
 
-def estimate_fetch_s(tokens: int, shape: EngineShape) -> float:
+def estimate_fetch_s(tokens: int, spec: EngineSpec) -> float:
     """Return the seconds that a fetch of some tokens takes."""
     if not tokens:
         return 0.0
-    return FETCH_SETUP_S + tokens * shape.token_bytes * 8 / (shape.link_mbps * 1e6)
+    return FETCH_SETUP_S + tokens * spec.token_bytes * 8 / (spec.link_mbps * 1e6)
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -12,7 +12,7 @@
 from cloverway.core.prefix_cache import CachedSegments
 from cloverway.core.token_gaps import PrefillBurstLimit, PrefillSaturation, TokenGap
 
-SIBLING_LOAD_TTL_S = 2.0
+HOST_LOAD_TTL_S = 2.0
 """Lifetime of a sibling's report: four datagrams lost in a row are rarer than a dead host."""
 INITIAL_SERVICE_TIME_S = 0.05
 """Service time of a request to a plain service before the first measurement."""
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self._own: dict[int, _Running] = {}
         self._own_load = HostLoad(0, 0, 0, 0)
-        self._siblings: dict[str, HostLoad] = {}
+        self._host_loads: dict[str, HostLoad] = {}
         self._cached_segments = CachedSegments()
         self.kv_capacity = DEFAULT_KV_TOKENS
         """Tokens that fit into the endpoint's KV cache."""
@@ -133,13 +133,13 @@
             self.last_progress_at = now
         self._own[number] = _Running(work, prompt, now, self.sum_region_load(now).prefill_tokens)
         self._update_own(1, work.prefill_tokens, work.reserved_kv_tokens)
-        self.note_prefill(work.prefill_tokens, now)
+        self.record_prefill(work.prefill_tokens, now)
         self._unsent_prefill_tokens += work.prefill_tokens
         if prompt is not None:
-            self.note_segments(prompt.segments, now)
+            self.record_segments(prompt.segments, now)
             self._unsent_segments.extend(prompt.segments)
 
-    def note_first_event(self, number: int, now: float) -> None:
+    def record_first_event(self, number: int, now: float) -> None:
         """Record the first event of a request: its prefill is finished."""
         self.last_progress_at = now
         running = self._own.get(number)
@@ -151,14 +151,14 @@
         self._discount_cached_tokens(running.work.prefill_tokens, took_s, now)
         self._prefill_speed.learn(running.work.prefill_tokens, running.ahead, took_s)
         if running.prompt is not None:
-            self._cached_segments.note(running.prompt.segments, now)
+            self._cached_segments.record(running.prompt.segments, now)
 
-    def note_gap(self, gap: TokenGap, now: float) -> None:
+    def record_gap(self, gap: TokenGap, now: float) -> None:
         """Record a gap between two events of an answer."""
-        self._saturation.note(gap, now)
-        self._burst_limit.note(gap, now)
+        self._saturation.record(gap, now)
+        self._burst_limit.record(gap, now)
         if gap.tokens:
-            self._decode_speed.note(gap.seconds, gap.tokens, now)
+            self._decode_speed.record(gap.seconds, gap.tokens, now)
 
     def estimate_decode_s_per_token(self, now: float) -> float:
         """Return the current time per output token.
@@ -169,7 +169,7 @@
         measured = self._decode_speed.get(now)
         if measured is not None:
             return measured
-        busy_fraction = min(MAX_PREFILL_BUSY, self.prefill_rate(now) * self.prefill_s_per_token)
+        busy_fraction = min(MAX_PREFILL_BUSY, self.get_prefill_rate(now) * self.prefill_s_per_token)
         return INITIAL_DECODE_S_PER_TOKEN / (1 - busy_fraction)
 
     def is_saturated(self, now: float) -> bool:
@@ -190,30 +190,32 @@
         """
         surplus = prefill_tokens - int(MAX_PREFILL_SPEEDUP * took_s / self.prefill_s_per_token)
         if surplus > 0:
-            self.note_prefill(-surplus, now)
+            self.record_prefill(-surplus, now)
             self._unsent_prefill_tokens -= surplus
 
-    def note_service_time(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """Update the average service time with a request of a plain service."""
         self.service_time_s += SERVICE_TIME_WEIGHT * (seconds - self.service_time_s)
 
-    def note_failure(self, now: float, weight: float = 1.0) -> None:
+    def record_failure(self, now: float, weight: float = 1.0) -> None:
         """Record a failed request; failures that are usual for the service get less weight."""
         self._failures.add(weight, now)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Record a successful request."""
         self.last_progress_at = now
         self._failures.scale(0.5, now)
 
-    def failures(self, now: float) -> float:
+    def count_failures(self, now: float) -> float:
         """Return the number of recent failures, exponentially decayed."""
         return self._failures.get(now)
 
-    def note_sibling(self, host: str, load: HostLoad, segments: Iterable[PromptSegment]) -> None:
+    def record_host_load(
+        self, host: str, load: HostLoad, segments: Iterable[PromptSegment]
+    ) -> None:
         """Apply a load report of a sibling, another host of the region."""
-        self._siblings[host] = load
-        self.note_segments(segments, load.reported_at)
+        self._host_loads[host] = load
+        self.record_segments(segments, load.reported_at)
 
     def get_own_load(self) -> HostLoad:
         """Return the load of this host's requests."""
@@ -230,19 +232,19 @@
         )
         self._has_changed = True
 
-    def prefill_rate(self, now: float) -> float:
+    def get_prefill_rate(self, now: float) -> float:
         """Return the uncached prompt tokens per second sent by all hosts of the region."""
         return self._prefill_rate.get_rate(now)
 
-    def backlog(self, now: float) -> float:
+    def estimate_backlog(self, now: float) -> float:
         """Return the tokens that are waiting for prefill, assuming prefill at the target duty."""
         return max(
             0.0, self._backlog - (now - self._backlog_at) * PREFILL_DUTY / self.prefill_s_per_token
         )
 
-    def note_prefill(self, tokens: int, now: float) -> None:
+    def record_prefill(self, tokens: int, now: float) -> None:
         """Record uncached prompt tokens sent to the endpoint by this host or another one."""
-        self._backlog = max(0.0, self.backlog(now) + tokens)
+        self._backlog = max(0.0, self.estimate_backlog(now) + tokens)
         self._prefill_rate.add(tokens, now)
         self._backlog_at = now
 
@@ -261,8 +263,8 @@
     def sum_region_load(self, now: float) -> HostLoad:
         """Return the load of the requests of all hosts of the region."""
         running, prefill_tokens, reserved_kv_tokens, _ = self._own_load
-        for load in self._siblings.values():
-            if now - load.reported_at <= SIBLING_LOAD_TTL_S:
+        for load in self._host_loads.values():
+            if now - load.reported_at <= HOST_LOAD_TTL_S:
                 running += load.running
                 prefill_tokens += load.prefill_tokens
                 reserved_kv_tokens += load.reserved_kv_tokens
@@ -276,11 +278,11 @@
         """Return the leading tokens of a prompt that another endpoint can fetch from this one."""
         return self._cached_segments.count_ready(prompt, now)
 
-    def note_segments(self, segments: Iterable[PromptSegment], now: float) -> None:
+    def record_segments(self, segments: Iterable[PromptSegment], now: float) -> None:
         """Record segments sent to the endpoint, and evict the least recently used ones."""
-        ready_at = now + self.backlog(now) * self.prefill_s_per_token
-        self._cached_segments.note(segments, ready_at)
+        ready_at = now + self.estimate_backlog(now) * self.prefill_s_per_token
+        self._cached_segments.record(segments, ready_at)
         reserved_kv_tokens = self._own_load.reserved_kv_tokens + sum(
-            load.reserved_kv_tokens for load in self._siblings.values()
+            load.reserved_kv_tokens for load in self._host_loads.values()
         )
         self._cached_segments.trim(self.kv_capacity - reserved_kv_tokens)
--- a/cloverway/core/members.py
+++ b/cloverway/core/members.py
@@ -43,7 +43,7 @@
 counts as alive."""
 
 
-MISSED_HEARTBEATS = 2.5
+MAX_MISSED_HEARTBEATS = 2.5
 """Heartbeat periods without a heartbeat before a host with a long period counts as dead: two
 heartbeats may be lost. Such hosts serve no callers, so no request is lost if one counts as alive
 for a little longer, or as dead too early; but callers must not be directed to it for 8 s after a
@@ -120,7 +120,7 @@
         self._arrivals = DecayingSum(RATE_HALF_LIFE_S)
         self._region_size = 0
 
-    def note_arrival(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Count a caller's request at this host."""
         self._arrivals.add(1.0, now)
 
@@ -138,7 +138,7 @@
         )
         return rate + (self.get_own_request_rate(now) if self.own.domain == domain else 0.0)
 
-    def apply_state(self, member: Member, age_s: float, direct: bool, now: float) -> Peer | None:
+    def apply_state(self, member: Member, age_s: float, is_direct: bool, now: float) -> Peer | None:
         """Apply the state of a host, from itself (`direct`) or from another; None if outdated."""
         if member.name == self.own.name:
             return None
@@ -152,7 +152,7 @@
             return None
         elif member.incarnation > peer.member.incarnation:
             peer = self.peers[member.name] = Peer(member, heard_at)
-        elif direct or heard_at > peer.heard_at:
+        elif is_direct or heard_at > peer.heard_at:
             # A host never returns from leaving within one incarnation: a late update from another
             # host must not undo it.
             leaving = member.leaving or peer.member.leaving
@@ -160,7 +160,7 @@
         peer.heard_at = max(peer.heard_at, heard_at)
         if peer.member.leaving and peer.leaving_since is None:
             peer.leaving_since = now
-        if direct:
+        if is_direct:
             peer.heard_directly_at = now
         return peer
 
@@ -183,7 +183,7 @@
         bound_s = min(
             MAX_ALIVE_TIMEOUT_S, ALIVE_TIMEOUT_S * max(1.0, self._region_size / SMALL_REGION_HOSTS)
         )
-        return age_s <= max(bound_s, MISSED_HEARTBEATS * peer.heartbeat_period_s)
+        return age_s <= max(bound_s, MAX_MISSED_HEARTBEATS * peer.heartbeat_period_s)
 
     def list_alive(self, now: float) -> list[Peer]:
         """Return the other hosts that are alive."""
@@ -266,9 +266,9 @@
 
 
 @lru_cache(maxsize=MAX_CACHED_RANKS)
-def rank_host(duty: str, host: str) -> bytes:
+def rank_host(key: str, host: str) -> bytes:
     """Return a host's rank for a duty by rendezvous hashing; all hosts agree on the lowest."""
-    return hashlib.blake2b(f"{duty} {host}".encode(), digest_size=8).digest()
+    return hashlib.blake2b(f"{key} {host}".encode(), digest_size=8).digest()
 
 
 def rank_by_capacity(member: Member) -> tuple[int, str]:
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -203,7 +203,7 @@
     call, service = routed.call, routed.service
     load = endpoint.load
     total = load.sum_region_load(now)
-    penalty = FAILURE_PENALTY_S * load.failures(now)
+    penalty = FAILURE_PENALTY_S * load.count_failures(now)
     if (
         total.running
         and now - load.last_progress_at > STALLED_AFTER_S
@@ -279,22 +279,25 @@
     load = endpoint.load
     prefill_s = load.prefill_s_per_token
     return EngineState(
-        load.backlog(now) * prefill_s, prefill_s, load.estimate_decode_s_per_token(now), running
+        load.estimate_backlog(now) * prefill_s,
+        prefill_s,
+        load.estimate_decode_s_per_token(now),
+        running,
     )
 
 
 def predict_region(
-    routed: RoutedCall, offer: AdvertisedCapacity, remote: RemoteRegion, now: float
+    routed: RoutedCall, capacity: AdvertisedCapacity, remote: RemoteRegion, now: float
 ) -> RegionCandidate:
     """Predict the wait and the cost of a request in another region from its offer."""
     call = routed.call
-    wait_s = offer.wait_s + remote.round_trip_s
+    wait_s = capacity.wait_s + remote.round_trip_s
     crossing_s = CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
     if routed.service.engine is None or call.prompt is None:
         return RegionCandidate(remote.region, wait_s, wait_s + crossing_s)
     work = estimate_remote_work(call)
-    wait_s += work.prefill_tokens * offer.engine.prefill_s_per_token
-    cost_s = wait_s + _estimate_later_cost(routed, work, offer.engine, now) + crossing_s
+    wait_s += work.prefill_tokens * capacity.engine.prefill_s_per_token
+    cost_s = wait_s + _estimate_later_cost(routed, work, capacity.engine, now) + crossing_s
     return RegionCandidate(remote.region, wait_s, cost_s)
 
 
--- a/cloverway/core/prefix_cache.py
+++ b/cloverway/core/prefix_cache.py
@@ -22,7 +22,7 @@
         self._segments: OrderedDict[int, _CachedSegment] = OrderedDict()
         self._tokens = 0
 
-    def note(self, segments: Iterable[PromptSegment], ready_at: float) -> None:
+    def record(self, segments: Iterable[PromptSegment], ready_at: float) -> None:
         """Record segments that were sent to the endpoint and the time when they will be cached."""
         for segment in segments:
             cached = self._segments.pop(segment.id, None)
--- a/cloverway/core/quarantine.py
+++ b/cloverway/core/quarantine.py
@@ -47,17 +47,17 @@
 """Crashes counted against a request at most: by then it is blocked for the maximum time."""
 
 
-class Level(IntEnum):
+class SuspicionLevel(IntEnum):
     """How strongly a request is suspected of crashing endpoints."""
 
     NONE = 0
-    SEEN = 1
+    SUSPECTED = 1
     """It was running when an endpoint crashed."""
-    ALONE = 2
+    ISOLATED = 2
     """One more crash blocks it; no other suspect may be running at the same endpoint."""
 
 
-class QuarantineTerms(NamedTuple):
+class QuarantineSettings(NamedTuple):
     """When, and for how long, a request is blocked because endpoints crashed while running it."""
 
     ends: int = 3
@@ -66,7 +66,7 @@
     hold_s: float = 1800.0
     """How long it is then blocked. Each further crash, after that time, doubles the time."""
 
-    def find_faults(self) -> Iterator[tuple[str, str]]:
+    def find_invalid_values(self) -> Iterator[tuple[str, str]]:
         """Yield the name of each invalid value, and the reason."""
         if self.ends < 1:
             yield "ends", f"{self.ends} must be at least 1: 0 would refuse every request"
@@ -107,8 +107,10 @@
     counts once for each incarnation, and not at all for a request that was served after it.
     """
 
-    def __init__(self, terms: QuarantineTerms, ambiguous_crashes: int = AMBIGUOUS_CRASHES) -> None:
-        self._terms = terms
+    def __init__(
+        self, settings: QuarantineSettings, ambiguous_crashes: int = AMBIGUOUS_CRASHES
+    ) -> None:
+        self._settings = settings
         self._ambiguous_crashes = ambiguous_crashes
         self._suspects: OrderedDict[int, dict[str, float]] = OrderedDict()
         """Crash time of each endpoint that crashed while running a request, by the digest of the
@@ -124,7 +126,7 @@
         self._retracted: OrderedDict[str, float] = OrderedDict()
         """Incarnations that seemed to crash, and until when they are known to have been alive."""
 
-    def note_crash(self, crash: Crash) -> Crash | None:
+    def record_crash(self, crash: Crash) -> Crash | None:
         """Record a crash; return it with only the digests that are new, or None if none is."""
         if crash.at <= self._retracted.get(crash.incarnation, float("-inf")):
             return None
@@ -136,7 +138,7 @@
             self._forget(next(iter(self._suspects)))
         return crash._replace(digests=new_digests)
 
-    def note_alive(self, incarnation: str, since: float, until: float) -> None:
+    def record_alive(self, incarnation: str, since: float, until: float) -> None:
         """Record that an incarnation of an endpoint was alive from `since` to `until`.
 
         A crash of it that was recorded within this time, or just before, is retracted: a connection
@@ -147,7 +149,7 @@
             return
         self._retract_crash(incarnation, until)
 
-    def note_confirmed_alive(self, incarnation: str, now: float) -> None:
+    def record_confirmed_alive(self, incarnation: str, now: float) -> None:
         """Record that an incarnation of an endpoint has confirmed that it never crashed."""
         if incarnation in self._crashed:
             self._retract_crash(incarnation, now)
@@ -159,7 +161,7 @@
         for digest in self._digests_by_incarnation.pop(incarnation, ()):
             self._suspects[digest].pop(incarnation, None)
 
-    def note_served(self, digest: int, now: float) -> bool:
+    def record_served(self, digest: int, now: float) -> bool:
         """Record a complete answer to a request; return whether the request was suspected.
 
         A request that crashes endpoints never completes, so its recorded crashes are dropped.
@@ -181,25 +183,29 @@
     def get_block(self, digest: int, now: float) -> Block | None:
         """Return the reason why a request must not be sent now, or None if it may be sent."""
         crash_times = self._suspects.get(digest)
-        if crash_times is None or len(crash_times) < self._terms.ends:
+        if crash_times is None or len(crash_times) < self._settings.ends:
             return None
-        is_certain = len(crash_times) >= self._terms.ends + self._ambiguous_crashes
+        is_certain = len(crash_times) >= self._settings.ends + self._ambiguous_crashes
         if not is_certain and self._is_explained(
             digest, lambda other: self._is_equally_suspect(other, crash_times)
         ):
             return None
-        hold_s = self._terms.hold_s * 2.0 ** (len(crash_times) - self._terms.ends)
+        hold_s = self._settings.hold_s * 2.0 ** (len(crash_times) - self._settings.ends)
         remaining_s = max(crash_times.values()) + min(hold_s, MAX_HOLD_S) - now
         return Block(len(crash_times), remaining_s) if remaining_s > 0 else None
 
-    def get_level(self, digest: int, now: float) -> Level:
+    def get_level(self, digest: int, now: float) -> SuspicionLevel:
         """Return how strongly a request is suspected; NONE if another explains its crashes."""
         crash_times = self._suspects.get(digest)
         if not crash_times or now - max(crash_times.values()) > SUSPICION_S:
-            return Level.NONE
+            return SuspicionLevel.NONE
         if self._is_explained(digest, lambda other: self.get_block(other, now) is not None):
-            return Level.NONE
-        return Level.ALONE if len(crash_times) >= self._terms.ends - 1 else Level.SEEN
+            return SuspicionLevel.NONE
+        return (
+            SuspicionLevel.ISOLATED
+            if len(crash_times) >= self._settings.ends - 1
+            else SuspicionLevel.SUSPECTED
+        )
 
     def _is_explained(self, digest: int, is_cause: Callable[[int], bool]) -> bool:
         """Return whether a possible other cause was running at each crash of a request."""
--- a/cloverway/core/retry_budget.py
+++ b/cloverway/core/retry_budget.py
@@ -10,7 +10,7 @@
 request may be counted in one window and its retry in the next."""
 
 
-class RetryBudgetTerms(NamedTuple):
+class RetryBudgetSettings(NamedTuple):
     """Retries to a service that all hosts together may send in any time window."""
 
     ratio: float = 0.1
@@ -27,26 +27,26 @@
     hosts then stays within the budget without communication, also during a network partition.
     """
 
-    def __init__(self, terms: RetryBudgetTerms) -> None:
-        self._terms = terms
+    def __init__(self, settings: RetryBudgetSettings) -> None:
+        self._settings = settings
         self._requests: deque[float] = deque()
         self._extra: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def take(self, hosts: int, now: float) -> bool:
         """Return whether this host may retry, and count the retry; `hosts` is the fleet size."""
-        self._forget(now)
-        share = self._terms.ratio * len(self._requests) + self._terms.slack / max(1, hosts)
+        self._drop_expired(now)
+        share = self._settings.ratio * len(self._requests) + self._settings.slack / max(1, hosts)
         if len(self._extra) + 1 > USABLE_FRACTION * share:
             return False
         self._extra.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for times in (self._requests, self._extra):
-            while times and times[0] < now - self._terms.window_s:
+            while times and times[0] < now - self._settings.window_s:
                 times.popleft()
--- a/cloverway/core/selection.py
+++ b/cloverway/core/selection.py
@@ -18,7 +18,7 @@
 )
 from cloverway.core.token_gaps import INITIAL_BURST_RATIO
 
-OFFERED_PREFILL_S = 0.05
+ADVERTISED_PREFILL_S = 0.05
 """Prefill time assumed for one request in the capacity advertised to other regions: between that of
 a small request and a large one. With 0.13 s, no region had capacity for small requests, and a tenth
 of them was refused."""
@@ -37,9 +37,9 @@
 
     wait_s: float
     """Predicted time to first event at the best endpoint."""
-    free: int
+    free_slots: int
     """Requests that the endpoints accept now."""
-    tokens: int
+    max_prompt_tokens: int
     """Prompt tokens of the largest of these requests."""
     engine: EngineState | None = None
     """State of the engine with the shortest queue; None for plain services."""
@@ -56,10 +56,10 @@
     """
     capacities = [_compute_endpoint_capacity(service, endpoint, now) for endpoint in endpoints]
     best = min(capacities, key=lambda capacity: capacity.wait_s)
-    free = sum(capacity.free for capacity in capacities) if not queued_s else 0
+    free_slots = sum(capacity.free_slots for capacity in capacities) if not queued_s else 0
     wait_s = best.wait_s + queued_s / (len(capacities) * PREFILL_DUTY)
     return RegionCapacity(
-        wait_s, free, max(capacity.tokens for capacity in capacities), best.engine
+        wait_s, free_slots, max(capacity.max_prompt_tokens for capacity in capacities), best.engine
     )
 
 
@@ -68,7 +68,7 @@
     slots = max(1, endpoint.entry.slots)
     running = load.sum_region_load(now).running
     free_slots = max(0, slots - running)
-    penalty_s = FAILURE_PENALTY_S * load.failures(now)
+    penalty_s = FAILURE_PENALTY_S * load.count_failures(now)
     if service.engine is None:
         queue_s = load.service_time_s * max(0, running + 1 - slots) / slots
         return RegionCapacity(queue_s + penalty_s, free_slots, 0)
@@ -77,27 +77,27 @@
     remaining_tokens = (
         int(remaining_s / engine.prefill_s_per_token) if engine.queue_s else UNLIMITED_TOKENS
     )
-    free_slots = min(free_slots, int(remaining_s / OFFERED_PREFILL_S))
+    free_slots = min(free_slots, int(remaining_s / ADVERTISED_PREFILL_S))
     return RegionCapacity(
         engine.queue_s + penalty_s, free_slots, remaining_tokens if free_slots else 0, engine
     )
 
 
-def extrapolate_offer(offer: AdvertisedCapacity, age_s: float) -> AdvertisedCapacity:
+def extrapolate_capacity(capacity: AdvertisedCapacity, age_s: float) -> AdvertisedCapacity:
     """Return the offer of a region extrapolated to `age_s` after it was made.
 
     Work that is queued beyond the burst limit of the engines is done first.
     """
-    prefill_s_per_token = offer.engine.prefill_s_per_token
+    prefill_s_per_token = capacity.engine.prefill_s_per_token
     burst_s = INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
-    excess_s = max(0.0, offer.wait_s - burst_s)
+    excess_s = max(0.0, capacity.wait_s - burst_s)
     recovered_s = min(RECOVERY_FRACTION * age_s - excess_s, burst_s)
     if not prefill_s_per_token or recovered_s <= 0:
-        return offer
-    return offer._replace(
-        wait_s=max(0.0, offer.wait_s - RECOVERY_FRACTION * age_s),
-        free_slots=offer.free_slots + int(recovered_s / OFFERED_PREFILL_S),
-        max_prompt_tokens=offer.max_prompt_tokens + int(recovered_s / prefill_s_per_token),
+        return capacity
+    return capacity._replace(
+        wait_s=max(0.0, capacity.wait_s - RECOVERY_FRACTION * age_s),
+        free_slots=capacity.free_slots + int(recovered_s / ADVERTISED_PREFILL_S),
+        max_prompt_tokens=capacity.max_prompt_tokens + int(recovered_s / prefill_s_per_token),
     )
 
 
@@ -107,7 +107,7 @@
     return min(free, key=lambda candidate: candidate.cost_s, default=None)
 
 
-def estimate_start(candidates: Sequence[Candidate], ahead_s: float) -> float | None:
+def estimate_start_delay(candidates: Sequence[Candidate], ahead_s: float) -> float | None:
     """Return the estimated seconds until a request can be sent here; None without endpoints.
 
     `ahead_s` is the work of the requests queued ahead.
@@ -118,7 +118,7 @@
     return queued_s + min(candidate.available_in_s for candidate in candidates)
 
 
-def estimate_wait(candidates: Sequence[Candidate], ahead_s: float) -> float:
+def estimate_queueing_cost(candidates: Sequence[Candidate], ahead_s: float) -> float:
     """Return the estimated cost of queueing here, in seconds; infinite without endpoints.
 
     `ahead_s` is the work of the requests queued ahead.
@@ -130,11 +130,11 @@
 
 
 def choose_region(
-    local_cost_s: float, offers: Sequence[RegionCandidate], margin_s: float
+    local_cost_s: float, candidates: Sequence[RegionCandidate], margin_s: float
 ) -> RegionCandidate | None:
     """Return the region to forward a request to, or None to keep it here at `local_cost_s`.
 
     A remote region must be better by `margin_s`, because its state is known with a longer delay.
     """
-    best = min(offers, key=lambda offer: offer.cost_s, default=None)
+    best = min(candidates, key=lambda capacity: capacity.cost_s, default=None)
     return best if best is not None and best.cost_s + margin_s < local_cost_s else None
--- a/cloverway/core/statements.py
+++ b/cloverway/core/statements.py
@@ -36,7 +36,7 @@
 """The statement of an endpoint that has set no limit and announced nothing."""
 
 
-class News(StrEnum):
+class StatementChange(StrEnum):
     """A change in the statement of an endpoint."""
 
     LIMIT_NAMED = "limit_named"
@@ -54,7 +54,7 @@
         """Return the statement of an incarnation of an endpoint."""
         return self._by_incarnation.get(incarnation, NO_STATEMENT)
 
-    def note(self, incarnation: str, statement: Statement) -> tuple[News, ...]:
+    def record(self, incarnation: str, statement: Statement) -> tuple[StatementChange, ...]:
         """Merge a statement of an incarnation of an endpoint; return what changed."""
         known = self._by_incarnation.get(incarnation)
         if known is None:
@@ -67,7 +67,7 @@
         self._by_incarnation.move_to_end(incarnation)
         if len(self._by_incarnation) > MAX_INCARNATIONS:
             self._by_incarnation.popitem(last=False)
-        return tuple(_list_news(known, joined))
+        return tuple(_list_changes(known, joined))
 
     def list_since(self, since: float) -> list[tuple[str, Statement]]:
         """Return the statements in force and the limits that ended after a time."""
@@ -78,11 +78,15 @@
         ]
 
 
-def _list_news(known: Statement, joined: Statement) -> Iterator[News]:
+def _list_changes(known: Statement, joined: Statement) -> Iterator[StatementChange]:
     if joined.limit_per_s != known.limit_per_s:
-        yield News.LIMIT_ENDED if joined.limit_per_s is None else News.LIMIT_NAMED
+        yield (
+            StatementChange.LIMIT_ENDED
+            if joined.limit_per_s is None
+            else StatementChange.LIMIT_NAMED
+        )
     if joined.leaving and not known.leaving:
-        yield News.LEAVING
+        yield StatementChange.LEAVING
 
 
 def _rank_limit(statement: Statement) -> tuple[float, float]:
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from cloverway.core.prediction import Candidate
-from cloverway.core.quarantine import Level
+from cloverway.core.quarantine import SuspicionLevel
 
 SUSPECT_PENALTY_S = 1.0
 """Cost for a suspect of an endpoint where another suspect runs. It is longer than most waits, so
@@ -27,7 +27,7 @@
 
     digest: int
     incarnation: str
-    level: Level
+    level: SuspicionLevel
     until: float
     """The latest time at which it ends."""
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._by_host: dict[str, tuple[SuspectRun, ...]] = {}
 
-    def note(self, host: str, runs: Iterable[SuspectRun]) -> None:
+    def record(self, host: str, runs: Iterable[SuspectRun]) -> None:
         """Record all running suspects of a host, in place of those recorded before."""
         kept = tuple(runs)
         if kept:
@@ -52,32 +52,41 @@
 
 
 def isolate_suspects(
-    digest: int, level: Level, candidates: Sequence[Candidate], runs: Sequence[SuspectRun]
+    digest: int, level: SuspicionLevel, candidates: Sequence[Candidate], runs: Sequence[SuspectRun]
 ) -> Sequence[Candidate]:
     """Exclude endpoints, or add to their cost, because of the suspects that run there.
 
     A request that one more crash would block has only one run at a time in the region, and never
     runs beside another suspect. In all other cases only the cost changes.
     """
-    if not runs and level is Level.NONE:
+    if not runs and level is SuspicionLevel.NONE:
         return candidates
-    if level is Level.ALONE and any(run.digest == digest for run in runs):
+    if level is SuspicionLevel.ISOLATED and any(run.digest == digest for run in runs):
         return []
-    levels: dict[str, Level] = {}
+    levels: dict[str, SuspicionLevel] = {}
     for run in runs:
-        levels[run.incarnation] = max(run.level, levels.get(run.incarnation, Level.NONE))
+        levels[run.incarnation] = max(run.level, levels.get(run.incarnation, SuspicionLevel.NONE))
     adjusted = (
-        _add_penalty(level, candidate, levels.get(candidate.endpoint.entry.incarnation, Level.NONE))
+        _add_penalty(
+            level, candidate, levels.get(candidate.endpoint.entry.incarnation, SuspicionLevel.NONE)
+        )
         for candidate in candidates
     )
     return [candidate for candidate in adjusted if candidate is not None]
 
 
-def _add_penalty(level: Level, candidate: Candidate, there: Level) -> Candidate | None:
+def _add_penalty(
+    level: SuspicionLevel, candidate: Candidate, endpoint_level: SuspicionLevel
+) -> Candidate | None:
     """Add the cost of suspects that run together; return None where they must not."""
-    if level is Level.NONE:
-        return candidate.with_added_cost(SUSPECT_AVOIDANCE_S * (there is not Level.NONE))
-    if Level.ALONE in (level, there) and there is not Level.NONE:
+    if level is SuspicionLevel.NONE:
+        return candidate.with_added_cost(
+            SUSPECT_AVOIDANCE_S * (endpoint_level is not SuspicionLevel.NONE)
+        )
+    if (
+        SuspicionLevel.ISOLATED in (level, endpoint_level)
+        and endpoint_level is not SuspicionLevel.NONE
+    ):
         return None
-    penalty_s = SUSPECT_PENALTY_S * (there is not Level.NONE)
+    penalty_s = SUSPECT_PENALTY_S * (endpoint_level is not SuspicionLevel.NONE)
     return candidate.with_added_cost(penalty_s + EXPOSURE_PENALTY_S * candidate.running)
--- a/cloverway/core/token_gaps.py
+++ b/cloverway/core/token_gaps.py
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self._seen_at = float("-inf")
 
-    def note(self, gap: TokenGap, now: float) -> None:
+    def record(self, gap: TokenGap, now: float) -> None:
         """Record a gap between two events."""
         if gap.seconds > SATURATION_FRACTION * gap.objective_s:
             self._seen_at = now
@@ -69,7 +69,7 @@
         self.ratio = INITIAL_BURST_RATIO
         self._decreased_at = float("-inf")
 
-    def note(self, gap: TokenGap, now: float) -> None:
+    def record(self, gap: TokenGap, now: float) -> None:
         """Record a gap between two events."""
         if gap.seconds <= gap.objective_s:
             self.ratio = min(MAX_BURST_RATIO, self.ratio + INCREASE_STEP)
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Iterable
 
-from cloverway.core.quarantine import Block, Crash, CrashUpdate, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Block, Crash, CrashUpdate, Quarantine, QuarantineSettings
 from cloverway.dispatch.tickets import Ticket
 from cloverway.errors import Kind
 from cloverway.membership.view import EndpointState, View
@@ -29,7 +29,7 @@
     runs on its own thread. The lock is held only for a few dictionary operations.
     """
 
-    def __init__(self, terms: QuarantineTerms) -> None:
+    def __init__(self, terms: QuarantineSettings) -> None:
         self._quarantine = Quarantine(terms, ambiguous_crashes=0)
         self._lock = threading.Lock()
         self._has_urgent = False
@@ -68,27 +68,29 @@
         """
         if state is not None and endpoint_incarnation == f"{state.name}@{state.incarnation}":
             with self._lock:
-                self._quarantine.note_alive(endpoint_incarnation, float("-inf"), state.reported_at)
+                self._quarantine.record_alive(
+                    endpoint_incarnation, float("-inf"), state.reported_at
+                )
 
     def record_crash(self, crash: Crash) -> None:
         """Record that an endpoint crashed while it ran some requests."""
         with self._lock:
-            new_crash = self._quarantine.note_crash(crash)
+            new_crash = self._quarantine.record_crash(crash)
             self._has_urgent = self._has_urgent or new_crash is not None
         self._log_crashes([new_crash], is_remote=False, now=crash.at)
 
     def record_served(self, digest: int, now: float) -> None:
         """Record that a request got a complete answer."""
         with self._lock:
-            if self._quarantine.note_served(digest, now):
+            if self._quarantine.record_served(digest, now):
                 self._has_urgent = True
 
     def apply_update(self, update: CrashUpdate, now: float) -> None:
         """Apply an update from another host; the next heartbeats forward it."""
         with self._lock:
             for digest in update.served:
-                self._quarantine.note_served(digest, now)
-            new_crashes = [self._quarantine.note_crash(crash) for crash in update.crashes]
+                self._quarantine.record_served(digest, now)
+            new_crashes = [self._quarantine.record_crash(crash) for crash in update.crashes]
         self._log_crashes(new_crashes, is_remote=True, now=now)
 
     def take_urgent(self) -> bool:
--- a/cloverway/platform/entries.py
+++ b/cloverway/platform/entries.py
@@ -23,7 +23,7 @@
     CallKind,
     Configuration,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     WeightedService,
@@ -153,8 +153,8 @@
     tokens_per_event: Count | None = field(name="stride", default=None)
     """Tokens in each event of a stream, not the distance between events."""
 
-    def make_shape(self) -> EngineShape:
-        return EngineShape(
+    def make_engine_spec(self) -> EngineSpec:
+        return EngineSpec(
             slots=self.slots,
             kv_tokens=self.kv_tokens,
             token_bytes=int(self.token_bytes or 0),
@@ -176,7 +176,7 @@
             max_connections=self.max_connections or 100,
             cold_s=self.cold_s or 0.0,
             cold_requests_per_s=self.cold_requests_per_s or 0.0,
-            engine=self.engine.make_shape() if self.engine is not None else None,
+            engine=self.engine.make_engine_spec() if self.engine is not None else None,
         )
 
 
--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -49,7 +49,7 @@
         self.members = members
         self.dialect = dialect
         self.metrics = metrics
-        self.pool = ConnectionPool(metrics.note_connect)
+        self.pool = ConnectionPool(metrics.record_connect)
         self.failure_baseline = FailureBaseline()
         self.quarantine = Quarantine(settings.quarantine)
         own_name = members.own.name
@@ -72,11 +72,11 @@
             budget = self._budgets[service] = RetryBudget(self.settings.retries)
         return budget
 
-    def note_configured(self) -> None:
+    def record_configured(self) -> None:
         """Record that a configuration is in force."""
         self._configured.set()
 
-    def note_synced(self) -> None:
+    def record_synced(self) -> None:
         """Record that another host has sent its state."""
         self._synced.set()
 
--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -86,21 +86,21 @@
                 retry_s = MIN_RETRY_S
                 delay_s = began_at + self._choose_interval() - read_clock()
             except HistoryGoneError:
-                self._metrics.note_read("history_gone")
+                self._metrics.record_read("history_gone")
                 log_event("store_history_gone", revision=self.table.revision)
                 full = True
                 delay_s = 0.0
             except PlatformError as error:
-                self._note_store_lost(error)
+                self._record_store_lost(error)
                 delay_s = retry_s * random.uniform(0.8, 1.2)
                 retry_s = min(MAX_RETRY_S, retry_s * 2)
             await asyncio.sleep(max(0.0, delay_s))
 
-    async def forget(self) -> None:
+    async def forget_missing(self) -> None:
         """Drop endpoints that stayed missing, forever."""
         while True:
             await wait_for_tick(FORGET_PERIOD_S)
-            self._tell(self.directory.forget_missing(read_clock()))
+            self._report_changes(self.directory.forget_missing(read_clock()))
 
     def apply(self, snapshot: Snapshot, source: str, now: float) -> None:
         """Apply documents from the store or another host; an older revision changes nothing."""
@@ -108,11 +108,11 @@
             own = self.table.revision
             log_event("snapshot_is_older", source=source, revision=snapshot.revision, own=own)
             return
-        self._tell(self.directory.apply(self.table.apply(snapshot), now))
+        self._report_changes(self.directory.apply(self.table.apply(snapshot), now))
 
-    def note_restart(self, name: str, born_ms: int) -> None:
+    def record_restart(self, name: str, started_ms: int) -> None:
         """Record that an endpoint has restarted, as it stated itself, before its entry shows it."""
-        self._tell(self.directory.note_start(name, born_ms, read_clock()))
+        self._report_changes(self.directory.record_restart(name, started_ms, read_clock()))
 
     def is_reader(self, now: float) -> bool:
         """Return whether this host reads the store for the others of its failure domain.
@@ -143,7 +143,7 @@
         else:
             snapshot = await self._store.watch(self.table.revision, WATCH_TIMEOUT_S)
         now = read_clock()
-        self._metrics.note_read("whole" if full else "changes")
+        self._metrics.record_read("whole" if full else "changes")
         if self._is_store_lost:
             self._is_store_lost = False
             log_event(
@@ -168,15 +168,15 @@
         share = self._reads_per_s * READ_BUDGET_SHARE / self._members.count_hosts()
         return max(MIN_READ_INTERVAL_S, 1 / share)
 
-    def _note_store_lost(self, error: PlatformError) -> None:
-        self._metrics.note_read(type(error).__name__)
+    def _record_store_lost(self, error: PlatformError) -> None:
+        self._metrics.record_read(type(error).__name__)
         if not self._is_store_lost:
             self._is_store_lost = True
             log_event("store_lost", logging.WARNING, why=str(error), revision=self.table.revision)
 
-    def _tell(self, changes: list[Change]) -> None:
+    def _report_changes(self, changes: list[Change]) -> None:
         for change in changes:
-            self._metrics.note_event(change.what)
+            self._metrics.record_event(change.what)
             log_event(
                 "belief_changed",
                 what=change.what,
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -41,7 +41,7 @@
         self._pool = pool
         self._newer_available = asyncio.Event()
 
-    def note_peer(self, peer: Peer, now: float) -> None:
+    def record_peer(self, peer: Peer, now: float) -> None:
         """Compare the documents with those that another host has just reported."""
         table = self._catalogue.table
         if table.adopt_revision(peer.revision, peer.digest):
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -61,11 +61,11 @@
     """The tasks and servers of one host."""
 
     def __init__(
-        self, settings: FleetSettings, store: Store, dialect: Dialect, writer: LogLineHandler
+        self, settings: FleetSettings, store: Store, dialect: Dialect, log_handler: LogLineHandler
     ) -> None:
         self.settings = settings
         self.dialect = dialect
-        self.writer = writer
+        self.log_handler = log_handler
         self.metrics = Metrics()
         self.directory = Directory(settings.topology)
         self.members = Members(_describe_own(settings))
@@ -79,7 +79,7 @@
             self.metrics,
             reads_per_s=settings.store.reads_per_s,
         )
-        self.catalogue.on_change = self._note_changes
+        self.catalogue.on_change = self._record_changes
         self.sync = DocumentSync(self.members, self.catalogue, self.context.pool)
         self.gossip = Gossip(
             self.members,
@@ -92,14 +92,14 @@
         )
         self.catalogue.on_documents_changed = self.gossip.announce_documents
         self.gossip.get_queued_work_s = self.context.target_selector.sum_queued_work
-        self.gossip.on_first_contact = self._note_synced
-        self.context.incarnations.on_restarted = self.catalogue.note_restart
+        self.gossip.on_first_contact = self._record_synced
+        self.context.incarnations.on_restarted = self.catalogue.record_restart
         self.context.target_selector.on_large_prompt = self.gossip.endpoint_loads.broadcast_at_once
         self.started_at = read_clock()
         self.leaving_at: float | None = None
         options = ServerOptions(self._get_limits, self._is_leaving, self._format_refusal)
         self.caller_server = Server(self._handle_call, options)
-        self.peer_server = Server(self._handle_passed_on, options)
+        self.peer_server = Server(self._handle_forwarded, options)
         short_lived = options._replace(is_short_lived=True)
         self.lookup_server = Server(self._handle_lookup, short_lived)
         self.readiness_server = Server(self._handle_readiness, short_lived)
@@ -125,7 +125,7 @@
             self.context.broadcaster.run,
             self.sync.run,
             self.catalogue.run,
-            self.catalogue.forget,
+            self.catalogue.forget_missing,
             self._tick,
         )
         self._tasks = [asyncio.create_task(_run_with_restarts(run)) for run in runs]
@@ -149,7 +149,7 @@
                 break
             await asyncio.sleep(0.05)
         cut = self.caller_server.in_progress + self.peer_server.in_progress
-        log_event("stopped", cut=cut, dropped_lines=self.writer.dropped)
+        log_event("stopped", cut=cut, dropped_lines=self.log_handler.dropped)
 
     def _is_leaving(self) -> bool:
         return self.leaving_at is not None
@@ -158,13 +158,13 @@
         configuration = self.directory.configuration
         return configuration.limits if configuration is not None else CallerLimits()
 
-    def _note_changes(self, changes: list[Change]) -> None:
+    def _record_changes(self, changes: list[Change]) -> None:
         if self.directory.configuration is not None:
-            self.context.note_configured()
+            self.context.record_configured()
         self._update_ready()
 
-    def _note_synced(self) -> None:
-        self.context.note_synced()
+    def _record_synced(self) -> None:
+        self.context.record_synced()
         self._update_ready()
 
     def _update_ready(self) -> None:
@@ -190,15 +190,15 @@
             log_event("refused", kind=str(error.kind), ran="no", status=status, why="leaving")
             await exchange.answer(status, headers, body)
             return
-        self.members.note_arrival(read_clock())
+        self.members.record_arrival(read_clock())
         await self.forwarder.handle(exchange)
 
-    async def _handle_passed_on(self, exchange: Exchange) -> None:
+    async def _handle_forwarded(self, exchange: Exchange) -> None:
         documents = export_snapshot(self.catalogue.table, exchange.target)
         if documents is not None:
             await exchange.answer(200, [], documents)
             return
-        await self.forwarder.handle_passed_on(exchange)
+        await self.forwarder.handle_forwarded(exchange)
 
     async def _handle_lookup(self, exchange: Exchange) -> None:
         lookup = self.dialect.decode_lookup(exchange)
@@ -242,7 +242,7 @@
             return
         quarantined = self.context.quarantine.count_blocked(read_clock())
         limited = self.directory.count_limited()
-        metrics = self.metrics.render(self.writer.dropped, quarantined, limited)
+        metrics = self.metrics.render(self.log_handler.dropped, quarantined, limited)
         await exchange.answer(200, [TEXT], metrics)
 
     def _format_refusal(self, exchange: Exchange | None, error: RequestError) -> bytes:
@@ -337,13 +337,13 @@
     """
     settings = FleetSettings.from_toml(path)
     incarnation = secrets.token_hex(4)
-    writer = configure_logging(settings.host, incarnation, settings.log_level)
+    log_handler = configure_logging(settings.host, incarnation, settings.log_level)
     # Imported modules are never freed, so the garbage collector needn't scan them again.
     gc.collect()
     gc.freeze()
 
     async def run() -> None:
-        host = Host(settings, make_store(settings), dialect, writer)
+        host = Host(settings, make_store(settings), dialect, log_handler)
         await _run(path, settings, host, early)
 
     asyncio.run(run())
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -48,7 +48,7 @@
 
     def report_crash(self, incarnation: str, digest: int, at: float) -> None:
         """Record that an endpoint apparently crashed while it ran a request."""
-        recorded = self._quarantine.note_crash(Crash(incarnation, (digest,), at))
+        recorded = self._quarantine.record_crash(Crash(incarnation, (digest,), at))
         if recorded is not None:
             self._detected[incarnation].append(recorded)
             self._log_blocked_requests(recorded, at)
@@ -56,7 +56,7 @@
 
     def report_served(self, digest: int) -> None:
         """Record that a request got a complete answer."""
-        if self._quarantine.note_served(digest, read_clock()):
+        if self._quarantine.record_served(digest, read_clock()):
             self._served.append(digest)
             self.schedule_broadcast(BROADCAST_DELAY_S)
 
@@ -67,9 +67,9 @@
         on.
         """
         for digest in report.served:
-            self._quarantine.note_served(digest, now)
+            self._quarantine.record_served(digest, now)
         received = [_decode_crash(crash, now) for crash in report.crashes]
-        recorded = [new for crash in received if (new := self._quarantine.note_crash(crash))]
+        recorded = [new for crash in received if (new := self._quarantine.record_crash(crash))]
         for crash in recorded:
             requests = len(crash.digests)
             log_event("end_heard", life=crash.incarnation, requests=requests, peer=report.host)
@@ -110,7 +110,7 @@
         for digest in crash.digests:
             block = self._quarantine.get_block(digest, now)
             if block is not None:
-                self._metrics.note_event("request_held")
+                self._metrics.record_event("request_held")
                 log_event(
                     "request_held",
                     request_digest=f"{digest:016x}",
--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -69,8 +69,8 @@
                 # What was sent to another incarnation is neither running nor in memory here.
                 parts = [PromptSegment(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
                 load = HostLoad(use.running, use.unread, use.held, now)
-                endpoint.load.note_sibling(message.host, load, parts)
-                endpoint.load.note_prefill(use.read, now)
+                endpoint.load.record_host_load(message.host, load, parts)
+                endpoint.load.record_prefill(use.read, now)
 
     def _broadcast_now(self) -> None:
         self._is_broadcast_scheduled = False
@@ -101,8 +101,8 @@
         update.own.running,
         update.own.prefill_tokens,
         update.own.reserved_kv_tokens,
-        tuple(part.id for part in update.segments),
-        tuple(part.tokens for part in update.segments),
+        tuple(segment.id for segment in update.segments),
+        tuple(segment.tokens for segment in update.segments),
         update.sent_prefill_tokens,
         endpoint.entry.started_ms or 0,
     )
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -235,7 +235,7 @@
 
     def _answer_join_request(self, address: str, now: float) -> None:
         """Send all current updates and then the known hosts to a host that is still loading."""
-        self.metrics.note_event("knock_heard")
+        self.metrics.record_event("knock_heard")
         self.broadcaster.send_full_state(address, now)
         others = self.members.list_alive(now)[:MAX_SYNC_HOSTS]
         states = tuple(_describe_peer(other, now) for other in others)
@@ -364,15 +364,15 @@
         peer.request_rate = heartbeat.rate_mhz / 1000
         peer.heartbeat_period_s = state.period_ms / 1000
         peer.digest = heartbeat.digest
-        self.sync.note_peer(peer, now)
+        self.sync.record_peer(peer, now)
         if heartbeat.offers:
             peer.advertised_at = now
             peer.advertised = {
                 offer.service_name: decode_region_offer(offer) for offer in heartbeat.offers
             }
-        self._note_first_contact(peer, now)
+        self._record_first_contact(peer, now)
 
-    def _note_first_contact(self, peer: Peer, now: float) -> None:
+    def _record_first_contact(self, peer: Peer, now: float) -> None:
         """Report the first heartbeat of another host; its updates have arrived just before it."""
         if self._had_first_contact:
             return
@@ -403,11 +403,11 @@
             if self._is_same_region(peer.member) or peer.request_rate >= ACTIVE_REQUESTS_PER_S
         }
         for name in alive - self._alive_names:
-            self.metrics.note_event("host_heard")
+            self.metrics.record_event("host_heard")
             log_event("host_heard", peer=name, region=self.members.peers[name].member.region)
             self.broadcaster.sync_joining_host(name, now)
         for name in self._alive_names - alive:
-            self.metrics.note_event("host_silent")
+            self.metrics.record_event("host_silent")
             log_event("host_silent", peer=name)
         self._alive_names = alive
 
--- a/cloverway/serving/hosts/region_capacity.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -27,7 +27,7 @@
     configuration = directory.configuration
     if configuration is None:
         return ()
-    capacity = []
+    offers = []
     for service in configuration.services.values():
         endpoints = [
             endpoint
@@ -38,13 +38,15 @@
             and not directory.get_pause_s(endpoint, now)
         ]
         if endpoints:
-            room = compute_region_capacity(service, endpoints, get_queued_work_s(service.name), now)
-            capacity.append(_encode_region_offer(service.name, room))
+            capacity = compute_region_capacity(
+                service, endpoints, get_queued_work_s(service.name), now
+            )
+            offers.append(_encode_region_offer(service.name, capacity))
         else:
             # If it were left out, the last advertised capacity would stay valid and grow with its
             # age.
-            capacity.append(RegionOffer(service.name, 0, 0))
-    return tuple(capacity)
+            offers.append(RegionOffer(service.name, 0, 0))
+    return tuple(offers)
 
 
 def decode_region_offer(offer: RegionOffer) -> AdvertisedCapacity:
@@ -54,13 +56,15 @@
     return AdvertisedCapacity(offer.service_name, wait_s, offer.free, offer.room, engine)
 
 
-def _encode_region_offer(service: str, room: RegionCapacity) -> RegionOffer:
-    free = min(room.free, MAX_FREE_SLOTS)
-    offer = RegionOffer(service, int(room.wait_s * 1000), free, room.tokens)
-    if room.engine is None:
+def _encode_region_offer(service: str, capacity: RegionCapacity) -> RegionOffer:
+    free_slots = min(capacity.free_slots, MAX_FREE_SLOTS)
+    offer = RegionOffer(
+        service, int(capacity.wait_s * 1000), free_slots, capacity.max_prompt_tokens
+    )
+    if capacity.engine is None:
         return offer
     return offer._replace(
-        read_ns=int(room.engine.prefill_s_per_token * 1e9),
-        token_us=int(room.engine.decode_s_per_token * 1e6),
-        running=room.engine.running,
+        read_ns=int(capacity.engine.prefill_s_per_token * 1e9),
+        token_us=int(capacity.engine.decode_s_per_token * 1e6),
+        running=capacity.engine.running,
     )
--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from cloverway.core.endpoints import Directory
-from cloverway.core.statements import News, Statement
+from cloverway.core.statements import Statement, StatementChange
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, EndpointStatement, StatementReport
 from cloverway.serving.ports import ReplyFacts
@@ -43,7 +43,7 @@
         self._broadcast_at = float("-inf")
         self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
 
-    def note_answer(
+    def record_answer(
         self, incarnation: str, facts: ReplyFacts, *, request_id: str, sent_at: float, now: float
     ) -> None:
         """Record what an endpoint states about itself in an answer.
@@ -53,8 +53,8 @@
         not come from the endpoint, so it does not show that there is no limit.
         """
         if facts.pause_s is not None:
-            self._directory.note_pause(incarnation, facts.pause_s, now)
-            self._metrics.note_event("pause_asked")
+            self._directory.record_pause(incarnation, facts.pause_s, now)
+            self._metrics.record_event("pause_asked")
             log_event("pause_asked", life=incarnation, pause_s=facts.pause_s, request_id=request_id)
         if facts.limit_per_s is not None:
             statement = Statement(facts.limit_per_s, now, facts.leaving)
@@ -62,7 +62,7 @@
             statement = Statement(None, sent_at, facts.leaving)
         else:
             statement = Statement(leaving=facts.leaving)
-        changes = self._directory.note_statement(incarnation, statement)
+        changes = self._directory.record_statement(incarnation, statement)
         if changes:
             self._log_changes(incarnation, changes, now, request_id=request_id)
             self._pending[incarnation] = None
@@ -73,13 +73,13 @@
     def receive(self, report: StatementReport, is_remote: bool, now: float) -> None:
         """Apply the report of another host."""
         for item in report.statements:
-            changes = self._directory.note_statement(item.life, _decode_statement(item, now))
+            changes = self._directory.record_statement(item.life, _decode_statement(item, now))
             self._log_changes(item.life, changes, now, peer=report.host)
 
     def _log_changes(
         self,
         incarnation: str,
-        changes: Iterable[News],
+        changes: Iterable[StatementChange],
         now: float,
         *,
         request_id: str | None = None,
@@ -87,8 +87,8 @@
     ) -> None:
         statement = self._directory.statements.get(incarnation)
         for change in changes:
-            self._metrics.note_event(change)
-            is_leaving = change is News.LEAVING
+            self._metrics.record_event(change)
+            is_leaving = change is StatementChange.LEAVING
             log_event(
                 change,
                 life=incarnation,
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from cloverway.core.prediction import Candidate, RoutedCall
-from cloverway.core.quarantine import Level, Quarantine
+from cloverway.core.quarantine import Quarantine, SuspicionLevel
 from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 from cloverway.serving.hosts.broadcast import UpdateBatch
 from cloverway.serving.hosts.messages import CODEC, SuspectReport, SuspectSend
@@ -43,7 +43,7 @@
     ) -> None:
         """Record that a request is sent to an endpoint."""
         level = self._quarantine.get_level(routed.digest, now)
-        if level is Level.NONE:
+        if level is SuspicionLevel.NONE:
             return
         self._own[number] = SuspectRun(routed.digest, incarnation, level, until)
         self._publish_own()
@@ -63,7 +63,7 @@
 
     def receive(self, report: SuspectReport, is_remote: bool, now: float) -> None:
         """Apply the list of suspects in progress at another host."""
-        self._runs.note(report.host, (_decode_run(run, now) for run in report.runs))
+        self._runs.record(report.host, (_decode_run(run, now) for run in report.runs))
 
     def take_pending(self, now: float) -> UpdateBatch:
         """Return all suspects in progress here if they have changed."""
@@ -79,7 +79,7 @@
         return self.list_for_rebroadcast(now)
 
     def _publish_own(self) -> None:
-        self._runs.note(self._own_name, self._own.values())
+        self._runs.record(self._own_name, self._own.values())
         self._has_changed = True
         self.schedule_broadcast(0.0)
 
@@ -95,5 +95,5 @@
 
 
 def _decode_run(send: SuspectSend, now: float) -> SuspectRun:
-    level = Level(min(max(send.level, Level.NONE), Level.ALONE))
+    level = SuspicionLevel(min(max(send.level, SuspicionLevel.NONE), SuspicionLevel.ISOLATED))
     return SuspectRun(send.digest, send.life, level, now + send.left_ms / 1000)
--- a/cloverway/serving/http/client.py
+++ b/cloverway/serving/http/client.py
@@ -103,14 +103,14 @@
 
     async def read_body(self, limit: int) -> bytes:
         """Return the rest of the body; raise ResponseError, also if it is over the limit."""
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
-        while part := await self.read_chunk():
-            parts.append(part)
-            size += len(part)
+        while chunk := await self.read_chunk():
+            chunks.append(chunk)
+            size += len(chunk)
             if size > limit:
                 raise ResponseTooLargeError("the response is over the size limit")
-        return b"".join(parts)
+        return b"".join(chunks)
 
     @property
     def is_reusable(self) -> bool:
--- a/cloverway/serving/http/server.py
+++ b/cloverway/serving/http/server.py
@@ -119,9 +119,9 @@
 class Server:
     """Accepts connections at one address and answers the requests of each one in order."""
 
-    def __init__(self, handler: Handler, terms: ServerOptions) -> None:
+    def __init__(self, handler: Handler, options: ServerOptions) -> None:
         self._handler = handler
-        self._options = terms
+        self._options = options
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle: dict[Connection, float] = {}
@@ -219,16 +219,16 @@
 
     async def _read_body(self, connection: Connection, http: h11.Connection) -> bytes:
         limit = self._options.get_limits().body_bytes
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 while True:
                     event = _next_event(http)
                     if isinstance(event, h11.EndOfMessage):
-                        return b"".join(parts)
+                        return b"".join(chunks)
                     if isinstance(event, h11.Data):
-                        parts.append(bytes(event.data))
+                        chunks.append(bytes(event.data))
                         size += len(event.data)
                         if size > limit:
                             raise BadRequestError(413, "the body is over the size limit")
--- a/cloverway/serving/http/transport.py
+++ b/cloverway/serving/http/transport.py
@@ -34,8 +34,8 @@
         is_short_lived: bool = False,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self._on_made = on_connected
-        self._is_brief = is_short_lived
+        self._on_connected = on_connected
+        self._is_short_lived = is_short_lived
         self._received = bytearray()
         self._eof = False
         self._error: Exception | None = None
@@ -51,10 +51,10 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
-        if not self._is_brief:
+        if not self._is_short_lived:
             _enable_liveness_checks(transport.get_extra_info("socket"))
-        if self._on_made is not None:
-            self._on_made(self)
+        if self._on_connected is not None:
+            self._on_connected(self)
 
     def data_received(self, data: bytes) -> None:
         """Buffer bytes until they are read."""
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -101,7 +101,7 @@
         """Return the body of the response to a lookup."""
         ...
 
-    def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
+    def encode_endpoint_headers(self, call: Call, options: SendOptions) -> list[Header]:
         """Return the headers of a request to an endpoint."""
         ...
 
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -45,16 +45,16 @@
 MIN_FAILURE_STATUS = 500
 """Responses with this status or above count as a failure of the endpoint; a request that may be
 repeated is retried on another endpoint."""
-PASSED_ON_HEADER = b"cloverway-passed-on"
+FORWARDING_HEADER = b"cloverway-passed-on"
 """Header of a request from another host: configuration version, service and region of that host."""
 RAN_HEADER = b"cloverway-ran"
 """Header of a refusal between hosts: whether the request ran, as far as the refusing host knows."""
 KIND_HEADER = b"cloverway-kind"
 """Header of a refusal between hosts: the error kind, a value of `Kind`."""
-ENDED_HEADER = b"cloverway-ended"
+CRASHED_HEADER = b"cloverway-ended"
 """Header of a refusal between hosts: comma-separated incarnations of the endpoints that crashed
 while they ran the request."""
-ARRIVALS_HEADER = b"cloverway-arrivals"
+ENDPOINT_SENDS_HEADER = b"cloverway-arrivals"
 """Header of a refusal between hosts: how many times the request was written to an endpoint. Only
 those sends count against the retry budget."""
 
@@ -93,7 +93,7 @@
 class Answered(NamedTuple):
     """An attempt that received at least the head of a response."""
 
-    sending: ClientExchange
+    client_exchange: ClientExchange
     head: ResponseHead
     body: bytes | None
     """The complete body; None for a stream."""
@@ -137,7 +137,7 @@
         timeout_s = CONNECT_TIMEOUT_S if target.peer is None else REMOTE_CONNECT_TIMEOUT_S
         pool = self._context.pool
         try:
-            connection = await pool.acquire(target.place, timeout_s)
+            connection = await pool.acquire(target.destination, timeout_s)
         except ConnectError as error:
             is_down = error.connection_refused and target.candidate is not None
             return Declined(f"no connection: {error}", reached_endpoint=False, is_down=is_down)
@@ -149,20 +149,20 @@
         if request is None:
             connection.abort()
             return Declined("no time is left", is_target_fault=False, reached_endpoint=False)
-        sending = ClientExchange(connection, request, self._routed.call.body)
-        kept = False
+        client_exchange = ClientExchange(connection, request, self._routed.call.body)
+        is_streaming = False
         try:
             sent_at = read_clock()
             self._on_written()
-            sending.write()
-            outcome = await self._read_answer(sending, sent_at)
-            kept = isinstance(outcome, Answered) and outcome.body is None
+            client_exchange.write()
+            outcome = await self._read_answer(client_exchange, sent_at)
+            is_streaming = isinstance(outcome, Answered) and outcome.body is None
             return outcome
         except ResponseError as error:
             return Broken(str(error), is_disconnect=not isinstance(error, IdleTimeoutError))
         finally:
-            if not kept:
-                pool.release(target.place, sending, get_idle_timeout_s(target))
+            if not is_streaming:
+                pool.release(target.destination, client_exchange, get_idle_timeout_s(target))
 
     def _find_veto(self) -> str | None:
         """Return why the endpoint must not get the request any more, or None.
@@ -202,48 +202,48 @@
         else:
             resumed = call._replace(last_event_id=self._options.last_event_id)
             headers = dialect.encode_peer_headers(resumed, left_s)
-            headers.append((PASSED_ON_HEADER, self._encode_passed_on()))
+            headers.append((FORWARDING_HEADER, self._encode_forwarding()))
         return make_request(call.method, call.target, headers, call.body)
 
-    def _encode_passed_on(self) -> bytes:
+    def _encode_forwarding(self) -> bytes:
         version = self._context.get_configuration().version
         region = self._context.settings.region
         return f"{version};{self._routed.service.name};{region}".encode()
 
-    async def _read_answer(self, sending: ClientExchange, sent_at: float) -> Outcome:
+    async def _read_answer(self, client_exchange: ClientExchange, sent_at: float) -> Outcome:
         dialect = self._context.dialect
         target = self._target
         call, route = self._routed.call, self._routed.route
         async with limit_idle_time(self._options.first_byte_timeout_s):
-            head = await sending.read_head(lambda head: dialect.is_answer_to(head, call))
+            head = await client_exchange.read_head(lambda head: dialect.is_answer_to(head, call))
         facts = dialect.decode_reply(head)
         ran = head.get(RAN_HEADER) if target.peer is not None else None
         if ran is not None:
-            await sending.read_body(MAX_REFUSAL_BYTES)
+            await client_exchange.read_body(MAX_REFUSAL_BYTES)
             return self._read_refusal(head, ran, sent_at)
-        self._note_statement(facts, sent_at)
+        self._record_statement(facts, sent_at)
         if facts.is_misdirected and target.candidate is not None:
             target.candidate.endpoint.misdirected_at = read_clock()
         if facts.not_run:
-            await sending.read_body(MAX_REFUSAL_BYTES)
+            await client_exchange.read_body(MAX_REFUSAL_BYTES)
             why = f"the endpoint did not run it: {head.status}"
             return Declined(why, is_target_fault=False)
         if not facts.is_signed:
             return Broken(f"an answer {head.status} without a signature")
         if route.kind is CallKind.STREAM and head.status < 300:
-            return Answered(sending, head, None)
-        body = await sending.read_body(MAX_BODY_BYTES)
+            return Answered(client_exchange, head, None)
+        body = await client_exchange.read_body(MAX_BODY_BYTES)
         if target.candidate is not None and head.status < MIN_FAILURE_STATUS:
-            target.candidate.endpoint.load.note_service_time(read_clock() - sent_at)
-        return Answered(sending, head, body)
+            target.candidate.endpoint.load.record_service_time(read_clock() - sent_at)
+        return Answered(client_exchange, head, body)
 
-    def _note_statement(self, facts: ReplyFacts, sent_at: float) -> None:
+    def _record_statement(self, facts: ReplyFacts, sent_at: float) -> None:
         """Record what an endpoint states about itself in a response."""
         target, now = self._target, read_clock()
         if target.candidate is None or facts.is_misdirected:
             return
         call_id = self._routed.call.id
-        self._context.statements.note_answer(
+        self._context.statements.record_answer(
             target.name, facts, request_id=call_id, sent_at=sent_at, now=now
         )
 
@@ -252,11 +252,11 @@
         target = self._target
         why = f"host {target.name} could not serve it: {head.status}"
         if ran != b"no":
-            crashed = (head.get(ENDED_HEADER) or b"").decode("latin-1")
+            crashed = (head.get(CRASHED_HEADER) or b"").decode("latin-1")
             return Broken(
                 why, is_target_fault=False, crashed=tuple(filter(None, crashed.split(",")))
             )
-        reached_endpoint = head.get(ARRIVALS_HEADER) != b"0"
+        reached_endpoint = head.get(ENDPOINT_SENDS_HEADER) != b"0"
         if head.get(KIND_HEADER) == Kind.QUARANTINED.encode():
             # This doesn't change the capacity of its region for other requests.
             return Declined(
@@ -284,7 +284,7 @@
     return PEER_IDLE_TIMEOUT_S if target.peer is not None else None
 
 
-def decode_passed_on(value: bytes) -> ForwardingContext | None:
+def decode_forwarding(value: bytes) -> ForwardingContext | None:
     """Decode the PASSED_ON_HEADER of a request; return None when it is malformed."""
     parts = value.decode("latin-1").split(";")
     if len(parts) != 3 or not parts[0].isdigit():
--- a/cloverway/serving/requests/crash_tracker.py
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -46,27 +46,27 @@
             return True
         return await self._context.incarnations.may_send(target.candidate.endpoint, self._digest)
 
-    def note_sent(self, target: Target, now: float) -> None:
+    def record_sent(self, target: Target, now: float) -> None:
         """Record that an attempt begins."""
         self._pending_target = target
         self._sent_at = now
 
-    def note_failed(self) -> None:
+    def record_failed(self) -> None:
         """Record that the attempt failed, so that no response is awaited any more."""
         self._pending_target = None
 
-    def note_broken(self, target: Target, outcome: Broken, now: float) -> None:
+    def record_broken(self, target: Target, outcome: Broken, now: float) -> None:
         """Record the crashes implied by an attempt that may have run."""
         if outcome.is_disconnect:
-            self._note_crash(target, now)
+            self._record_crash(target, now)
         elif _is_stalled(target, now):
-            self._note_crash(target, self._last_activity_at)
+            self._record_crash(target, self._last_activity_at)
         for incarnation in outcome.crashed:
             # Not broadcast: the host that saw the crash does that. Its response arrives here
             # before its broadcast.
-            self._context.quarantine.note_crash(Crash(incarnation, (self._digest,), now))
+            self._context.quarantine.record_crash(Crash(incarnation, (self._digest,), now))
 
-    def note_completed(self, target: Target, answered: Answered) -> None:
+    def record_completed(self, target: Target, answered: Answered) -> None:
         """Record that the request got a complete response, so that it causes no crashes."""
         self._pending_target = None
         self._context.crashes.report_served(self._digest)
@@ -75,10 +75,10 @@
             # opened. The directory entry alone doesn't tell which that is: a restarted endpoint
             # whose entry still names its previous incarnation would clear the crash of that one.
             incarnation = target.candidate.endpoint.entry.incarnation
-            opened_at = answered.sending.connection.opened_at
-            self._context.quarantine.note_alive(incarnation, opened_at, read_clock())
+            opened_at = answered.client_exchange.connection.opened_at
+            self._context.quarantine.record_alive(incarnation, opened_at, read_clock())
 
-    def note_abandoned(self, now: float) -> Target | None:
+    def record_abandoned(self, now: float) -> Target | None:
         """Treat the endpoint as crashed if it was silent when the request was abandoned; return it.
 
         An endpoint that loses power while it runs the request doesn't close the connection.
@@ -87,7 +87,7 @@
         is_silent = now - self._last_activity_at >= STALLED_AFTER_S
         if target is None or not is_silent or not _is_stalled(target, now):
             return None
-        self._note_crash(target, self._last_activity_at)
+        self._record_crash(target, self._last_activity_at)
         return target
 
     @property
@@ -95,7 +95,7 @@
         """When the last attempt began, or when data of its response last arrived."""
         return max(self._sent_at, self._timing.last_at)
 
-    def _note_crash(self, target: Target, at: float) -> None:
+    def _record_crash(self, target: Target, at: float) -> None:
         if target.candidate is not None:
             incarnation = target.candidate.endpoint.entry.incarnation
             self.crashed.append(incarnation)
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -71,18 +71,18 @@
 
     async def run(self) -> None:
         """Run the request to the end of its response; raise RequestError."""
-        if self.call.passed_on is None:
-            self.context.get_budget(self.service.name).note_request(self.call.arrived_at)
+        if self.call.forwarding is None:
+            self.context.get_budget(self.service.name).record_request(self.call.arrived_at)
         left_s = self.expires_at - read_clock()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
                 await self._run_attempts()
         except TimeoutError:
-            self._note_abandoned()
+            self._record_abandoned()
             error = RequestError(Kind.TIMED_OUT, "the time of the route is over", ran=self.ran)
             self._fail(error)
         except asyncio.CancelledError:
-            self._note_abandoned()
+            self._record_abandoned()
             self._log_end(RequestError(Kind.CALLER_LEFT, "the caller left", ran=self.ran), 0)
             raise
 
@@ -95,7 +95,7 @@
                 if await self._relay(target, outcome):
                     return
                 continue
-            self._note_failure(target, outcome)
+            self._record_failure(target, outcome)
             if isinstance(outcome, Broken):
                 self._check_repeatable(outcome.reason)
             elif outcome.is_quarantined:
@@ -117,7 +117,7 @@
             self.tried[target.name] += 1
 
     def _get_service(self) -> Service:
-        origin = self.call.passed_on
+        origin = self.call.forwarding
         name = origin.service if origin is not None else self.route.pick_service(random.random())
         configuration = self.context.get_configuration()
         allowed = {share.service for share in self.route.services}
@@ -132,11 +132,11 @@
 
     async def _send(self, target: Target) -> Outcome:
         now = self.sent_at = read_clock()
-        self.crash_tracker.note_sent(target, now)
+        self.crash_tracker.record_sent(target, now)
         self.sends += 1
         self._log_sent(target, now)
         attempt = Attempt(
-            self.context, self.routed, target, self._make_options(), self._note_written
+            self.context, self.routed, target, self._make_options(), self._record_written
         )
         ran_before = self.ran
         outcome: Outcome = Broken("cancelled")
@@ -152,7 +152,7 @@
             if not isinstance(outcome, Answered) or outcome.body is not None:
                 self.context.target_selector.release(target)
             label = type(outcome).__name__.lower()
-            self.context.metrics.note_attempt(self.service.name, label)
+            self.context.metrics.record_attempt(self.service.name, label)
 
     def _make_options(self) -> AttemptOptions:
         first_byte_timeout_s = None
@@ -160,7 +160,7 @@
             first_byte_timeout_s = FIRST_BYTE_TIMEOUT_OBJECTIVES * self.route.objective_s
         return AttemptOptions(self.expires_at, self.relay.last_id, first_byte_timeout_s)
 
-    def _note_written(self) -> None:
+    def _record_written(self) -> None:
         """Record that the request may run from now on.
 
         Otherwise, if the route's timeout expired before the response, the refusal would say "not
@@ -178,8 +178,8 @@
 
     async def _relay_complete(self, target: Target, answered: Answered, body: bytes) -> bool:
         failed = answered.head.status >= MIN_FAILURE_STATUS
-        self._note_result(target, failed)
-        self.crash_tracker.note_completed(target, answered)
+        self._record_result(target, failed)
+        self.crash_tracker.record_completed(target, answered)
         self.ran = Ran.YES
         if self.exchange.started:
             # A stream whose head was sent can't get another one, so it is ended as truncated.
@@ -188,13 +188,13 @@
         if failed and self._may_repeat(self.runs) and self._has_alternative(target):
             return False
         headers = list_end_to_end_headers(answered.head)
-        self.relay.timing.note(read_clock())
+        self.relay.timing.record(read_clock())
         await self.exchange.answer(answered.head.status, headers, body)
         self._log_end(None, answered.head.status)
         return True
 
     async def _relay_stream(self, target: Target, answered: Answered) -> bool:
-        sending = answered.sending
+        client_exchange = answered.client_exchange
         self.ran = Ran.YES
         try:
             # This attempt is already counted in `runs`: can there be another one after it?
@@ -205,30 +205,32 @@
             is_disconnect = isinstance(error, ResponseError) and not isinstance(
                 error, IdleTimeoutError
             )
-            self._note_failure(target, Broken(str(error), is_disconnect=is_disconnect))
+            self._record_failure(target, Broken(str(error), is_disconnect=is_disconnect))
             self._check_repeatable(str(error))
             return False
         finally:
             self.context.target_selector.release(target)
-            self.context.pool.release(target.place, sending, get_idle_timeout_s(target))
-        self._note_result(target, False)
-        self.crash_tracker.note_completed(target, answered)
-        self._note_gaps(target)
+            self.context.pool.release(
+                target.destination, client_exchange, get_idle_timeout_s(target)
+            )
+        self._record_result(target, False)
+        self.crash_tracker.record_completed(target, answered)
+        self._record_gaps(target)
         self._log_end(None, answered.head.status)
         return True
 
     # Failures
 
-    def _note_failure(self, target: Target, outcome: Declined | Broken) -> None:
+    def _record_failure(self, target: Target, outcome: Declined | Broken) -> None:
         now = read_clock()
-        self.crash_tracker.note_failed()
+        self.crash_tracker.record_failed()
         self._log_failure(target, outcome, now)
         if isinstance(outcome, Broken):
-            self.crash_tracker.note_broken(target, outcome, now)
+            self.crash_tracker.record_broken(target, outcome, now)
         elif outcome.is_down and target.candidate is not None:
             # Nothing was sent. When it listens again, it may be used like a new endpoint.
             target.candidate.endpoint.refused_at = now
-            self._blame_endpoint(target, now)
+            self._record_endpoint_failure(target, now)
             return
         if target.peer is not None:
             self.tried[target.region] += 1
@@ -239,40 +241,40 @@
             return
         if target.peer is not None:
             target.peer.backoff_until = now + PEER_RETRY_DELAY_S
-        self._blame_endpoint(target, now)
+        self._record_endpoint_failure(target, now)
 
-    def _blame_endpoint(self, target: Target, now: float) -> None:
+    def _record_endpoint_failure(self, target: Target, now: float) -> None:
         if target.candidate is not None:
-            target.candidate.endpoint.load.note_failure(now)
-            self.context.pool.close_idle(target.place)
+            target.candidate.endpoint.load.record_failure(now)
+            self.context.pool.close_idle(target.destination)
 
-    def _note_result(self, target: Target, failed: bool) -> None:
+    def _record_result(self, target: Target, failed: bool) -> None:
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
         now = read_clock()
         baseline = self.context.failure_baseline
         if failed:
-            load.note_failure(now, baseline.weigh(self.route.name))
+            load.record_failure(now, baseline.weigh(self.route.name))
         else:
-            load.note_success(now)
-        baseline.note(self.route.name, failed)
+            load.record_success(now)
+        baseline.record(self.route.name, failed)
 
-    def _note_gaps(self, target: Target) -> None:
+    def _record_gaps(self, target: Target) -> None:
         objective_s = self.route.gap_objective_s
         if target.candidate is not None and objective_s:
             isolation = self.context.target_selector.get_isolation(self.service.name)
-            isolation.note_answer(self.relay.timing.longest_gap_s, objective_s, read_clock())
+            isolation.record_answer(self.relay.timing.longest_gap_s, objective_s, read_clock())
 
-    def _note_abandoned(self) -> None:
+    def _record_abandoned(self) -> None:
         now = read_clock()
-        silent = self.crash_tracker.note_abandoned(now)
-        if silent is not None:
-            self._blame_endpoint(silent, now)
+        stalled_target = self.crash_tracker.record_abandoned(now)
+        if stalled_target is not None:
+            self._record_endpoint_failure(stalled_target, now)
 
     def _may_repeat(self, runs: int) -> bool:
         """Return whether the request may be run again after `runs` runs."""
-        attempts = self.route.attempts if self.call.passed_on is None else 1
+        attempts = self.route.attempts if self.call.forwarding is None else 1
         return self.route.repeatable and runs < attempts
 
     def _has_alternative(self, target: Target) -> bool:
@@ -354,6 +356,6 @@
             total_s=round(total_s, 3),
         )
         kind = error.kind if error is not None else None
-        self.context.metrics.note_request(
+        self.context.metrics.record_request(
             self.route.name, kind, first_s, total_s, timing.longest_gap_s
         )
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -9,12 +9,12 @@
 from cloverway.serving.context import Context
 from cloverway.serving.http.server import Exchange
 from cloverway.serving.requests.attempt import (
-    ARRIVALS_HEADER,
-    ENDED_HEADER,
+    CRASHED_HEADER,
+    ENDPOINT_SENDS_HEADER,
+    FORWARDING_HEADER,
     KIND_HEADER,
-    PASSED_ON_HEADER,
     RAN_HEADER,
-    decode_passed_on,
+    decode_forwarding,
 )
 from cloverway.serving.requests.execution import RequestExecution
 from cloverway.serving.telemetry import format_digest, log_event
@@ -30,24 +30,24 @@
         """Run a caller's request."""
         await self._run(exchange, None)
 
-    async def handle_passed_on(self, exchange: Exchange) -> None:
+    async def handle_forwarded(self, exchange: Exchange) -> None:
         """Run a request that another host passed on, without passing it on again."""
-        values = [value for name, value in exchange.headers if name == PASSED_ON_HEADER]
-        origin = decode_passed_on(values[0]) if len(values) == 1 else None
+        values = [value for name, value in exchange.headers if name == FORWARDING_HEADER]
+        origin = decode_forwarding(values[0]) if len(values) == 1 else None
         if origin is None:
             error = RequestError(
                 Kind.MALFORMED, "the header cloverway-passed-on is missing, repeated or malformed"
             )
             await self._refuse(exchange, None, error)
             return
-        exchange.headers = [item for item in exchange.headers if item[0] != PASSED_ON_HEADER]
+        exchange.headers = [item for item in exchange.headers if item[0] != FORWARDING_HEADER]
         await self._run(exchange, origin)
 
     async def _run(self, exchange: Exchange, origin: ForwardingContext | None) -> None:
         call: Call | None = None
         execution: RequestExecution | None = None
         try:
-            call = self._context.dialect.decode_call(exchange)._replace(passed_on=origin)
+            call = self._context.dialect.decode_call(exchange)._replace(forwarding=origin)
             await self._context.wait_for_start()
             route = self._find_route(call)
             execution = RequestExecution(self._context, exchange, call, route)
@@ -59,7 +59,7 @@
         configuration = self._context.directory.configuration
         if configuration is None:
             raise RequestError(Kind.STARTING, "no configuration is known yet")
-        if call.passed_on is not None and call.passed_on.version > configuration.version:
+        if call.forwarding is not None and call.forwarding.version > configuration.version:
             raise RequestError(
                 Kind.STARTING,
                 "this host's configuration is older than that of the host that passed it on",
@@ -83,13 +83,13 @@
             (RAN_HEADER, str(error.ran).encode()),
             (KIND_HEADER, str(error.kind).encode()),
             (
-                ARRIVALS_HEADER,
+                ENDPOINT_SENDS_HEADER,
                 str(execution.endpoint_sends if execution is not None else 0).encode(),
             ),
         ]
         if execution is not None and execution.crash_tracker.crashed:
             headers.append(
-                (ENDED_HEADER, ",".join(execution.crash_tracker.crashed).encode("latin-1"))
+                (CRASHED_HEADER, ",".join(execution.crash_tracker.crashed).encode("latin-1"))
             )
         log_event(
             "refused",
@@ -103,7 +103,7 @@
             target=exchange.target[:200],
         )
         total_s = read_clock() - exchange.arrived_at
-        self._context.metrics.note_request("", error.kind, None, total_s, 0.0)
+        self._context.metrics.record_request("", error.kind, None, total_s, 0.0)
         if exchange.started:
             exchange.abort()
             return
--- a/cloverway/serving/requests/incarnations.py
+++ b/cloverway/serving/requests/incarnations.py
@@ -84,7 +84,7 @@
         try:
             facts = await self._fetch_facts(endpoint)
             started_ms = facts.started_ms
-            status = self._note_facts(endpoint, facts)
+            status = self._record_facts(endpoint, facts)
         except ConnectError as error:
             why = str(error)
             status = (
@@ -96,8 +96,8 @@
         if status is IncarnationStatus.GONE:
             endpoint.refused_at = now
         elif status is IncarnationStatus.SILENT:
-            endpoint.load.note_failure(now)
-        self._metrics.note_event(f"life_{status.value}")
+            endpoint.load.record_failure(now)
+        self._metrics.record_event(f"life_{status.value}")
         log_event(
             "life_asked",
             life=endpoint.entry.incarnation,
@@ -117,7 +117,7 @@
         )
         return self._dialect.decode_incarnation(head, body)
 
-    def _note_facts(self, endpoint: Endpoint, facts: IncarnationFacts) -> IncarnationStatus:
+    def _record_facts(self, endpoint: Endpoint, facts: IncarnationFacts) -> IncarnationStatus:
         """Apply what an endpoint states about itself."""
         entry, now = endpoint.entry, read_clock()
         if facts.is_misdirected:
@@ -131,5 +131,5 @@
         if facts.started_ms < entry.started_ms:
             # The previous incarnation answered; that doesn't tell whether this one is running.
             return IncarnationStatus.UNKNOWN
-        self._quarantine.note_confirmed_alive(entry.incarnation, now)
+        self._quarantine.record_confirmed_alive(entry.incarnation, now)
         return IncarnationStatus.SAME
--- a/cloverway/serving/requests/placement.py
+++ b/cloverway/serving/requests/placement.py
@@ -19,7 +19,7 @@
 MIN_WAIT_FRACTION = 0.1
 """Minimum queueing time, as a fraction of the objective, however late the request is: it applies
 after an attempt that did not run."""
-PASSED_ON_WAIT_FRACTION = 0.3
+FORWARDED_WAIT_FRACTION = 0.3
 """Queueing time of a request from another host, as a fraction of the objective: that host may have
 other targets for it."""
 RETRY_AFTER_FRACTIONS = (0.2, 0.6)
@@ -56,7 +56,7 @@
         target = queue.try_acquire(ticket, self._take, now)
         if target is not None:
             return target
-        expected_s = target_selector.estimate_start(
+        expected_s = target_selector.estimate_start_delay(
             self._routed, queue.sum_work_ahead(ticket, now), now
         )
         queue_timeout_s = self._compute_queue_timeout(now)
@@ -75,25 +75,25 @@
 
     def _make_ticket(self) -> QueueTicket:
         call, route = self._routed.call, self._routed.route
-        read_s = estimate_prefill_s(self._routed)
-        latest_start_at = call.arrived_at + route.objective_s - read_s
-        return QueueTicket(QueueRank(route.priority, call.arrived_at), read_s, latest_start_at)
+        prefill_s = estimate_prefill_s(self._routed)
+        latest_start_at = call.arrived_at + route.objective_s - prefill_s
+        return QueueTicket(QueueRank(route.priority, call.arrived_at), prefill_s, latest_start_at)
 
     def _compute_queue_timeout(self, now: float) -> float:
         """Return how long the request may be queued, in seconds."""
         call, objective_s = self._routed.call, self._routed.route.objective_s
-        if call.passed_on is not None:
-            return PASSED_ON_WAIT_FRACTION * objective_s
-        may_wait_s = QUEUE_WAIT_FRACTION * (self._expires_at - call.arrived_at)
+        if call.forwarding is not None:
+            return FORWARDED_WAIT_FRACTION * objective_s
+        max_wait_s = QUEUE_WAIT_FRACTION * (self._expires_at - call.arrived_at)
         waited_s = now - call.arrived_at
-        return max(MIN_WAIT_FRACTION * objective_s, may_wait_s - waited_s)
+        return max(MIN_WAIT_FRACTION * objective_s, max_wait_s - waited_s)
 
     def _refuse(self, why: str, ran: Ran, excess_s: float = 0.0) -> RequestError:
         """Return the refusal; `excess_s` is the expected queueing time beyond the queue timeout."""
         if ran is not Ran.NO:
             return RequestError(Kind.ENDPOINT_FAILED, why, ran=ran)
-        part_s = random.uniform(*RETRY_AFTER_FRACTIONS) * self._routed.route.objective_s
-        retry_s = max(MIN_RETRY_AFTER_S, part_s, min(excess_s, MAX_RETRY_AFTER_S))
+        base_s = random.uniform(*RETRY_AFTER_FRACTIONS) * self._routed.route.objective_s
+        retry_s = max(MIN_RETRY_AFTER_S, base_s, min(excess_s, MAX_RETRY_AFTER_S))
         return RequestError(Kind.NO_CAPACITY, why, ran=Ran.NO, retry_after=retry_s)
 
     def _spend_retry_budget(self, now: float) -> bool:
--- a/cloverway/serving/requests/request_queue.py
+++ b/cloverway/serving/requests/request_queue.py
@@ -124,8 +124,8 @@
         turns = {MAX_HEAD_POLLED + (self._turn + step) % behind for step in range(MAX_TAIL_POLLED)}
         self._turn += MAX_TAIL_POLLED
         ahead_s = 0.0
-        for place, waiter in enumerate(ordered):
-            is_tried = place < MAX_HEAD_POLLED or place in turns
+        for position, waiter in enumerate(ordered):
+            is_tried = position < MAX_HEAD_POLLED or position in turns
             granted = waiter.acquire(ahead_s) if is_tried else None
             if granted is not None:
                 self._waiters.remove(waiter)
--- a/cloverway/serving/requests/streaming.py
+++ b/cloverway/serving/requests/streaming.py
@@ -28,7 +28,7 @@
         self.longest_gap_s = 0.0
         self.last_at = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Record the arrival of a part of the response."""
         if self.first_at is None:
             self.first_at = now
@@ -64,12 +64,12 @@
         gap_s = max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_OBJECTIVES * self._routed.route.gap_objective_s)
         timeout_s = gap_s if is_resumable else None
         waiting_since: float | None = None
-        while part := await self._read(answered.sending, timeout_s):
-            events = self._events.split(part)
+        while chunk := await self._read(answered.client_exchange, timeout_s):
+            events = self._events.split(chunk)
             if not events:
                 continue
             now = read_clock()
-            self._note_events(target, len(events), waiting_since, now)
+            self._record_events(target, len(events), waiting_since, now)
             self._start(answered.head)
             await self._exchange.send(b"".join(events))
             waiting_since = read_clock()
@@ -79,29 +79,29 @@
             await self._exchange.send(rest)
         self._exchange.finish()
 
-    async def _read(self, sending: ClientExchange, timeout_s: float | None) -> bytes:
+    async def _read(self, client_exchange: ClientExchange, timeout_s: float | None) -> bytes:
         async with limit_idle_time(timeout_s):
-            return await sending.read_chunk()
+            return await client_exchange.read_chunk()
 
     def _start(self, head: ResponseHead) -> None:
         if not self._exchange.started:
             self._exchange.start(head.status, list_end_to_end_headers(head))
 
-    def _note_events(
+    def _record_events(
         self, target: Target, events: int, waiting_since: float | None, now: float
     ) -> None:
-        self.timing.note(now)
+        self.timing.record(now)
         if target.candidate is None:
             return
         load = target.candidate.endpoint.load
-        load.note_first_event(target.number, now)
+        load.record_first_event(target.number, now)
         if waiting_since is not None:
             # Time spent on a slow caller or on changing endpoints isn't a gap of this engine.
-            load.note_gap(self._make_gap(now - waiting_since, events), now)
+            load.record_gap(self._make_gap(now - waiting_since, events), now)
 
     def _make_gap(self, seconds: float, events: int) -> TokenGap:
-        shape = self._routed.service.engine
-        tokens = events * shape.tokens_per_event if shape is not None else 0
+        spec = self._routed.service.engine
+        tokens = events * spec.tokens_per_event if spec is not None else 0
         return TokenGap(
             seconds, self._routed.route.gap_objective_s or DEFAULT_GAP_OBJECTIVE_S, tokens
         )
--- a/cloverway/serving/requests/target_selector.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -11,7 +11,7 @@
 from cloverway.core.deployment import Service
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.isolation import LargePromptIsolation, apply_isolation
-from cloverway.core.kv_fetch import FetchSource, find_source
+from cloverway.core.kv_fetch import FetchSource, find_fetch_source
 from cloverway.core.members import AdvertisedCapacity, Members, Peer
 from cloverway.core.prediction import (
     Candidate,
@@ -26,9 +26,9 @@
 from cloverway.core.selection import (
     choose_endpoint,
     choose_region,
-    estimate_start,
-    estimate_wait,
-    extrapolate_offer,
+    estimate_queueing_cost,
+    estimate_start_delay,
+    extrapolate_capacity,
 )
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.suspects import SuspectTracker
@@ -75,7 +75,7 @@
         return source.entry.address if source is not None else ""
 
     @property
-    def place(self) -> Destination:
+    def destination(self) -> Destination:
         """The address and endpoint that a connection for the request leads to."""
         return Destination(self.address, self.name if self.candidate is not None else "")
 
@@ -119,18 +119,20 @@
         """
         candidates = self.list_candidates(routed, now)
         local = choose_endpoint(candidates)
-        if routed.call.passed_on is None:
+        if routed.call.forwarding is None:
             remote_regions = self._list_remote_regions(routed, now)
-            local_cost_s = local.cost_s if local is not None else estimate_wait(candidates, ahead_s)
+            local_cost_s = (
+                local.cost_s if local is not None else estimate_queueing_cost(candidates, ahead_s)
+            )
             remote = choose_region(local_cost_s, remote_regions, REMOTE_REGION_MARGIN_S)
             peer = self._choose_peer(routed, remote.region, now) if remote is not None else None
             if peer is not None:
                 return self._take_remote(peer, routed.service)
         return self._take_local(routed, local, now) if local is not None else None
 
-    def estimate_start(self, routed: RoutedCall, ahead_s: float, now: float) -> float | None:
+    def estimate_start_delay(self, routed: RoutedCall, ahead_s: float, now: float) -> float | None:
         """Estimate the seconds until a request behind others can start here; None if unknown."""
-        return estimate_start(self.list_candidates(routed, now), ahead_s)
+        return estimate_start_delay(self.list_candidates(routed, now), ahead_s)
 
     def release(self, target: Target) -> None:
         """Release a reserved target."""
@@ -170,7 +172,7 @@
         """
         if self.list_candidates(routed, now):
             return True
-        return routed.call.passed_on is None and bool(self._list_remote_regions(routed, now))
+        return routed.call.forwarding is None and bool(self._list_remote_regions(routed, now))
 
     def list_candidates(self, routed: RoutedCall, now: float) -> Sequence[Candidate]:
         """List the endpoints of this region that may run a request, with their predictions."""
@@ -187,7 +189,7 @@
             for endpoint in self._directory.list_usable(routed.service.name, now)
             if endpoint.region == region
         ]
-        source = _find_source(routed, local_endpoints, now)
+        source = _find_fetch_source(routed, local_endpoints, now)
         predicted = (
             predict(routed, endpoint, sender=sender, now=now, source=source)
             for endpoint in local_endpoints
@@ -264,7 +266,7 @@
         number = next(self._numbers)
         endpoint.load.begin(number, local.work, routed.call.prompt, now)
         if local.work.prefill_tokens:
-            self.get_isolation(routed.service.name).note_prompt(routed, local, now)
+            self.get_isolation(routed.service.name).record_prompt(routed, local, now)
         if local.work.prefill_tokens >= MIN_BROADCAST_TOKENS:
             self.on_large_prompt()
         if endpoint.is_cold(now):
@@ -321,7 +323,7 @@
             if region not in latest or peer.advertised_at > latest[region].advertised_at:
                 latest[region] = peer
         return {
-            region: extrapolate_offer(peer.advertised[service], now - peer.advertised_at)
+            region: extrapolate_capacity(peer.advertised[service], now - peer.advertised_at)
             for region, peer in latest.items()
         }
 
@@ -331,9 +333,11 @@
         return random.choice(peers) if peers else None
 
 
-def _find_source(routed: RoutedCall, endpoints: list[Endpoint], now: float) -> FetchSource | None:
+def _find_fetch_source(
+    routed: RoutedCall, endpoints: list[Endpoint], now: float
+) -> FetchSource | None:
     """Find the endpoint that others may fetch the KV cache of a prompt's prefix from."""
-    prompt, shape = routed.call.prompt, routed.service.engine
-    if prompt is None or shape is None or not shape.can_fetch:
+    prompt, spec = routed.call.prompt, routed.service.engine
+    if prompt is None or spec is None or not spec.can_fetch:
         return None
-    return find_source(prompt, endpoints, now)
+    return find_fetch_source(prompt, endpoints, now)
--- a/cloverway/serving/settings.py
+++ b/cloverway/serving/settings.py
@@ -10,11 +10,11 @@
 from cloverway.addresses import check_address
 from cloverway.config.findings import Findings, read_toml
 from cloverway.config.table_checks import Check, check_table
-from cloverway.core.cold_start import ColdStartTerms
+from cloverway.core.cold_start import ColdStartSettings
 from cloverway.core.deployment import Topology
 from cloverway.core.lookup import Machine
-from cloverway.core.quarantine import QuarantineTerms
-from cloverway.core.retry_budget import RetryBudgetTerms
+from cloverway.core.quarantine import QuarantineSettings
+from cloverway.core.retry_budget import RetryBudgetSettings
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
@@ -62,10 +62,10 @@
     listen: Listen
     store: StoreSettings
     peers: Peers = Peers()
-    retries: RetryBudgetTerms = RetryBudgetTerms()
-    cold: ColdStartTerms = ColdStartTerms()
+    retries: RetryBudgetSettings = RetryBudgetSettings()
+    cold: ColdStartSettings = ColdStartSettings()
     machine: Machine = Machine()
-    quarantine: QuarantineTerms = QuarantineTerms()
+    quarantine: QuarantineSettings = QuarantineSettings()
     grace_s: Seconds = 8.0
     """Time from SIGTERM until the process is killed."""
     lookup_ttl_s: Seconds = 2.0
@@ -85,7 +85,7 @@
                 if not value > 0:
                     findings.add(f"machine.{name}", f"{value:g} must be greater than 0")
         if settings is not None:
-            for name, why in settings.quarantine.find_faults():
+            for name, why in settings.quarantine.find_invalid_values():
                 findings.add(f"quarantine.{name}", why)
         findings.raise_if_any()
         assert settings is not None
--- a/cloverway/serving/telemetry.py
+++ b/cloverway/serving/telemetry.py
@@ -61,13 +61,13 @@
     host: str, incarnation: str, level: str, descriptor: int = 1
 ) -> LogLineHandler:
     """Log JSON lines to a file descriptor; return the handler, which counts dropped lines."""
-    writer = LogLineHandler(descriptor)
-    writer.setFormatter(make_formatter(host, incarnation))
+    log_handler = LogLineHandler(descriptor)
+    log_handler.setFormatter(make_formatter(host, incarnation))
     root = logging.getLogger()
-    root.handlers[:] = [writer]
+    root.handlers[:] = [log_handler]
     root.setLevel(level.upper())
     logging.getLogger("asyncio").setLevel(logging.WARNING)
-    return writer
+    return log_handler
 
 
 class Metrics:
@@ -107,7 +107,7 @@
             "gap_seconds", "Longest pause between two events of a stream"
         )
 
-    def note_request(
+    def record_request(
         self, route: str, kind: Kind | None, first_s: float | None, total_s: float, gap_s: float
     ) -> None:
         """Count a request that has ended, and observe its times."""
@@ -118,19 +118,19 @@
         if gap_s:
             self._gap.observe({"route": route}, gap_s)
 
-    def note_attempt(self, service: str, outcome: str) -> None:
+    def record_attempt(self, service: str, outcome: str) -> None:
         """Count a send to an endpoint or to another host."""
         self._attempts.inc({"service": service, "outcome": outcome})
 
-    def note_connect(self, address: str) -> None:
+    def record_connect(self, address: str) -> None:
         """Count a new connection; not by address, since addresses of endpoints keep changing."""
         self._connects.inc({})
 
-    def note_read(self, outcome: str) -> None:
+    def record_read(self, outcome: str) -> None:
         """Count a read of the store."""
         self._reads.inc({"outcome": outcome})
 
-    def note_event(self, what: str) -> None:
+    def record_event(self, what: str) -> None:
         """Count a change in what this host knows of others."""
         self._events.inc({"what": what})
 
--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -12,7 +12,7 @@
     CallKind,
     Document,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     Snapshot,
@@ -107,7 +107,7 @@
         measure("  encode", lambda message=message: CODEC.encode(message))
         measure("  decode", lambda data=data: CODEC.decode(data))
 
-    service = Service("model", 360, engine=EngineShape(64, 240_000))
+    service = Service("model", 360, engine=EngineSpec(64, 240_000))
     segments = (PromptSegment(1, 2_500), PromptSegment(2, 3_800), PromptSegment(3, 2_900))
     call = Call("c", "POST", "/", "h", (), b"", 0.0, 5.0, Prompt(9_200, 50, segments))
     route = Route("r", "h", "/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0)
--- a/cloverway/tests/gossip_simulation.py
+++ b/cloverway/tests/gossip_simulation.py
@@ -9,7 +9,7 @@
 
 from cloverway.config.published import Published
 from cloverway.config.settings import Timing
-from cloverway.core.quarantine import QuarantineTerms
+from cloverway.core.quarantine import QuarantineSettings
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.membership.datagram_auth import DatagramAuthenticator
 from cloverway.membership.endpoint_table import LoadReport
@@ -114,7 +114,7 @@
             timing=self.timing,
             authenticator=AUTHENTICATOR,
             random=self.random,
-            crash_tracker=CrashTracker(QuarantineTerms()),
+            crash_tracker=CrashTracker(QuarantineSettings()),
         )
         gossip.local_state = LocalState(revision=1)
         gossip.adopt(self.published)
--- a/cloverway/tests/simulated_engine.py
+++ b/cloverway/tests/simulated_engine.py
@@ -15,7 +15,7 @@
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     WeightedService,
@@ -105,11 +105,11 @@
 
     def _send_event(self, run: Run) -> None:
         load = self.endpoint.load
-        load.note_first_event(run.number, self.now)
+        load.record_first_event(run.number, self.now)
         if run.event_at is not None:
             gap_s = self.now - run.event_at
             run.longest_gap_s = max(run.longest_gap_s, gap_s)
-            load.note_gap(TokenGap(gap_s, GAP_OBJECTIVE_S, self.speed.event_tokens), self.now)
+            load.record_gap(TokenGap(gap_s, GAP_OBJECTIVE_S, self.speed.event_tokens), self.now)
         run.event_at = self.now
 
 
@@ -125,7 +125,7 @@
     """One host and the engines of its region; requests are queued at the host."""
 
     def __init__(self, engines: int, speed: Speed) -> None:
-        self.service = Service("model", 1_000, engine=EngineShape(64, 400_000))
+        self.service = Service("model", 1_000, engine=EngineSpec(64, 400_000))
         self.engines = [StepEngine(f"e{n}", speed, self.service) for n in range(engines)]
         self.queue: deque[tuple[Arrival, RoutedCall]] = deque()
         self.refused: list[Arrival] = []
--- a/cloverway/tests/test_core_cold_start.py
+++ b/cloverway/tests/test_core_cold_start.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cloverway.core.cold_start import MIN_HOST_AGE_S, ColdStartTerms, compute_cold_send_interval
+from cloverway.core.cold_start import MIN_HOST_AGE_S, ColdStartSettings, compute_cold_send_interval
 
-TERMS = ColdStartTerms(overshoot=1.5, slack=3.0)
+TERMS = ColdStartSettings(overshoot=1.5, slack=3.0)
 COLD_PER_S = 1.6
 LIMIT = int(COLD_PER_S * TERMS.overshoot + TERMS.slack)
 
--- a/cloverway/tests/test_core_engine_speed.py
+++ b/cloverway/tests/test_core_engine_speed.py
@@ -32,7 +32,7 @@
         elif draw.random() < 0.2:
             # The engine had most of it cached.
             took_s = CONSTANT_S
-        load.note_first_event(number, now + took_s)
+        load.record_first_event(number, now + took_s)
         load.end(number)
         now += 0.5
     return load
@@ -62,4 +62,4 @@
     slow, fast = simulate(EndpointLoad(), 12, 40), simulate(EndpointLoad(), 37, 40)
     for load in (slow, fast):
         load.begin(99, Work(9_000, 9_000), None, 100.0)
-    assert slow.backlog(100.2) > fast.backlog(100.2)
+    assert slow.estimate_backlog(100.2) > fast.estimate_backlog(100.2)
--- a/cloverway/tests/test_core_failures.py
+++ b/cloverway/tests/test_core_failures.py
@@ -20,11 +20,11 @@
         now = step / 10
         failed = rng.random() < share
         if failed:
-            load.note_failure(now, baseline.weigh(route))
+            load.record_failure(now, baseline.weigh(route))
         else:
-            load.note_success(now)
-        baseline.note(route, failed)
-        weights.append(load.failures(now))
+            load.record_success(now)
+        baseline.record(route, failed)
+        weights.append(load.count_failures(now))
     return sum(weights[len(weights) // 2 :]) / (len(weights) // 2)
 
 
@@ -37,14 +37,14 @@
     """A replica fails two of five requests for some seconds while its health checks succeed."""
     baseline, load = FailureBaseline(), EndpointLoad()
     simulate(baseline, load, "change", 0.004)
-    load.note_failure(40.0, baseline.weigh("change"))
-    assert load.failures(40.0) > 0.9
+    load.record_failure(40.0, baseline.weigh("change"))
+    assert load.count_failures(40.0) > 0.9
 
 
 def test_short_fault_does_not_become_the_baseline():
     baseline = FailureBaseline()
     for _ in range(200):
-        baseline.note("change", False)
+        baseline.record("change", False)
     for number in range(20):
-        baseline.note("change", number % 5 < 2)
+        baseline.record("change", number % 5 < 2)
     assert baseline.weigh("change") > 0.3
--- a/cloverway/tests/test_core_incarnations.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -62,13 +62,17 @@
     directory = make_directory(make_entry(1_000))
     before = directory.endpoints["e1"]
     before.load.begin(1, Work(9_000, 9_050), PROMPT, 0.0)
-    before.load.note_sibling("host", HostLoad(9, 900, 9_000, 0.0), PROMPT.segments)
-    before.load.note_failure(0.0)
+    before.load.record_host_load("host", HostLoad(9, 900, 9_000, 0.0), PROMPT.segments)
+    before.load.record_failure(0.0)
     publish(directory, 0.1, make_entry(2_000, cold_s=2.0))
     load = directory.endpoints["e1"].load
     assert load.count_ready(PROMPT, 60.0) == 0
     assert load.count_uncached(PROMPT) == PROMPT.input_tokens
-    assert (load.sum_region_load(0.1).running, load.backlog(0.1), load.failures(0.1)) == (
+    assert (
+        load.sum_region_load(0.1).running,
+        load.estimate_backlog(0.1),
+        load.count_failures(0.1),
+    ) == (
         0,
         0.0,
         0.0,
@@ -82,7 +86,7 @@
 def test_an_announced_leave_is_final_whatever_the_entry_says():
     """Guards against entries older than the statement, and entries that expire and return."""
     directory = make_directory(make_entry(1_000))
-    directory.note_statement("e1@1000", Statement(leaving=True))
+    directory.record_statement("e1@1000", Statement(leaving=True))
     publish(directory, 1.0, make_entry(1_000))
     assert directory.list_usable("desk", 1.0) == []
     directory.apply([EndpointPublished("e1", None)], 2.0)
@@ -94,7 +98,7 @@
 def test_an_endpoint_that_announced_its_leave_and_restarts_is_used():
     """Guards against applying the statement of one incarnation to the next."""
     directory = make_directory(make_entry(1_000))
-    directory.note_statement("e1@1000", Statement(leaving=True))
+    directory.record_statement("e1@1000", Statement(leaving=True))
     assert publish(directory, 5.0, make_entry(9_000)) == ["endpoint_reborn"]
     assert len(directory.list_usable("desk", 5.0)) == 1
 
@@ -102,7 +106,7 @@
 def test_a_requested_pause_outlives_the_entry():
     """Guards against entries that expire with the store and return without the pause."""
     directory = make_directory(make_entry(1_000))
-    directory.note_pause("e1@1000", 60.0, 1.0)
+    directory.record_pause("e1@1000", 60.0, 1.0)
     directory.apply([EndpointPublished("e1", None)], 2.0)
     assert directory.forget_missing(2.0 + MISSING_GRACE_S)
     publish(directory, 5.0, make_entry(1_000))
@@ -115,7 +119,7 @@
 def test_a_statement_that_arrives_before_the_entry_is_kept():
     """A recently started host can receive a statement before it has read the store."""
     directory = make_directory()
-    directory.note_statement("e1@1000", Statement(leaving=True))
+    directory.record_statement("e1@1000", Statement(leaving=True))
     publish(directory, 1.0, make_entry(1_000))
     assert directory.list_usable("desk", 1.0) == []
 
@@ -167,7 +171,7 @@
     late = EndpointUse("e1", 5, 9_000, 9_050, (1,), (6_000,), 9_000, born_ms=1_000)
     exchange.receive(EndpointUses("b", (late,)), 0.0)
     load = directory.endpoints["e1"].load
-    assert (load.sum_region_load(0.0).running, load.backlog(0.0)) == (0, 0.0)
+    assert (load.sum_region_load(0.0).running, load.estimate_backlog(0.0)) == (0, 0.0)
     exchange.receive(EndpointUses("b", (late._replace(born_ms=2_000),)), 0.0)
     assert load.sum_region_load(0.0).running == 5
 
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -71,12 +71,12 @@
             candidates = apply_isolation(routed, candidates, chosen)
         here = choose_endpoint(candidates)
         if here is not None:
-            self.isolation.note_prompt(routed, here, now)
+            self.isolation.record_prompt(routed, here, now)
         return here
 
     def note_end(self, run, now):
         arrival = self.region.runs[run.number]
-        self.isolation.note_answer(run.longest_gap_s, GAP_OBJECTIVE_S, now)
+        self.isolation.record_answer(run.longest_gap_s, GAP_OBJECTIVE_S, now)
         if arrival.input_tokens == 700:
             self.notes += 1
             self.late += run.longest_gap_s > GAP_OBJECTIVE_S
@@ -117,7 +117,7 @@
     """Return the isolation state of a host that observed stalls, and large prompts among others."""
     isolation = LargePromptIsolation("model")
     for number in range(20):
-        isolation.note_answer(1.0 if number < late else 0.1, GAP_OBJECTIVE_S, 1.0)
+        isolation.record_answer(1.0 if number < late else 0.1, GAP_OBJECTIVE_S, 1.0)
     isolation._prefill.add(1.0, 1.0)
     isolation._large_prefill.add(large_s, 1.0)
     return isolation
@@ -136,7 +136,7 @@
     assert not make_isolation(0.5, late=0).select_engines(list_engines(4), 1.0)
     few = LargePromptIsolation("model")
     for _ in range(int(MIN_ANSWERS) - 1):
-        few.note_answer(1.0, GAP_OBJECTIVE_S, 1.0)
+        few.record_answer(1.0, GAP_OBJECTIVE_S, 1.0)
     assert not few.select_engines(list_engines(4), 1.0)
 
 
@@ -154,7 +154,7 @@
     isolation = make_isolation(0.5)
     first = isolation.select_engines(engines, 1.0)
     failing = next(engine for engine in engines if engine.entry.id in first)
-    failing.load.note_failure(1.1)
+    failing.load.record_failure(1.1)
     assert isolation.select_engines(engines, 1.1) == first, "a selection is reused for a while"
     assert failing.entry.id not in isolation.select_engines(engines, 1.0 + SELECTION_TTL_S)
 
--- a/cloverway/tests/test_core_kv_fetch.py
+++ b/cloverway/tests/test_core_kv_fetch.py
@@ -15,17 +15,17 @@
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     WeightedService,
 )
 from cloverway.core.endpoints import Endpoint
-from cloverway.core.kv_fetch import MIN_TOKENS, estimate_fetch_s, find_source
+from cloverway.core.kv_fetch import MIN_TOKENS, estimate_fetch_s, find_fetch_source
 from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
 
-SHAPE = EngineShape(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
+SHAPE = EngineSpec(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
 MODEL = Service("model", 360, engine=SHAPE)
 HERE = Sender("d1")
 ROUTE = Route("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0)
@@ -50,12 +50,12 @@
     """Let an engine finish the prefill of a request."""
     candidate = predict(route_call(call), endpoint, sender=HERE, now=at)
     endpoint.load.begin(1, candidate.work, call.prompt, at)
-    endpoint.load.note_first_event(1, at + took_s)
+    endpoint.load.record_first_event(1, at + took_s)
     endpoint.load.end(1)
 
 
 def predict_all(endpoints, call, now):
-    source = find_source(call.prompt, endpoints, now)
+    source = find_fetch_source(call.prompt, endpoints, now)
     return [
         predict(route_call(call), endpoint, sender=HERE, now=now, source=source)
         for endpoint in endpoints
@@ -99,9 +99,9 @@
     first.load.begin(
         1, predict(route_call(call), first, sender=HERE, now=0.0).work, call.prompt, 0.0
     )
-    assert find_source(make_call("second").prompt, [first, second], 0.01) is None
-    first.load.note_first_event(1, 0.25)
-    assert find_source(make_call("second").prompt, [first, second], 0.26).endpoint is first
+    assert find_fetch_source(make_call("second").prompt, [first, second], 0.01) is None
+    first.load.record_first_event(1, 0.25)
+    assert find_fetch_source(make_call("second").prompt, [first, second], 0.26).endpoint is first
 
 
 @pytest.mark.parametrize("state", ["draining", "cold", "failed"])
@@ -117,8 +117,8 @@
     elif state == "cold":
         holder.cold_until = 5.0
     else:
-        holder.load.note_failure(0.9)
-    assert find_source(make_call("second").prompt, [holder], 1.0) is None
+        holder.load.record_failure(0.9)
+    assert find_fetch_source(make_call("second").prompt, [holder], 1.0) is None
 
 
 def test_few_tokens_are_prefilled_rather_than_fetched():
@@ -136,7 +136,7 @@
     call = make_call("second")
     candidate = predict_all([holder, other], call, 1.0)[1]
     other.load.begin(2, candidate.work, call.prompt, 1.0)
-    assert other.load.backlog(1.0) == 3_000
+    assert other.load.estimate_backlog(1.0) == 3_000
     assert other.load.take_update(8).sent_prefill_tokens == 3_000
 
 
--- a/cloverway/tests/test_core_lookup.py
+++ b/cloverway/tests/test_core_lookup.py
@@ -87,7 +87,7 @@
 def test_own_request_rate_decays():
     members = Members(make_host("own", SMALL))
     for number in range(200):
-        members.note_arrival(number / 20)
+        members.record_arrival(number / 20)
     assert members.sum_request_rates("d1", 10.0) == pytest.approx(20.0, rel=0.1)
     assert members.sum_request_rates("d2", 10.0) == 0.0
     assert members.sum_request_rates("d1", 40.0) < 0.1
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -19,8 +19,8 @@
     choose_endpoint,
     choose_region,
     compute_region_capacity,
-    estimate_wait,
-    extrapolate_offer,
+    estimate_queueing_cost,
+    extrapolate_capacity,
 )
 from cloverway.core.token_gaps import INITIAL_BURST_RATIO, TokenGap
 from cloverway.tests.test_core_selection import (
@@ -41,8 +41,10 @@
 SECONDS = 20.0
 
 
-def make_offer(room):
-    return AdvertisedCapacity("model", room.wait_s, room.free, room.tokens, room.engine)
+def make_offer(capacity):
+    return AdvertisedCapacity(
+        "model", capacity.wait_s, capacity.free_slots, capacity.max_prompt_tokens, capacity.engine
+    )
 
 
 def forward_prompts(hosts: int, local_s: float = 0.0):
@@ -64,13 +66,15 @@
             number += 1
             send(endpoint, make_call(f"local-{number}", TOKENS), number, now)
         for host, (sent_at, offer_sent) in enumerate(offers):
-            updated = extrapolate_offer(offer_sent, now - sent_at)
+            updated = extrapolate_capacity(offer_sent, now - sent_at)
             if updated.free_slots > 0 and updated.max_prompt_tokens >= TOKENS:
                 offers[host] = (sent_at, offer_sent._replace(free_slots=offer_sent.free_slots - 1))
                 number += 1
                 sent += 1
                 send(endpoint, make_call(f"far-{number}", TOKENS), number, now)
-        longest_s = max(longest_s, endpoint.load.backlog(now) * INITIAL_PREFILL_S_PER_TOKEN)
+        longest_s = max(
+            longest_s, endpoint.load.estimate_backlog(now) * INITIAL_PREFILL_S_PER_TOKEN
+        )
     return sent * PREFILL_S / SECONDS, longest_s
 
 
@@ -94,29 +98,29 @@
 
 def test_a_region_with_a_queue_has_no_capacity_until_it_is_prefilled():
     busy = offer(queue_s=2.0)._replace(free_slots=0, max_prompt_tokens=0)
-    assert extrapolate_offer(busy, 1.0) == busy
+    assert extrapolate_capacity(busy, 1.0) == busy
 
 
 def test_an_old_offer_does_not_grow_without_bound():
     full = offer(queue_s=0.3)._replace(free_slots=0, max_prompt_tokens=0)
-    assert extrapolate_offer(full, 1e6).free_slots <= 10
-    assert extrapolate_offer(full, 1e6).max_prompt_tokens < UNLIMITED_TOKENS
+    assert extrapolate_capacity(full, 1e6).free_slots <= 10
+    assert extrapolate_capacity(full, 1e6).max_prompt_tokens < UNLIMITED_TOKENS
 
 
 def test_offers_of_plain_services_are_not_extrapolated():
     """Their slots are lent one by one and returned when the request has ended."""
     plain = AdvertisedCapacity("desk", 0.1, 0, 0)
-    assert extrapolate_offer(plain, 5.0) == plain
+    assert extrapolate_capacity(plain, 5.0) == plain
 
 
 def test_a_region_offers_the_capacity_of_its_engines():
     endpoint = make_endpoint("a")
     idle = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
-    endpoint.load.note_prefill(BURST_TOKENS, 0.0)
+    endpoint.load.record_prefill(BURST_TOKENS, 0.0)
     busy = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
-    assert idle.free > 0
-    assert idle.tokens == UNLIMITED_TOKENS
-    assert (busy.free, busy.tokens) == (0, 0)
+    assert idle.free_slots > 0
+    assert idle.max_prompt_tokens == UNLIMITED_TOKENS
+    assert (busy.free_slots, busy.max_prompt_tokens) == (0, 0)
     assert busy.wait_s > 0.9 * INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
 
 
@@ -127,17 +131,17 @@
     a second and twelve kilobytes between regions.
     """
     endpoint = make_endpoint("a")
-    room = compute_region_capacity(MODEL, [endpoint], 0.3, 0.0)
-    assert room.free == 0
-    assert room.wait_s >= 0.3
+    capacity = compute_region_capacity(MODEL, [endpoint], 0.3, 0.0)
+    assert capacity.free_slots == 0
+    assert capacity.wait_s >= 0.3
 
 
 def test_a_request_leaves_its_region_only_for_a_clear_gain():
     here = predict(route_call(make_call()), make_endpoint("a"), sender=HERE, now=0.0)
-    near, far = [RegionCandidate("south", 0.0, here.cost_s - less) for less in (0.1, 0.5)]
+    near, remote = [RegionCandidate("south", 0.0, here.cost_s - less) for less in (0.1, 0.5)]
     assert choose_region(here.cost_s, [near], 0.3) is None
-    assert choose_region(here.cost_s, [near, far], 0.3) is far
-    assert choose_region(estimate_wait([], 0.0), [near], 0.3) is near
+    assert choose_region(here.cost_s, [near, remote], 0.3) is remote
+    assert choose_region(estimate_queueing_cost([], 0.0), [near], 0.3) is near
 
 
 def test_a_request_is_queued_here_if_that_is_faster_than_forwarding():
@@ -148,13 +152,16 @@
     """
     endpoints = [make_endpoint("a"), make_endpoint("b")]
     for endpoint in endpoints:
-        endpoint.load.note_prefill(BURST_TOKENS - 1_000, 0.0)
+        endpoint.load.record_prefill(BURST_TOKENS - 1_000, 0.0)
     routed = route_call(make_call(input_tokens=5_000, output_tokens=20))
     candidates = [predict(routed, endpoint, sender=HERE, now=0.0) for endpoint in endpoints]
     assert choose_endpoint(candidates) is None
-    away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
-    assert choose_region(estimate_wait(candidates, 0.0), [away], 0.3) is None
-    assert choose_region(estimate_wait(candidates, 2.0), [away], 0.3) is away
+    remote_candidate = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
+    assert choose_region(estimate_queueing_cost(candidates, 0.0), [remote_candidate], 0.3) is None
+    assert (
+        choose_region(estimate_queueing_cost(candidates, 2.0), [remote_candidate], 0.3)
+        is remote_candidate
+    )
 
 
 def offer(queue_s=0.0, decode_s_per_token=0.006, running=0):
@@ -171,19 +178,19 @@
     """
     busy = make_endpoint("a")
     for step in range(5):
-        busy.load.note_gap(TokenGap(0.27, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.27)
-    far = RemoteRegion("south", 0.2)
+        busy.load.record_gap(TokenGap(0.27, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.27)
+    remote = RemoteRegion("south", 0.2)
     now = 2.3
     for output_tokens, leaves in ((600, True), (20, False)):
         routed = route_call(make_call(input_tokens=700, output_tokens=output_tokens))
         here = predict(routed, busy, sender=HERE, now=now)
-        away = predict_region(routed, offer(), far, now)
-        assert (choose_region(here.cost_s, [away], 0.3) is not None) is leaves
+        remote_candidate = predict_region(routed, offer(), remote, now)
+        assert (choose_region(here.cost_s, [remote_candidate], 0.3) is not None) is leaves
 
 
 def test_a_request_stays_if_its_region_is_as_idle_as_others():
     endpoint = make_endpoint("a")
     routed = route_call(make_call(input_tokens=9_000, output_tokens=600))
     here = predict(routed, endpoint, sender=HERE, now=0.0)
-    away = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
-    assert choose_region(here.cost_s, [away], 0.3) is None
+    remote_candidate = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
+    assert choose_region(here.cost_s, [remote_candidate], 0.3) is None
--- a/cloverway/tests/test_core_quarantine.py
+++ b/cloverway/tests/test_core_quarantine.py
@@ -19,17 +19,17 @@
     SERVED_IMMUNITY_S,
     Crash,
     Quarantine,
-    QuarantineTerms,
+    QuarantineSettings,
 )
 
-TERMS = QuarantineTerms(ends=3, hold_s=1800.0)
+TERMS = QuarantineSettings(ends=3, hold_s=1800.0)
 FATAL, BYSTANDER, OTHER = 1, 2, 3
 
 
 def make_quarantine(*crashes):
     quarantine = Quarantine(TERMS)
     for crash in crashes:
-        quarantine.note_crash(crash)
+        quarantine.record_crash(crash)
     return quarantine
 
 
@@ -47,7 +47,7 @@
         Crash("e1", (BYSTANDER, FATAL), 1.0),
     )
     assert quarantine.get_block(FATAL, 1.0) is None
-    quarantine.note_crash(Crash("e2", (FATAL, OTHER), 2.0))
+    quarantine.record_crash(Crash("e2", (FATAL, OTHER), 2.0))
     block = quarantine.get_block(FATAL, 3.0)
     assert block == (3, TERMS.hold_s - 1.0)
     assert quarantine.get_block(BYSTANDER, 3.0) is None
@@ -57,9 +57,9 @@
 def test_repeated_reports_of_one_crash_count_once():
     crash = Crash("e0", (FATAL,), 5.0)
     quarantine = Quarantine(TERMS)
-    assert quarantine.note_crash(crash) == crash
-    assert quarantine.note_crash(crash._replace(at=5.4)) is None
-    assert quarantine.note_crash(crash._replace(digests=(FATAL, OTHER))) == crash._replace(
+    assert quarantine.record_crash(crash) == crash
+    assert quarantine.record_crash(crash._replace(at=5.4)) is None
+    assert quarantine.record_crash(crash._replace(digests=(FATAL, OTHER))) == crash._replace(
         digests=(OTHER,)
     )
     assert quarantine.count_crashes(FATAL) == 1
@@ -74,10 +74,10 @@
     quarantine = make_quarantine(*crash_in_turn(3, FATAL))
     assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s - 0.1) is not None
     assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s) is None
-    quarantine.note_crash(Crash("e3", (FATAL,), 2000.0))
+    quarantine.record_crash(Crash("e3", (FATAL,), 2000.0))
     assert quarantine.get_block(FATAL, 2000.0) == (4, 2 * TERMS.hold_s)
     for number in range(4, 40):
-        quarantine.note_crash(Crash(f"e{number}", (FATAL,), 2000.0 + number))
+        quarantine.record_crash(Crash(f"e{number}", (FATAL,), 2000.0 + number))
     crashes, remaining_s = quarantine.get_block(FATAL, 2010.0)
     assert crashes == MAX_CRASHES
     assert remaining_s <= MAX_HOLD_S + 10.0
@@ -86,9 +86,9 @@
 def test_request_served_after_a_crash_is_cleared():
     """It was lost in a crash, retried elsewhere and served; later another endpoint crashes."""
     quarantine = make_quarantine(*crash_in_turn(2, BYSTANDER))
-    assert quarantine.note_served(BYSTANDER, 3.0)
+    assert quarantine.record_served(BYSTANDER, 3.0)
     assert quarantine.count_crashes(BYSTANDER) == 0
-    quarantine.note_crash(Crash("e7", (BYSTANDER,), 3.0 + SERVED_IMMUNITY_S))
+    quarantine.record_crash(Crash("e7", (BYSTANDER,), 3.0 + SERVED_IMMUNITY_S))
     assert quarantine.count_crashes(BYSTANDER) == 1
 
 
@@ -99,9 +99,9 @@
     would be blocked for all callers for half an hour.
     """
     quarantine = Quarantine(TERMS)
-    assert not quarantine.note_served(OTHER, 10.0)
+    assert not quarantine.record_served(OTHER, 10.0)
     for crash in crash_in_turn(3, OTHER, start=11.0):
-        assert quarantine.note_crash(crash) is None
+        assert quarantine.record_crash(crash) is None
     assert quarantine.get_block(OTHER, 15.0) is None
 
 
@@ -112,22 +112,22 @@
     """
     quarantine = make_quarantine(*crash_in_turn(3, BYSTANDER))
     assert quarantine.get_block(BYSTANDER, 3.0) is not None
-    quarantine.note_alive("e0", since=-5.0, until=0.0)
+    quarantine.record_alive("e0", since=-5.0, until=0.0)
     assert quarantine.get_block(BYSTANDER, 3.0) is not None, "seen alive before the crash"
-    quarantine.note_alive("e0", since=-5.0, until=0.9 * MAX_READ_DELAY_S)
+    quarantine.record_alive("e0", since=-5.0, until=0.9 * MAX_READ_DELAY_S)
     assert quarantine.get_block(BYSTANDER, 3.0) is not None, "last output read late"
-    quarantine.note_alive("e0", since=1.1 * MIN_RESTART_S, until=9.0)
+    quarantine.record_alive("e0", since=1.1 * MIN_RESTART_S, until=9.0)
     assert quarantine.get_block(BYSTANDER, 3.0) is not None, "a later incarnation"
-    quarantine.note_alive("e0", since=0.0, until=0.5)
+    quarantine.record_alive("e0", since=0.0, until=0.5)
     assert quarantine.get_block(BYSTANDER, 3.0) is None
-    assert quarantine.note_crash(Crash("e0", (BYSTANDER, OTHER), 0.0)) is None
-    assert quarantine.note_crash(Crash("e0", (BYSTANDER,), 9.0)) is not None, "it may crash later"
+    assert quarantine.record_crash(Crash("e0", (BYSTANDER, OTHER), 0.0)) is None
+    assert quarantine.record_crash(Crash("e0", (BYSTANDER,), 9.0)) is not None, "it may crash later"
 
 
 def test_crash_is_retracted_when_a_connection_opens_at_once():
     """All its connections were reset; one opened within 0.2 s reaches the same process."""
     quarantine = make_quarantine(*crash_in_turn(3, BYSTANDER))
-    quarantine.note_alive("e0", since=0.9 * MIN_RESTART_S, until=MIN_RESTART_S)
+    quarantine.record_alive("e0", since=0.9 * MIN_RESTART_S, until=MIN_RESTART_S)
     assert quarantine.get_block(BYSTANDER, 3.0) is None
 
 
@@ -153,24 +153,24 @@
     for quarantine, order in ((first, events), (second, shuffled)):
         for kind, event in order:
             if kind == "crash":
-                quarantine.note_crash(event)
+                quarantine.record_crash(event)
             else:
-                quarantine.note_served(*event)
+                quarantine.record_served(*event)
     counts = [[q.count_crashes(digest) for digest in (1, 2, 3)] for q in (first, second)]
     assert counts[0] == counts[1]
 
 
 def test_listed_updates_reproduce_the_blocks_on_another_host():
     quarantine = make_quarantine(*crash_in_turn(3, FATAL, BYSTANDER), Crash("e9", (OTHER,), 50.0))
-    quarantine.note_served(BYSTANDER, 51.0)
-    quarantine.note_crash(Crash("e9", (4,), 52.0))
+    quarantine.record_served(BYSTANDER, 51.0)
+    quarantine.record_crash(Crash("e9", (4,), 52.0))
     joining_host = Quarantine(TERMS)
-    joining_host.note_crash(Crash("e0", (BYSTANDER,), 0.0))
+    joining_host.record_crash(Crash("e0", (BYSTANDER,), 0.0))
     update = quarantine.list_updates(float("-inf"), 100)
     for digest in update.served:
-        joining_host.note_served(digest, 52.0)
+        joining_host.record_served(digest, 52.0)
     for crash in update.crashes:
-        joining_host.note_crash(crash)
+        joining_host.record_crash(crash)
     assert joining_host.get_block(FATAL, 60.0) == quarantine.get_block(FATAL, 60.0)
     assert [joining_host.count_crashes(digest) for digest in (BYSTANDER, OTHER, 4)] == [0, 1, 1]
     recent = quarantine.list_updates(40.0, 100)
@@ -185,8 +185,8 @@
     numbers = itertools.count(10)
     for crash_number in range(MAX_CRASHED + 50):
         digests = tuple(itertools.islice(numbers, 3))
-        quarantine.note_crash(Crash(f"e{crash_number}", digests, float(crash_number)))
-        quarantine.note_served(digests[0], float(crash_number))
+        quarantine.record_crash(Crash(f"e{crash_number}", digests, float(crash_number)))
+        quarantine.record_served(digests[0], float(crash_number))
     assert len(quarantine._suspects) <= MAX_SUSPECTS
     assert len(quarantine._served) <= MAX_SERVED
     assert len(quarantine._cleared) <= MAX_SERVED
@@ -198,5 +198,5 @@
     quarantine = Quarantine(TERMS._replace(ends=ends))
     for crash in crash_in_turn(ends, FATAL):
         assert quarantine.get_block(FATAL, 0.0) is None
-        quarantine.note_crash(crash)
+        quarantine.record_crash(crash)
     assert quarantine.get_block(FATAL, float(ends)) is not None
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -14,7 +14,7 @@
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     WeightedService,
@@ -29,7 +29,7 @@
     estimate_work,
     predict,
 )
-from cloverway.core.retry_budget import RetryBudget, RetryBudgetTerms
+from cloverway.core.retry_budget import RetryBudget, RetryBudgetSettings
 from cloverway.core.selection import (
     choose_endpoint,
 )
@@ -54,7 +54,7 @@
 BURST_TOKENS = int(INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S / INITIAL_PREFILL_S_PER_TOKEN)
 
 
-MODEL = Service("model", 360, engine=EngineShape(64, 240_000))
+MODEL = Service("model", 360, engine=EngineSpec(64, 240_000))
 
 
 PLAIN = Service("desk", 100)
@@ -122,7 +122,7 @@
             accepted += 1
             send(next(e for e in endpoints if e.entry.id == name), call, number, 0.0)
     assert accepted == 2 * (BURST_TOKENS // 5_000)
-    assert all(e.load.backlog(0.0) <= BURST_TOKENS for e in endpoints)
+    assert all(e.load.estimate_backlog(0.0) <= BURST_TOKENS for e in endpoints)
 
 
 def test_sent_prompt_tokens_stay_within_the_prefill_duty():
@@ -173,8 +173,8 @@
     """
     busy, calm = make_endpoint("busy"), make_endpoint("calm")
     for step in range(20):
-        busy.load.note_prefill(5_000, step * 0.3)
-        calm.load.note_prefill(700, step * 0.3)
+        busy.load.record_prefill(5_000, step * 0.3)
+        calm.load.record_prefill(700, step * 0.3)
     call = make_call(input_tokens=700, output_tokens=400)
     assert choose([busy, calm], call, 6.5) == "calm"
 
@@ -186,8 +186,8 @@
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(TokenGap(0.36, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
-        fast.load.note_gap(TokenGap(0.09, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
+        slow.load.record_gap(TokenGap(0.36, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
+        fast.load.record_gap(TokenGap(0.09, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.36)
     call = make_call(input_tokens=700, output_tokens=600)
     assert choose([slow, fast], call, 2.5) == "fast"
     assert choose([slow], call, 2.5) == "slow"
@@ -201,8 +201,8 @@
     """
     slow, fast = make_endpoint("slow"), make_endpoint("fast")
     for step in range(5):
-        slow.load.note_gap(TokenGap(0.108, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
-        fast.load.note_gap(TokenGap(0.054, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
+        slow.load.record_gap(TokenGap(0.108, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
+        fast.load.record_gap(TokenGap(0.054, GAP_OBJECTIVE_S, tokens=9), 1.0 + step * 0.1)
     fast.load.begin(1, Work(12_000, 12_000), None, 1.5)
     call = make_call(input_tokens=700, output_tokens=333)._replace(deadline=3.5)
     assert choose([slow, fast], call, 1.5) == "fast"
@@ -218,16 +218,16 @@
     """
     segments = ((1, 6_000), (2, 14_000))
     streams, calm = make_endpoint("streams"), make_endpoint("calm")
-    streams.load.note_segments([PromptSegment(1, 6_000)], 0.0)
-    streams.load.note_sibling("other", HostLoad(4, 0, 4_000, 0.0), ())
-    calm.load.note_sibling("other", HostLoad(1, 0, 1_000, 0.0), ())
+    streams.load.record_segments([PromptSegment(1, 6_000)], 0.0)
+    streams.load.record_host_load("other", HostLoad(4, 0, 4_000, 0.0), ())
+    calm.load.record_host_load("other", HostLoad(1, 0, 1_000, 0.0), ())
     assert choose([streams, calm], make_call(input_tokens=20_000, segments=segments), 0.0) == "calm"
 
 
 def test_a_failing_engine_is_used_last_but_never_excluded():
     failing, healthy = make_endpoint("sick"), make_endpoint("sound")
     for _ in range(3):
-        failing.load.note_failure(0.0)
+        failing.load.record_failure(0.0)
     assert choose([failing, healthy], make_call(), 0.1) == "sound"
     assert choose([failing], make_call(), 0.1) == "sick"
 
@@ -235,13 +235,13 @@
 def test_kv_cache_capacity_limits_running_requests():
     endpoint = make_endpoint("a")
     load = HostLoad(running=20, prefill_tokens=0, reserved_kv_tokens=230_000, reported_at=0.0)
-    endpoint.load.note_sibling("other", load, ())
+    endpoint.load.record_host_load("other", load, ())
     assert choose([endpoint], make_call(input_tokens=9_000), 0.0) is None
 
 
 def test_load_reports_of_silent_siblings_expire():
     endpoint = make_endpoint("a")
-    endpoint.load.note_sibling("other", HostLoad(64, 0, 0, 0.0), ())
+    endpoint.load.record_host_load("other", HostLoad(64, 0, 0, 0.0), ())
     assert choose([endpoint], make_call(), 1.0) is None
     assert choose([endpoint], make_call(), 3.0) == "a"
 
@@ -262,14 +262,14 @@
 @pytest.mark.parametrize("hosts", [1, 3, 10])
 def test_retries_of_all_hosts_stay_within_the_budget_in_any_window(hosts):
     """All hosts are partitioned from each other, and each retries as often as it is allowed to."""
-    terms = RetryBudgetTerms(ratio=0.2, slack=54.0, window_s=10.0)
-    budgets = [RetryBudget(terms) for _ in range(hosts)]
+    settings = RetryBudgetSettings(ratio=0.2, slack=54.0, window_s=10.0)
+    budgets = [RetryBudget(settings) for _ in range(hosts)]
     sends, requests = [], []
     for step in range(3_000):
         now = step * 0.01
         for budget in budgets:
             if step % 10 == 0:
-                budget.note_request(now)
+                budget.record_request(now)
                 requests.append(now)
             if budget.take(hosts, now):
                 sends.append(now)
@@ -312,14 +312,14 @@
         call = make_call(f"c{number}", segments=((number, 9_000),))
         assert choose([engine], call, now) == "a"
         send(engine, call, number, now)
-        engine.load.note_first_event(number, now + 0.03)
+        engine.load.record_first_event(number, now + 0.03)
     assert engine.load.take_update(8).sent_prefill_tokens < 8 * 9_000 / 2
 
 
 def test_prefilled_prompts_stay_counted():
     engine = make_endpoint("a")
     send(engine, make_call(), 1, 0.0)
-    engine.load.note_first_event(1, 0.25)
+    engine.load.record_first_event(1, 0.25)
     assert engine.load.take_update(8).sent_prefill_tokens == 9_000
 
 
@@ -330,7 +330,7 @@
     answers show the saturation at once.
     """
     saturated, other = make_endpoint("a"), make_endpoint("b")
-    saturated.load.note_gap(
+    saturated.load.record_gap(
         TokenGap(SATURATION_FRACTION * GAP_OBJECTIVE_S + 0.1, GAP_OBJECTIVE_S), 1.0
     )
     other.load.begin(1, Work(BURST_TOKENS // 2, 9_000), None, 1.0)
--- a/cloverway/tests/test_core_statements.py
+++ b/cloverway/tests/test_core_statements.py
@@ -7,7 +7,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverway.core.statements import MAX_INCARNATIONS, NO_STATEMENT, News, Statement, Statements
+from cloverway.core.statements import (
+    MAX_INCARNATIONS,
+    NO_STATEMENT,
+    Statement,
+    StatementChange,
+    Statements,
+)
 
 STATEMENTS = st.builds(
     Statement,
@@ -34,37 +40,37 @@
 
 def test_latest_statement_is_in_force():
     known = Statements()
-    assert known.note("e@1", Statement(2.0, 10.0)) == (News.LIMIT_NAMED,)
-    assert not known.note("e@1", Statement(2.0, 11.0))
-    assert known.note("e@1", Statement(None, 12.0)) == (News.LIMIT_ENDED,)
-    assert not known.note("e@1", Statement(2.0, 11.5))
+    assert known.record("e@1", Statement(2.0, 10.0)) == (StatementChange.LIMIT_NAMED,)
+    assert not known.record("e@1", Statement(2.0, 11.0))
+    assert known.record("e@1", Statement(None, 12.0)) == (StatementChange.LIMIT_ENDED,)
+    assert not known.record("e@1", Statement(2.0, 11.5))
     assert known.get("e@1").limit_per_s is None
     assert known.get("e@2") == NO_STATEMENT
 
 
 def test_only_statements_with_content_are_stored_up_to_a_maximum():
     known = Statements()
-    assert not known.note("e", Statement(None, 5.0))
+    assert not known.record("e", Statement(None, 5.0))
     assert known.list_since(float("-inf")) == []
     for number in range(MAX_INCARNATIONS + 10):
-        known.note(f"e{number}", Statement(1.0, number))
+        known.record(f"e{number}", Statement(1.0, number))
     assert len(known.list_since(float("-inf"))) == MAX_INCARNATIONS
     assert known.get(f"e{MAX_INCARNATIONS + 9}").limit_per_s == 1.0
 
 
 def test_list_since_has_limits_in_force_and_recently_ended_ones():
     known = Statements()
-    known.note("holds", Statement(1.0, 1.0))
+    known.record("holds", Statement(1.0, 1.0))
     for incarnation, at in (("ended", 50.0), ("long-ended", 5.0)):
-        known.note(incarnation, Statement(1.0, 1.0))
-        known.note(incarnation, Statement(None, at))
+        known.record(incarnation, Statement(1.0, 1.0))
+        known.record(incarnation, Statement(None, at))
     assert {incarnation for incarnation, _ in known.list_since(40.0)} == {"holds", "ended"}
 
 
 def test_leaving_is_final_within_one_incarnation():
     """Guards against an older answer, or one without the flag, that revives a leaving endpoint."""
     known = Statements()
-    assert known.note("e@1", Statement(leaving=True)) == (News.LEAVING,)
-    assert known.note("e@1", Statement(None, 20.0)) == ()
+    assert known.record("e@1", Statement(leaving=True)) == (StatementChange.LEAVING,)
+    assert known.record("e@1", Statement(None, 20.0)) == ()
     assert known.get("e@1").leaving
     assert not known.get("e@2").leaving
--- a/cloverway/tests/test_core_suspects.py
+++ b/cloverway/tests/test_core_suspects.py
@@ -15,14 +15,14 @@
 import pytest
 
 from cloverway.core.prediction import Candidate
-from cloverway.core.quarantine import Crash, Level, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Crash, Quarantine, QuarantineSettings, SuspicionLevel
 from cloverway.core.suspects import SuspectRun, SuspectRuns, isolate_suspects
 
 UPDATE_DELAY_S = 0.02
 CRASH_AFTER_S = 0.2
 """How long a fatal request runs until its engine crashes."""
 RESTART_AFTER_S = 3.0
-TERMS = QuarantineTerms()
+TERMS = QuarantineSettings()
 
 
 class Host:
@@ -111,16 +111,16 @@
 
     def record_run(self, host, number, digest, incarnation):
         level = host.quarantine.get_level(digest, self.now)
-        if level is not Level.NONE:
+        if level is not SuspicionLevel.NONE:
             host.own_runs[number] = SuspectRun(digest, incarnation, level, self.now + 10)
             self.broadcast_runs(host)
 
     def broadcast_runs(self, host):
         name, runs = str(self.hosts.index(host)), tuple(host.own_runs.values())
-        host.runs.note(name, runs)
+        host.runs.record(name, runs)
         for other in self.hosts:
             if other is not host:
-                self.at(UPDATE_DELAY_S, other.runs.note, name, runs)
+                self.at(UPDATE_DELAY_S, other.runs.record, name, runs)
 
     def close(self, number):
         flight = self.flights.pop(number, None)
@@ -135,7 +135,7 @@
             self.engines[flight.incarnation].discard(number)
             for host in self.hosts:
                 delay_s = 0.0 if host is flight.host else UPDATE_DELAY_S
-                self.at(delay_s, host.quarantine.note_served, flight.digest, self.now)
+                self.at(delay_s, host.quarantine.record_served, flight.digest, self.now)
 
     def crash_engine(self, incarnation, cause=None):
         if incarnation not in self.engines:
@@ -148,7 +148,7 @@
             crash = Crash(incarnation, (flight.digest,), self.now)
             for host in self.hosts:
                 delay_s = 0.0 if host is flight.host else UPDATE_DELAY_S
-                self.at(delay_s, host.quarantine.note_crash, crash)
+                self.at(delay_s, host.quarantine.record_crash, crash)
         for flight in lost:
             self.lost += flight.digest not in self.fatal
             if flight.attempts > 1:
@@ -231,25 +231,25 @@
 def test_crashes_explained_by_a_blocked_request_clear_other_suspects():
     """Guards against requests that stay isolated long after the cause was found."""
     quarantine = Quarantine(TERMS)
-    quarantine.note_crash(Crash("e0", (1, 2), 0.0))
-    quarantine.note_crash(Crash("e1", (1, 2), 1.0))
-    assert [quarantine.get_level(digest, 1.0) for digest in (1, 2)] == [Level.ALONE] * 2
-    quarantine.note_crash(Crash("e2", (1, 3), 2.0))
+    quarantine.record_crash(Crash("e0", (1, 2), 0.0))
+    quarantine.record_crash(Crash("e1", (1, 2), 1.0))
+    assert [quarantine.get_level(digest, 1.0) for digest in (1, 2)] == [SuspicionLevel.ISOLATED] * 2
+    quarantine.record_crash(Crash("e2", (1, 3), 2.0))
     assert quarantine.get_block(1, 2.0) is not None
-    assert [quarantine.get_level(digest, 2.0) for digest in (2, 3)] == [Level.NONE] * 2
+    assert [quarantine.get_level(digest, 2.0) for digest in (2, 3)] == [SuspicionLevel.NONE] * 2
 
 
 def test_indistinguishable_requests_are_not_blocked_for_each_other():
     """Guards against blocking seven harmless requests that ran beside the fatal one."""
     quarantine = Quarantine(TERMS)
     for number in range(3):
-        quarantine.note_crash(Crash(f"e{number}", (1, 2), float(number)))
+        quarantine.record_crash(Crash(f"e{number}", (1, 2), float(number)))
     assert [quarantine.get_block(digest, 3.0) for digest in (1, 2)] == [None, None]
-    quarantine.note_crash(Crash("e3", (1,), 3.0))
+    quarantine.record_crash(Crash("e3", (1,), 3.0))
     assert quarantine.get_block(1, 3.0) is not None
     assert quarantine.get_block(2, 3.0) is None
     for number in range(5):
-        quarantine.note_crash(Crash(f"e{number}", (8, 9), 10.0))
+        quarantine.record_crash(Crash(f"e{number}", (8, 9), 10.0))
     assert (
         quarantine.get_block(8, 11.0) is not None
     ), "it crashes engines, whether or not the other does"
--- a/cloverway/tests/test_core_token_gaps.py
+++ b/cloverway/tests/test_core_token_gaps.py
@@ -16,7 +16,7 @@
 from cloverway.core.deployment import (
     CallKind,
     EndpointEntry,
-    EngineShape,
+    EngineSpec,
     Route,
     Service,
     WeightedService,
@@ -33,7 +33,7 @@
     TokenGap,
 )
 
-SERVICE = Service("model", 360, engine=EngineShape(64, 240_000, tokens_per_event=5))
+SERVICE = Service("model", 360, engine=EngineSpec(64, 240_000, tokens_per_event=5))
 SHARE = (WeightedService("model", 1.0),)
 TOKENS_PER_S = 38_000
 CHUNK = 4_096
@@ -96,8 +96,8 @@
         return True
 
     def apply_update(self, other, tokens, now):
-        self.endpoint.load.note_sibling(other, HostLoad(1, tokens, tokens, now), ())
-        self.endpoint.load.note_prefill(tokens, now)
+        self.endpoint.load.record_host_load(other, HostLoad(1, tokens, tokens, now), ())
+        self.endpoint.load.record_prefill(tokens, now)
 
 
 def simulate(gap_s, burst_ratio):
@@ -162,7 +162,7 @@
     """Its events hold few tokens, or it is fast: it can sustain uninterrupted prefill."""
     burst_limit = PrefillBurstLimit()
     for number in range(24_000):
-        burst_limit.note(TokenGap(0.3, 0.8), number / 20)
+        burst_limit.record(TokenGap(0.3, 0.8), number / 20)
     assert burst_limit.ratio == MAX_BURST_RATIO
 
 
@@ -170,8 +170,8 @@
     burst_limit = PrefillBurstLimit()
     for _ in range(10):
         # Ten answers stall together.
-        burst_limit.note(TokenGap(0.61, 0.6), 0.0)
+        burst_limit.record(TokenGap(0.61, 0.6), 0.0)
     assert MIN_BURST_RATIO < burst_limit.ratio < INITIAL_BURST_RATIO
     for number in range(200):
-        burst_limit.note(TokenGap(2.0, 0.6), number * 1.0)
+        burst_limit.record(TokenGap(2.0, 0.6), number * 1.0)
     assert burst_limit.ratio == MIN_BURST_RATIO
--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverway.core.members import Member, Members
-from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Crash, Quarantine, QuarantineSettings
 from cloverway.serving.hosts import broadcast, crashes
 from cloverway.serving.hosts.broadcast import BROADCAST_DELAY_S, UpdateBroadcaster
 from cloverway.serving.hosts.crashes import MAX_DIGESTS, REBROADCAST_S, CrashExchange
@@ -25,7 +25,7 @@
 
     def __init__(self, net, name, region):
         self.members = Members(Member(name, 1, region, region, name, name, True))
-        self.quarantine = Quarantine(QuarantineTerms())
+        self.quarantine = Quarantine(QuarantineSettings())
         self.exchange = CrashExchange(name, self.quarantine, Metrics())
         self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
         self.broadcaster.send = lambda to, data: net.send(name, to, data)
@@ -173,7 +173,7 @@
         await settle()
         assert len(net.sent) == 1
         for number in range(300):
-            net.hosts["a1"].quarantine.note_crash(Crash(f"{name}{number}", (number,), clock[0]))
+            net.hosts["a1"].quarantine.record_crash(Crash(f"{name}{number}", (number,), clock[0]))
         net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
         assert all(len(data) <= PACKET_BYTES for _, _, data in net.sent)
         assert sum(net.hosts["a2"].knows(number) for number in range(300)) == 256
@@ -194,12 +194,12 @@
     """
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(20)))
     for host in net.hosts.values():
-        host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
+        host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
 
     async def scenario():
         for joining in ("a3", "b7", "c19"):
             host = net.hosts[joining]
-            host.quarantine = host.exchange._quarantine = Quarantine(QuarantineTerms())
+            host.quarantine = host.exchange._quarantine = Quarantine(QuarantineSettings())
             net.sent.clear()
             for other in net.hosts.values():
                 if other is not host:
@@ -215,7 +215,7 @@
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(6)))
     for name, host in net.hosts.items():
         if name[0] != "b":
-            host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
+            host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
 
     async def scenario():
         for name, host in net.hosts.items():
@@ -230,10 +230,10 @@
     net = Net("a1", "a2")
     quarantine = net.hosts["a1"].quarantine
     for number in range(3):
-        quarantine.note_crash(Crash(f"held-{number}", (DEADLY,), clock[0]))
-    quarantine.note_crash(Crash("old", (8,), clock[0]))
+        quarantine.record_crash(Crash(f"held-{number}", (DEADLY,), clock[0]))
+    quarantine.record_crash(Crash("old", (8,), clock[0]))
     clock[0] += crashes.SYNC_AGE_S + 1.0
-    quarantine.note_crash(Crash("new", (9,), clock[0]))
+    quarantine.record_crash(Crash("new", (9,), clock[0]))
     net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
     assert [net.hosts["a2"].knows(digest) for digest in (DEADLY, 8, 9)] == [3, 0, 1]
 
@@ -244,7 +244,7 @@
     for hosts in (10, 100):
         net = Net(*(f"a{number}" for number in range(hosts)))
         for host in net.hosts.values():
-            host.quarantine.note_crash(Crash("e", (DEADLY,), clock[0]))
+            host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
         for _ in range(20):
             for host in net.hosts.values():
                 host.broadcaster.rebroadcast(clock[0] + 1.0)
--- a/cloverway/tests/test_endpoint_loads.py
+++ b/cloverway/tests/test_endpoint_loads.py
@@ -54,9 +54,9 @@
     assert name == "b"
     there.exchange.receive(message, 0.0)
     assert there.load().sum_region_load(0.1).running == 1
-    assert there.load().backlog(0.0) == 9_000
+    assert there.load().estimate_backlog(0.0) == 9_000
     assert there.load().count_uncached(PROMPT) == 0
-    assert there.load("e2").backlog(0.0) == 0
+    assert there.load("e2").estimate_backlog(0.0) == 0
 
 
 def test_only_changes_are_broadcast_and_everything_periodically():
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -300,7 +300,7 @@
             (host,) = crashing.fleet.hosts
             await quarantine_request(crashing, host)
             host.context.target_selector.take = lambda routed, ahead_s, now: None
-            host.context.target_selector.estimate_start = lambda routed, ahead_s, now: None
+            host.context.target_selector.estimate_start_delay = lambda routed, ahead_s, now: None
             began = read_clock()
             reply = await crashing.fleet.call("/stream/a", body=CRASHING_BODY)
             assert read_clock() - began < 0.3
@@ -351,12 +351,12 @@
                 return choose(routed, ahead_s, now) if go_on.is_set() else None
 
             host.context.target_selector.take = wait
-            host.context.target_selector.estimate_start = lambda routed, ahead_s, now: None
+            host.context.target_selector.estimate_start_delay = lambda routed, ahead_s, now: None
             sending = await crashing.fleet.begin_call("/stream/a", body=CRASHING_BODY)
             await wait_for(lambda: waits)
             for number in range(MAX_CRASHES):
                 crash = Crash(f"gone-{number}", (waits[0],), read_clock())
-                host.context.quarantine.note_crash(crash)
+                host.context.quarantine.record_crash(crash)
             go_on.set()
             head = await sending.read_head(lambda head: True)
             assert head.status == 503
--- a/cloverway/tests/test_fleet_gossip.py
+++ b/cloverway/tests/test_fleet_gossip.py
@@ -7,7 +7,7 @@
 
 from types import SimpleNamespace
 
-from cloverway.core.deployment import Configuration, EndpointEntry, EngineShape, Service, Topology
+from cloverway.core.deployment import Configuration, EndpointEntry, EngineSpec, Service, Topology
 from cloverway.core.endpoints import Directory, Endpoint
 from cloverway.core.members import ACTIVE_REQUESTS_PER_S, MIN_NAMED_HOSTS, Member, Members
 from cloverway.serving.hosts.broadcast import UpdateBroadcaster
@@ -42,13 +42,13 @@
             for other in range(hosts):
                 self.members.apply_state(make_member(region, other), 0.0, True, 0.0)
         directory = Directory(Topology("north-a", "north", {"north-a": "north"}))
-        service = Service("model", 360, engine=EngineShape(64, 240_000))
+        service = Service("model", 360, engine=EngineSpec(64, 240_000))
         directory.configuration = Configuration(1, (), {"model": service})
         entry = EndpointEntry("e1", "model", "10.0.0.1:80", "north-a", 64)
         directory.endpoints["e1"] = Endpoint(entry, "north")
         directory._index()
         catalogue = SimpleNamespace(read_at=0.0, table=SimpleNamespace(revision=1, digest=1))
-        sync = SimpleNamespace(note_peer=lambda peer, now: None)
+        sync = SimpleNamespace(record_peer=lambda peer, now: None)
         metrics = Metrics()
         self.gossip = Gossip(
             self.members,
@@ -86,7 +86,7 @@
 def test_a_busy_host_with_low_capacity_counts_as_serving():
     busy = Host(7)
     for step in range(100):
-        busy.members.note_arrival(step / 100)
+        busy.members.record_arrival(step / 100)
     assert busy.members.get_own_request_rate(1.0) > ACTIVE_REQUESTS_PER_S
     assert all(message.offers for _, message in busy.send_to_remote_regions(1))
 
@@ -153,7 +153,7 @@
     assert idle.gossip._choose_period(RECENTLY_STARTED_S - 0.1) == MAX_REGION_PERIOD_S
     assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_IDLE_PERIOD_S
     for _ in range(20):
-        idle.members.note_arrival(RECENTLY_STARTED_S)
+        idle.members.record_arrival(RECENTLY_STARTED_S)
     assert idle.gossip._choose_period(RECENTLY_STARTED_S) == MAX_REGION_PERIOD_S
 
 
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -260,7 +260,9 @@
             tokens = (b"X-Cloverway-Token-Usage", b"9000,50")
             sending = await fleet.begin_call("/stream/", first, headers=(tokens,))
             endpoints = second.directory.endpoints.values()
-            await wait_for(lambda: any(e.load.backlog(read_clock()) for e in endpoints), 1.0)
+            await wait_for(
+                lambda: any(e.load.estimate_backlog(read_clock()) for e in endpoints), 1.0
+            )
             sending.connection.abort()
 
     run_scenario(scenario)
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -34,9 +34,9 @@
     now = read_clock()
     for host in fleet.hosts:
         for number in range(3):
-            host.context.quarantine.note_crash(Crash(f"gone-{number}", (DEADLY,), now - 30.0))
+            host.context.quarantine.record_crash(Crash(f"gone-{number}", (DEADLY,), now - 30.0))
         life = host.directory.endpoints["desk-0"].entry.incarnation
-        host.directory.note_statement(life, Statement(0.5, now, True))
+        host.directory.record_statement(life, Statement(0.5, now, True))
     await asyncio.sleep(0.1)
 
 
@@ -91,7 +91,7 @@
             for host in fleet.hosts:
                 for number in range(3):
                     crash = Crash(f"gone-{number}", (digest,), read_clock() - 30.0)
-                    host.context.quarantine.note_crash(crash)
+                    host.context.quarantine.record_crash(crash)
             old, sibling = fleet.hosts
             delay_datagrams(sibling, 0.05)
             new = await restart(fleet, old)
--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -83,10 +83,12 @@
             pool = host.context.pool
             open_connection = pool.acquire
 
-            async def open_slowly(place, timeout_s):
-                connection = await open_connection(place, timeout_s)
-                if place.address == leaving.endpoint.address:
-                    host.directory.note_statement(place.incarnation, Statement(leaving=True))
+            async def open_slowly(destination, timeout_s):
+                connection = await open_connection(destination, timeout_s)
+                if destination.address == leaving.endpoint.address:
+                    host.directory.record_statement(
+                        destination.incarnation, Statement(leaving=True)
+                    )
                 return connection
 
             pool.acquire = open_slowly
--- a/cloverway/tests/test_fleet_restarts.py
+++ b/cloverway/tests/test_fleet_restarts.py
@@ -134,7 +134,7 @@
             await wait_for(lambda: all(get_entry(fleet, e.name).started_ms for e in engines))
             await fleet.call("/cut/", headers=make_shared_prefix_headers(1, 1_000))
             holder = next(engine for engine in engines if engine.requests)
-            await wait_for(lambda: not known[holder.name].load.backlog(read_clock()))
+            await wait_for(lambda: not known[holder.name].load.estimate_backlog(read_clock()))
             fleet.store.put(f"servers/{holder.name}", holder.make_entry(born=2_000))
             await wait_for(lambda: get_entry(fleet, holder.name).started_ms == 2_000)
             await fleet.call("/cut/", headers=make_shared_prefix_headers(3, 1_000))
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -90,7 +90,7 @@
 
             first.answer = first.stream(1, 2, aborts=True)
             second.answer = continue_late
-            host.directory.endpoints["model-1"].load.note_failure(read_clock())
+            host.directory.endpoints["model-1"].load.record_failure(read_clock())
             reply = await fleet.call("/stream/")
             assert reply.complete
             assert reply.body.count(b"id: ") == 5
@@ -141,7 +141,7 @@
             holder = next(endpoint for endpoint in engines if endpoint.requests)
             other = next(endpoint for endpoint in engines if not endpoint.requests)
             load = fleet.hosts[0].directory.endpoints[holder.name].load
-            await wait_for(lambda: not load.backlog(read_clock()))
+            await wait_for(lambda: not load.estimate_backlog(read_clock()))
             holder.answer = holder.never_answer
             waiting = await fleet.begin_call("/cut/", headers=make_shared_prefix_headers(2, 9_000))
             await wait_for(lambda: len(holder.requests) == 2)
@@ -164,7 +164,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 3000)
-            load.note_prefill(int(10 / load.prefill_s_per_token), read_clock())
+            load.record_prefill(int(10 / load.prefill_s_per_token), read_clock())
             sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,))
             assert reply.status == 503
@@ -185,7 +185,7 @@
     async def scenario():
         async with run_fleet(endpoints=1) as fleet:
             load = await publish_engine(fleet, 6000)
-            load.note_prefill(int(0.8 / load.prefill_s_per_token), read_clock())
+            load.record_prefill(int(0.8 / load.prefill_s_per_token), read_clock())
             sent_at = read_clock()
             reply = await fleet.call("/cut/", headers=(PROMPT,), deadline_ms=6000)
             assert reply.status == 200
--- a/cloverway/tests/test_incarnations.py
+++ b/cloverway/tests/test_incarnations.py
@@ -31,7 +31,7 @@
 def pretend_crash(host, digest: int = DIGEST):
     """Record a crash of the engine under a request; return the engine as the host knows it."""
     known = host.directory.endpoints["engine"]
-    host.context.quarantine.note_crash(Crash(known.entry.incarnation, (digest,), read_clock()))
+    host.context.quarantine.record_crash(Crash(known.entry.incarnation, (digest,), read_clock()))
     return known
 
 
@@ -75,7 +75,7 @@
             known = pretend_crash(host)
             engine.answer_state = engine.never_answer
             assert not await host.context.incarnations.may_send(known, DIGEST)
-            assert known.load.failures(read_clock()) > 0
+            assert known.load.count_failures(read_clock()) > 0
 
     run_scenario(scenario)
 
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -50,7 +50,7 @@
         facts = ReplyFacts(
             not_run=False, is_signed=is_signed, limit_per_s=limit_per_s, leaving=leaving
         )
-        self.exchange.note_answer(life, facts, request_id="r", sent_at=now - 1, now=now)
+        self.exchange.record_answer(life, facts, request_id="r", sent_at=now - 1, now=now)
 
     def take_sent(self):
         sent, self.sent = self.sent, []
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -8,7 +8,7 @@
 
 from cloverway.core.members import Member, Members
 from cloverway.core.prediction import Candidate, RoutedCall
-from cloverway.core.quarantine import Crash, Quarantine, QuarantineTerms
+from cloverway.core.quarantine import Crash, Quarantine, QuarantineSettings
 from cloverway.serving.clock import read_clock
 from cloverway.serving.hosts.broadcast import UpdateBroadcaster
 from cloverway.serving.hosts.messages import CODEC
@@ -26,9 +26,9 @@
     def __init__(self, name, other):
         self.members = Members(_make_member(name))
         self.members.apply_state(_make_member(other), 0.0, True, 0.0)
-        self.quarantine = Quarantine(QuarantineTerms())
+        self.quarantine = Quarantine(QuarantineSettings())
         for number, digests in enumerate(((SUSPECT, OTHER), (SUSPECT,), (OTHER,))):
-            self.quarantine.note_crash(Crash(f"gone-{number}", digests, NOW))
+            self.quarantine.record_crash(Crash(f"gone-{number}", digests, NOW))
         self.tracker = SuspectTracker(name, self.quarantine)
         self.broadcaster = UpdateBroadcaster(self.members, [self.tracker])
         self.broadcaster.send = lambda name, data: self.sent.append(CODEC.decode(data))
