--- a/cloverway/core/calls.py
+++ b/cloverway/core/calls.py
@@ -10,7 +10,7 @@
 
 
 def compute_digest(names: Iterable[str], body: bytes) -> int:
-    """Return a 63-bit digest of a request: names without line breaks, and the body."""
+    """Return a 63-bit digest of a body and of names, which must not have line breaks."""
     digest = hashlib.blake2b("\n".join(names).encode() + b"\n\n", digest_size=8)
     digest.update(body)
     return int.from_bytes(digest.digest(), "big") >> 1
@@ -51,6 +51,7 @@
     prompt: Prompt | None = None
     last_event_id: str = ""
     forwarding: ForwardingContext | None = None
+    """Set if another host forwarded the request; None if it came from its caller."""
 
     @property
     def path(self) -> str:
@@ -60,7 +61,7 @@
     def compute_digest(self) -> int:
         """Return a digest that is the same for all repeats of the request.
 
-        Each try of a caller has its own id, so the id does not identify repeats. Hashing takes
+        Each attempt of a caller has its own id, so the id does not identify repeats. Hashing takes
         about 20 us for 18 KB, so the digest is computed only where it is needed.
         """
         return compute_digest((self.method, self.host, self.target), self.body)
--- a/cloverway/core/cold_start.py
+++ b/cloverway/core/cold_start.py
@@ -8,8 +8,8 @@
 from cloverway.core.members import rank_host
 
 SEND_WINDOW_S = 1.1
-"""The second in which sends are counted, plus a tenth: sends spaced by exactly one second may
-arrive closer together than they left."""
+"""Window in which sends are counted: a second, and a tenth more because sends spaced by exactly one
+second may arrive closer together than they were sent."""
 MIN_HOST_AGE_S = 2.0
 """Minimum age of a host that sends to cold endpoints. By then it has received heartbeats from the
 other hosts of its region, which come every 0.4 to 1 s, and those have known of it for a whole
@@ -21,7 +21,9 @@
     """How far the hosts together may exceed the stated rate of a cold endpoint."""
 
     overshoot: float = 1.0
+    """Factor by which the stated rate is multiplied."""
     slack: float = 0.0
+    """Requests per second that are allowed in addition."""
 
 
 def compute_cold_send_interval(
@@ -42,8 +44,8 @@
     """
     if age_s < MIN_HOST_AGE_S:
         return None
-    bound = int(cold_per_s * settings.overshoot + settings.slack)
+    max_sends = int(cold_per_s * settings.overshoot + settings.slack)
     rank = sorted({host, *hosts}, key=lambda name: rank_host(endpoint, name))
-    if rank.index(host) >= bound:
+    if rank.index(host) >= max_sends:
         return None
-    return SEND_WINDOW_S / max(1, bound // len(rank))
+    return SEND_WINDOW_S / max(1, max_sends // len(rank))
--- a/cloverway/core/deployment.py
+++ b/cloverway/core/deployment.py
@@ -53,10 +53,10 @@
 
     def pick_service(self, point: float) -> str:
         """Return the service at `point`, in [0, 1), of the cumulative weights."""
-        left = point * sum(share.weight for share in self.services)
+        remaining = point * sum(share.weight for share in self.services)
         for share in self.services:
-            left -= share.weight
-            if left < 0:
+            remaining -= share.weight
+            if remaining < 0:
                 return share.service
         return self.services[-1].service
 
@@ -157,7 +157,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Identify one run of the endpoint; what is known of one run isn't valid for the next."""
+        """The id of this incarnation; what is known of one incarnation isn't valid for the next."""
         return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
 
--- a/cloverway/core/documents.py
+++ b/cloverway/core/documents.py
@@ -29,7 +29,7 @@
 all documents. At 840 restarts a day, an hour has 35 deletions."""
 MAX_UNREADABLE = 2_000
 """Unreadable documents retained, so that each is reported once and other hosts learn which entries
-became invalid. Beyond this number the oldest are forgotten."""
+became invalid. Beyond this number the oldest are dropped."""
 MAX_DOCUMENTS = 30_000
 """Documents stored: three times the endpoints of the largest deployment planned for. Further
 documents are ignored, so that a writer that fills the store can't exhaust the memory of hosts."""
@@ -146,8 +146,8 @@
             return []
         self._unreadable[document.key] = document.revision
         if len(self._unreadable) > MAX_UNREADABLE:
-            _, forgotten_at = self._unreadable.popitem(last=False)
-            self._complete_since = max(self._complete_since, forgotten_at)
+            _, dropped_at = self._unreadable.popitem(last=False)
+            self._complete_since = max(self._complete_since, dropped_at)
         return publications
 
     def _remove(
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -134,7 +134,7 @@
     def record_statement(
         self, incarnation: str, statement: Statement
     ) -> tuple[StatementChange, ...]:
-        """Apply the statement of an incarnation of an endpoint; return what is new in it."""
+        """Apply the statement of an incarnation of an endpoint; return what changed."""
         changes = self.statements.record(incarnation, statement)
         if StatementChange.LEAVING in changes:
             for endpoint in self.endpoints.values():
@@ -166,7 +166,7 @@
         """Return the number of endpoints with a rate limit."""
         return sum(map(self.is_limited, self.endpoints.values()))
 
-    def record_restart(self, name: str, started_ms: int, now: float) -> list[Change]:
+    def record_restart(self, name: str, new_start_ms: int, now: float) -> list[Change]:
         """Apply the start time that an endpoint has reported itself; return the changes.
 
         Its entry arrives later. Until then the new incarnation is treated as cold for as long as
@@ -177,11 +177,11 @@
         if (
             endpoint is None
             or endpoint.entry.started_ms is None
-            or started_ms <= endpoint.entry.started_ms
+            or new_start_ms <= endpoint.entry.started_ms
         ):
             return []
         entry = endpoint.entry._replace(
-            started_ms=started_ms,
+            started_ms=new_start_ms,
             draining=False,
             removal_in_s=None,
             cold_s=self._get_cold_s(endpoint.entry.service),
--- a/cloverway/core/isolation.py
+++ b/cloverway/core/isolation.py
@@ -21,7 +21,7 @@
 the traffic is followed within a few answers."""
 MIN_STALLED_FRACTION = 0.03
 """Minimum fraction of answers with a stall for isolation. Engines that keep the gap objective under
-any prefill load would only lose by it, because each prompt has fewer engines to choose from."""
+any prefill load gain nothing from isolation, which leaves each prompt fewer engines."""
 MIN_ANSWERS = 8.0
 """Minimum decayed number of answers for that fraction to be significant."""
 SELECTION_TTL_S = 0.5
@@ -29,19 +29,18 @@
 that joins or leaves changes the selection by one."""
 AVOIDANCE_COST_S = 0.8
 """Cost of any other answer at an engine selected for large prompts, if a large prompt is certain to
-arrive while it runs: either the answer stalls there, or it is queued behind others elsewhere. A
-cost of 2.0 gave the same score."""
+arrive while it runs: either the answer stalls there, or it is queued behind others elsewhere."""
 LARGE_PROMPT_INTERVAL_S = 2.0
 """Decode time after which an answer is certain to be running when a large prompt arrives at a
-selected engine. At 1.2 to 2 times the capacity of the engines, each got one every two to three
-seconds."""
+selected engine. Under a load of 1.2 to 2 times the capacity of the engines, each selected engine
+gets one every two to three seconds."""
 
 
 class LargePromptIsolation:
     """Observes prompts and stalls of a service and selects the engines for its large prompts.
 
-    All hosts of a region rank its engines alike and see about the same traffic, so they select the
-    same ones, give or take one, without communication.
+    All hosts of a region rank its engines alike and see about the same traffic. Without
+    communication they select the same ones, or differ by one.
     """
 
     def __init__(self, service: str) -> None:
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -1,4 +1,4 @@
-"""The load of an endpoint, from own requests, reports of sibling hosts and observed responses."""
+"""The load of an endpoint, from this host's requests, other hosts' reports and the responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from cloverway.core.token_gaps import PrefillBurstLimit, PrefillSaturation, TokenGap
 
 HOST_LOAD_TTL_S = 2.0
-"""Lifetime of a sibling's report: four datagrams lost in a row are rarer than a dead host."""
+"""How long a report of another host is valid: twice the period in which hosts repeat an unchanged
+load, so that one lost datagram has little effect."""
 INITIAL_SERVICE_TIME_S = 0.05
 """Service time of a request to a plain service before the first measurement."""
 SERVICE_TIME_WEIGHT = 0.1
@@ -22,8 +23,8 @@
 """KV cache capacity of an endpoint for which none is stated."""
 PREFILL_DUTY = 0.7
 """Target fraction of an engine's time spent on prefill. Each engine step prefills a chunk of
-prompts and produces one token of each running answer. With prefill work in every step, five tokens
-take longer than the gap objective."""
+prompts and produces one token of each running answer. With prefill work in every step, an event of
+five tokens takes longer than the gap objective."""
 MAX_PREFILL_SPEEDUP = 2.0
 """Maximum factor by which an engine may have exceeded its estimated prefill speed. Only tokens
 beyond that were certainly cached."""
@@ -31,8 +32,8 @@
 """Half-life of the rate of sent prompt tokens: long compared with the prefill of one prompt, short
 compared with changes of the traffic."""
 MAX_UNSENT_SEGMENTS = 64
-"""Maximum number of segments not yet sent to siblings; a host without siblings must not keep
-all."""
+"""Maximum number of segments kept until they are sent to the other hosts of the region; a host that
+is alone in its region never sends them."""
 MAX_PREFILL_BUSY = 0.95
 """Maximum estimated fraction of time spent on prefill: decoding always goes on, if slowly."""
 FAILURE_HALF_LIFE_S = 4.0
@@ -82,7 +83,7 @@
 
 
 class LoadUpdate(NamedTuple):
-    """An update that a host sends to its siblings on its requests at an endpoint."""
+    """An update for the other hosts of the region on this host's requests at an endpoint."""
 
     own: HostLoad
     segments: tuple[PromptSegment, ...]
@@ -106,13 +107,13 @@
         self._backlog = 0.0
         self._unsent_prefill_tokens = 0
         self._unsent_segments: deque[PromptSegment] = deque(maxlen=MAX_UNSENT_SEGMENTS)
-        """Segments sent to the endpoint and not yet announced to siblings."""
+        """Segments sent to the endpoint and not yet reported to the other hosts of the region."""
         self._prefill_speed = PrefillSpeed()
         self._decode_speed = DecodeSpeed()
         self.service_time_s = INITIAL_SERVICE_TIME_S
         self.last_progress_at = 0.0
         self._has_changed = False
-        """Whether the load has changed since the last update to siblings."""
+        """Whether the load has changed since the last update for other hosts."""
         self._failures = DecayingSum(FAILURE_HALF_LIFE_S)
         self._saturation = PrefillSaturation()
         self._burst_limit = PrefillBurstLimit()
@@ -213,7 +214,7 @@
     def record_host_load(
         self, host: str, load: HostLoad, segments: Iterable[PromptSegment]
     ) -> None:
-        """Apply a load report of a sibling, another host of the region."""
+        """Apply a load report of another host of the region."""
         self._host_loads[host] = load
         self.record_segments(segments, load.reported_at)
 
@@ -222,7 +223,7 @@
         return self._own_load
 
     def _update_own(self, running: int, prefill_tokens: int, reserved_kv_tokens: int) -> None:
-        """Update the sum; it is kept because each placement reads it for every endpoint."""
+        """Update this host's load, which is cached: each placement reads it for every endpoint."""
         own = self._own_load
         self._own_load = HostLoad(
             own.running + running,
@@ -253,7 +254,7 @@
         return self._has_changed or bool(self._unsent_segments) or (is_refresh and bool(self._own))
 
     def take_update(self, max_segments: int) -> LoadUpdate:
-        """Return the update for siblings and mark it as sent."""
+        """Return the update for the other hosts of the region and mark it as sent."""
         count = min(max_segments, len(self._unsent_segments))
         segments = tuple(self._unsent_segments.popleft() for _ in range(count))
         sent_prefill_tokens, self._unsent_prefill_tokens = self._unsent_prefill_tokens, 0
--- a/cloverway/core/lookup.py
+++ b/cloverway/core/lookup.py
@@ -45,10 +45,11 @@
 def choose_lookup_ttl(ttl_s: float, age_s: float) -> float | None:
     """Return the TTL of a lookup answer of a host of some age; None if it must not answer yet.
 
-    Just after a restart of all hosts, each of them knows only itself. When it named itself, each
-    small host got callers and sent their prompts as if it were the only one: engines received three
-    times the prompt tokens that they can prefill in a second, and streams stalled for 10 s. Callers
-    that get no new answer keep their old one, which names the largest hosts.
+    Just after a restart of all hosts, each of them knows only itself. If it answered with its own
+    address, each small host would get callers and send their prompts as if it were the only host:
+    engines received three times the prompt tokens that they can prefill in a second, and streams
+    stalled for 10 s. Callers that get no new answer keep their old one, which names the largest
+    hosts.
     """
     if age_s < MIN_LOOKUP_AGE_S:
         return None
--- a/cloverway/core/members.py
+++ b/cloverway/core/members.py
@@ -41,15 +41,14 @@
 """Time without a heartbeat after which a host is forgotten. Shares of common budgets are computed
 from the number of known hosts, so a host that is cut off must be counted for much longer than it
 counts as alive."""
-
-
 MAX_MISSED_HEARTBEATS = 2.5
-"""Heartbeat periods without a heartbeat before a host with a long period counts as dead: two
+"""Heartbeat periods without a heartbeat after which a host with a long period counts as dead: two
 heartbeats may be lost. Such hosts serve no callers, so no request is lost if one counts as alive
-for a little longer, or as dead too early; but callers must not be directed to it for 8 s after a
-crash."""
+for a little longer, or as dead too early. With the longest period, 3.2 s, a crashed host counts as
+alive for 8 s; callers must not be directed to it for longer."""
 MAX_CACHED_RANKS = 4_096
-"""Cached ranks; they are needed ten times a second for each host of the own failure domain."""
+"""Maximum number of cached ranks. The rank of each host of the own failure domain is needed several
+times a second."""
 
 
 class Member(NamedTuple):
@@ -139,7 +138,10 @@
         return rate + (self.get_own_request_rate(now) if self.own.domain == domain else 0.0)
 
     def apply_state(self, member: Member, age_s: float, is_direct: bool, now: float) -> Peer | None:
-        """Apply the state of a host, from itself (`direct`) or from another; None if outdated."""
+        """Apply the state of a host; return it, or None if the update is outdated.
+
+        `is_direct` tells whether the host itself sent the update.
+        """
         if member.name == self.own.name:
             return None
         heard_at = now - age_s
@@ -180,10 +182,10 @@
             return age_s <= min(
                 MAX_REMOTE_ALIVE_TIMEOUT_S, REMOTE_ALIVE_TIMEOUT_S * max(1.0, remote / REMOTE_HOSTS)
             )
-        bound_s = min(
+        timeout_s = min(
             MAX_ALIVE_TIMEOUT_S, ALIVE_TIMEOUT_S * max(1.0, self._region_size / SMALL_REGION_HOSTS)
         )
-        return age_s <= max(bound_s, MAX_MISSED_HEARTBEATS * peer.heartbeat_period_s)
+        return age_s <= max(timeout_s, MAX_MISSED_HEARTBEATS * peer.heartbeat_period_s)
 
     def list_alive(self, now: float) -> list[Peer]:
         """Return the other hosts that are alive."""
@@ -235,11 +237,11 @@
 
     def list_leaving(self, now: float) -> list[Member]:
         """Return the hosts, including this one, that are leaving and still accept requests."""
-        left = {peer.member: peer.leaving_since for peer in self.list_alive(now)}
-        left[self.own] = self.leaving_since
+        times = {peer.member: peer.leaving_since for peer in self.list_alive(now)}
+        times[self.own] = self.leaving_since
         return [
             member
-            for member, since in left.items()
+            for member, since in times.items()
             if since is not None and now - since <= LEAVING_NAMED_S
         ]
 
@@ -267,7 +269,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_RANKS)
 def rank_host(key: str, host: str) -> bytes:
-    """Return a host's rank for a duty by rendezvous hashing; all hosts agree on the lowest."""
+    """Return a host's rank for a key by rendezvous hashing; all hosts compute the same order."""
     return hashlib.blake2b(f"{key} {host}".encode(), digest_size=8).digest()
 
 
--- a/cloverway/core/prediction.py
+++ b/cloverway/core/prediction.py
@@ -17,8 +17,8 @@
 
 FAILURE_PENALTY_S = 0.5
 """Added to the prediction of an endpoint for each recent failure: about the time that a caller
-loses when a request fails there and is retried elsewhere. It orders endpoints and excludes none, so
-the last one is always used."""
+loses when a request fails there and is retried elsewhere. It changes the order of endpoints and
+excludes none, so a single endpoint is used however often it fails."""
 STALLED_AFTER_S = 1.5
 """An endpoint with running requests and no events for this long is treated as stalled."""
 STALL_PENALTY_S = 3.0
@@ -35,9 +35,8 @@
 DEFAULT_GAP_OBJECTIVE_S = 0.6
 """Gap objective for routes without one: the smallest of the known deployments."""
 STALL_COST_S = 0.3
-"""Cost of each such stall. One large prompt in 25 is that long. Sending it to the engine with the
-fewest streams raised the score of one of four simulated days from 0.611 to 0.645 of the maximum;
-the others stayed the same within 0.01."""
+"""Cost of each such stall. One large prompt in 25 is that long; without this cost it may go to an
+engine with many streams and stall all of them."""
 PREFILL_WEIGHT = 0.5
 """Weight of the prefill time, on top of the request's own wait. The next requests wait for it too,
 so an endpoint that has a shared prefix cached is worth a longer wait."""
@@ -48,21 +47,21 @@
 """Cost of an answer that is truncated by the timeout of its route: the generated tokens are lost,
 and the caller gets nothing."""
 TRUNCATION_RISK_START = 0.5
-"""Fraction of the remaining time from which a truncation is a risk: token estimates are off by
-half."""
+"""Fraction of the remaining time from which a truncation is a risk: estimates of output tokens
+may be off by half."""
 LARGE_PROMPT_FRACTION = 0.5
 """Maximum prefill time that a prompt counts against the burst limit, as a fraction of the limit. A
-larger prompt would otherwise wait for an engine without queue, and be overtaken by each smaller one
-that arrives meanwhile."""
+larger prompt would otherwise wait until an engine has no queue, while smaller prompts that arrive
+later overtake it."""
 SMALL_PREFILL_S = 0.065
 """Maximum prefill time of a small prompt. It hardly extends the gaps of other answers, because
 engines prefill in chunks that take about as long."""
 SMALL_PROMPT_BURSTS = 2.0
 """Number of full bursts that a small prompt may be queued behind."""
 AFFINITY_BONUS = 0.3
-"""Bonus of the endpoint that a hash assigns to a shared prefix, as a fraction of the prefill time
-of its last segment. It counts while no endpoint is known to have the prefix cached. All hosts then
-send it to the same endpoint without communication."""
+"""Maximum bonus of an endpoint for a shared prefix, as a fraction of the prefill time of its last
+segment. It applies when no endpoint is known to fetch the prefix from. A hash of the prefix and the
+endpoint scales it, so that all hosts prefer the same endpoint without communication."""
 SLOT_WAIT_S = 0.5
 """Time until a full endpoint has a free slot: about the interval at which streams end at an engine
 with all slots in use."""
@@ -150,9 +149,9 @@
     hosts: int = 1
     """Number of hosts in its region, including itself."""
     is_recently_started: bool = False
-    """Whether it has just started and may not know the load of the other hosts. It then sends one
-    long prompt at a time to an engine that seems idle: when all hosts start together, each would
-    otherwise fill every engine by itself."""
+    """Whether it has just started and may not know the load that other hosts put on endpoints. It
+    then sends each engine one long prompt at a time, and only while the engine seems idle.
+    Otherwise hosts that start together would each fill every engine up to the limit."""
 
 
 def estimate_work(call: Call, endpoint: Endpoint, source: FetchSource | None = None) -> Work:
@@ -170,8 +169,8 @@
 def estimate_remote_work(call: Call) -> Work:
     """Estimate the work of a request at an endpoint in another region.
 
-    Its own last segment is counted in full, and the shared prefix by half, since it isn't known
-    here whether that is cached there.
+    Count the last segment of its prompt in full and half of the shared prefix, because the caches
+    of that region aren't known here.
     """
     prompt = call.prompt
     if prompt is None:
@@ -289,7 +288,7 @@
 def predict_region(
     routed: RoutedCall, capacity: AdvertisedCapacity, remote: RemoteRegion, now: float
 ) -> RegionCandidate:
-    """Predict the wait and the cost of a request in another region from its offer."""
+    """Predict the wait and the cost of a request in another region from its capacity."""
     call = routed.call
     wait_s = capacity.wait_s + remote.round_trip_s
     crossing_s = CROSS_DOMAIN_S_PER_BYTE * _estimate_bytes(call)
@@ -351,7 +350,7 @@
 
 
 def _compute_affinity_bonus(call: Call, endpoint: Endpoint) -> float:
-    """Return the bonus for an endpoint that a hash assigns to the shared prefix."""
+    """Return the bonus, in seconds, of an endpoint for the shared prefix of a prompt."""
     assert call.prompt is not None
     shared = call.prompt.segments[:-1]
     if not shared:
--- a/cloverway/core/quarantine.py
+++ b/cloverway/core/quarantine.py
@@ -5,7 +5,7 @@
 all endpoints of whole regions. A single crash doesn't identify the request, because every request
 that ran there is lost. A request that was running during the crashes of several endpoints, and was
 never served in between, is treated as the cause, unless another request was running during all the
-same crashes: then only the next crash tells which of them it was.
+same crashes: then only the next crash shows which of them it was.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 MIN_RESTART_S = 0.2
 """Minimum time for a crashed endpoint to be back: starting a process alone takes longer. A
 connection that is opened sooner reaches the process that was there before."""
-MAX_HOLD_S = 86_400.0
+MAX_BLOCK_S = 86_400.0
 """Maximum time for which a request is blocked."""
 AMBIGUOUS_CRASHES = 2
 """Additional crashes after which a request is blocked although another request was running during
-the same crashes. Where suspects aren't isolated this is 0: nothing would ever tell them apart."""
+the same crashes. It is 0 where suspects aren't isolated, because they would always run together."""
 SUSPICION_S = 120.0
 """How long a request is isolated after its last crash; a request that crashes endpoints is sent
 again sooner."""
@@ -64,14 +64,14 @@
     """Number of crashes from which a request is blocked; fewer are often coincidence, because the
     request only ran beside the one that caused them."""
     hold_s: float = 1800.0
-    """How long it is then blocked. Each further crash, after that time, doubles the time."""
+    """How long it is then blocked, in seconds. Each further crash doubles the time."""
 
     def find_invalid_values(self) -> Iterator[tuple[str, str]]:
         """Yield the name of each invalid value, and the reason."""
         if self.ends < 1:
             yield "ends", f"{self.ends} must be at least 1: 0 would refuse every request"
-        if not 0 <= self.hold_s <= MAX_HOLD_S:
-            yield "hold_s", f"{self.hold_s:g} must be from 0 to {MAX_HOLD_S:g}"
+        if not 0 <= self.hold_s <= MAX_BLOCK_S:
+            yield "hold_s", f"{self.hold_s:g} must be from 0 to {MAX_BLOCK_S:g}"
 
 
 class Crash(NamedTuple):
@@ -190,8 +190,8 @@
             digest, lambda other: self._is_equally_suspect(other, crash_times)
         ):
             return None
-        hold_s = self._settings.hold_s * 2.0 ** (len(crash_times) - self._settings.ends)
-        remaining_s = max(crash_times.values()) + min(hold_s, MAX_HOLD_S) - now
+        block_s = self._settings.hold_s * 2.0 ** (len(crash_times) - self._settings.ends)
+        remaining_s = max(crash_times.values()) + min(block_s, MAX_BLOCK_S) - now
         return Block(len(crash_times), remaining_s) if remaining_s > 0 else None
 
     def get_level(self, digest: int, now: float) -> SuspicionLevel:
--- a/cloverway/core/retry_budget.py
+++ b/cloverway/core/retry_budget.py
@@ -30,7 +30,7 @@
     def __init__(self, settings: RetryBudgetSettings) -> None:
         self._settings = settings
         self._requests: deque[float] = deque()
-        self._extra: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
         """Count a request of a caller."""
@@ -41,12 +41,12 @@
         """Return whether this host may retry, and count the retry; `hosts` is the fleet size."""
         self._drop_expired(now)
         share = self._settings.ratio * len(self._requests) + self._settings.slack / max(1, hosts)
-        if len(self._extra) + 1 > USABLE_FRACTION * share:
+        if len(self._retries) + 1 > USABLE_FRACTION * share:
             return False
-        self._extra.append(now)
+        self._retries.append(now)
         return True
 
     def _drop_expired(self, now: float) -> None:
-        for times in (self._requests, self._extra):
+        for times in (self._requests, self._retries):
             while times and times[0] < now - self._settings.window_s:
                 times.popleft()
--- a/cloverway/core/selection.py
+++ b/cloverway/core/selection.py
@@ -23,11 +23,11 @@
 a small request and a large one. With 0.13 s, no region had capacity for small requests, and a tenth
 of them was refused."""
 RECOVERY_FRACTION = PREFILL_DUTY / 2
-"""Fraction of the age of an offer in which engines are assumed to have worked off their queue: half
-of the prefill duty, since their own region sends them prompts meanwhile. Without this, a region
-that was full when it sent its offer counted as full until the next one, although an engine prefills
-its queue in less time: requests of an evacuated region were refused while engines spent 0.4 of
-their time on prefill."""
+"""Seconds of queued prefill that an engine is assumed to complete in each second after its region
+advertised its capacity: half of the prefill duty, since its own region sends it prompts meanwhile.
+Without this, a region that was full when it advertised would count as full until the next time,
+although an engine prefills its queue sooner: requests of an evacuated region were refused while
+engines spent 0.4 of their time on prefill."""
 UNLIMITED_TOKENS = 1_000_000
 """Prompt tokens that an idle engine accepts: it starts a prompt of any size at once."""
 
@@ -50,9 +50,9 @@
 ) -> RegionCapacity:
     """Return the current capacity of the endpoints of this region.
 
-    `queued_s` is the work of the requests that are queued here. They go first, so nothing is free
-    while there are any. Overloaded engines have room for moments too, and requests that were
-    forwarded for such a moment were queued here in vain.
+    `queued_s` is the work of the requests that are queued here. They go first, so no slot is
+    advertised as free while there are any. Even overloaded engines have free slots for moments, but
+    requests forwarded because of one would only be queued here and then declined.
     """
     capacities = [_compute_endpoint_capacity(service, endpoint, now) for endpoint in endpoints]
     best = min(capacities, key=lambda capacity: capacity.wait_s)
@@ -84,9 +84,9 @@
 
 
 def extrapolate_capacity(capacity: AdvertisedCapacity, age_s: float) -> AdvertisedCapacity:
-    """Return the offer of a region extrapolated to `age_s` after it was made.
+    """Return the capacity of a region extrapolated to `age_s` seconds after it was advertised.
 
-    Work that is queued beyond the burst limit of the engines is done first.
+    Engines first complete the work that is queued beyond their burst limit.
     """
     prefill_s_per_token = capacity.engine.prefill_s_per_token
     burst_s = INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
--- a/cloverway/core/statements.py
+++ b/cloverway/core/statements.py
@@ -26,7 +26,7 @@
     leaving: bool = False
     """Whether it has announced that it is leaving, which is final."""
 
-    def join(self, other: Statement) -> Statement:
+    def merge(self, other: Statement) -> Statement:
         """Merge two statements; the later limit wins, and of two with equal time the lower."""
         last = max(self, other, key=_rank_limit)
         return last._replace(leaving=self.leaving or other.leaving)
@@ -58,16 +58,16 @@
         """Merge a statement of an incarnation of an endpoint; return what changed."""
         known = self._by_incarnation.get(incarnation)
         if known is None:
-            # Most answers state nothing, of endpoints that never did; nothing is stored for them.
+            # Most answers state nothing. Endpoints that never stated anything are not stored.
             if statement.limit_per_s is None and not statement.leaving:
                 return ()
             known = NO_STATEMENT
-        joined = known.join(statement)
-        self._by_incarnation[incarnation] = joined
+        merged = known.merge(statement)
+        self._by_incarnation[incarnation] = merged
         self._by_incarnation.move_to_end(incarnation)
         if len(self._by_incarnation) > MAX_INCARNATIONS:
             self._by_incarnation.popitem(last=False)
-        return tuple(_list_changes(known, joined))
+        return tuple(_list_changes(known, merged))
 
     def list_since(self, since: float) -> list[tuple[str, Statement]]:
         """Return the statements in force and the limits that ended after a time."""
@@ -78,14 +78,14 @@
         ]
 
 
-def _list_changes(known: Statement, joined: Statement) -> Iterator[StatementChange]:
-    if joined.limit_per_s != known.limit_per_s:
+def _list_changes(known: Statement, merged: Statement) -> Iterator[StatementChange]:
+    if merged.limit_per_s != known.limit_per_s:
         yield (
             StatementChange.LIMIT_ENDED
-            if joined.limit_per_s is None
+            if merged.limit_per_s is None
             else StatementChange.LIMIT_NAMED
         )
-    if joined.leaving and not known.leaving:
+    if merged.leaving and not known.leaving:
         yield StatementChange.LEAVING
 
 
--- a/cloverway/core/suspects.py
+++ b/cloverway/core/suspects.py
@@ -1,8 +1,8 @@
 """Isolation of requests that may have crashed an endpoint, so that the next crash identifies one.
 
-A request that is lost in a crash is retried, as are all others that ran there. Sent to the best
-endpoint, as any request is, they would run together again; and when that endpoint crashes too,
-nothing tells which of them caused both crashes.
+All requests that are lost in a crash are retried. If each were sent to the best endpoint, like any
+other request, they would run together again. If that endpoint crashed too, it would still be
+unknown which of them caused both crashes.
 """
 
 from __future__ import annotations
--- a/cloverway/core/token_gaps.py
+++ b/cloverway/core/token_gaps.py
@@ -14,11 +14,11 @@
 objective. A step with prefill work takes about 90 to 140 ms and produces one token of each answer.
 An event holds several tokens, so a run of such steps may or may not exceed the gap objective."""
 MIN_BURST_RATIO = 0.3
-"""Lower bound of the burst ratio. In a simulation, an engine still spends three quarters of its
-time on prefill with it."""
+"""Lower bound of the burst ratio: an engine can still spend three quarters of its time on
+prefill."""
 MAX_BURST_RATIO = 0.67
-"""Upper bound of the burst ratio. In the same simulation, the 99th percentile of the gaps is then
-0.58 s, with a gap objective of 0.6 s."""
+"""Upper bound of the burst ratio: the 99th percentile of the gaps is then 0.58 s, where the gap
+objective is 0.6 s."""
 DECREASE_FACTOR = 0.85
 """Factor applied to the burst ratio after a stall."""
 MIN_DECREASE_INTERVAL_S = 0.5
@@ -59,10 +59,10 @@
     """Limits the prefill work queued at an engine, by additive increase, multiplicative decrease.
 
     Requests beyond the limit are queued at the hosts, in order, and may go elsewhere. A constant
-    ratio doesn't fit all engines. With two thirds everywhere, 492 of 2,316 long answers of a
-    simulated day of heavy load had a gap over 0.6 s at engines with five tokens per event, half of
-    them by less than an eighth. With 0.37 everywhere, another deployment fell from 0.726 to 0.716
-    of the maximum score of a simulated day.
+    ratio doesn't fit all engines: with two thirds, a fifth of the long answers under heavy load
+    have a gap over the objective of 0.6 s at engines with five tokens per event, half of them by
+    less than an eighth. With 0.37, other engines get less work than they can do within the
+    objective.
     """
 
     def __init__(self) -> None:
--- a/cloverway/tests/simulated_engine.py
+++ b/cloverway/tests/simulated_engine.py
@@ -1,7 +1,7 @@
 """Simulation, in virtual time, of engines that are loaded by the real predictions of a host.
 
 Each engine step prefills a chunk of the queued prompts and produces one token of each running
-answer; an event holds several tokens. The parameters are between those of the users' engines.
+answer; an event holds several tokens. The parameters are between those of the deployed engines.
 """
 
 from __future__ import annotations
--- a/cloverway/tests/test_core_cold_start.py
+++ b/cloverway/tests/test_core_cold_start.py
@@ -9,9 +9,9 @@
 
 from cloverway.core.cold_start import MIN_HOST_AGE_S, ColdStartSettings, compute_cold_send_interval
 
-TERMS = ColdStartSettings(overshoot=1.5, slack=3.0)
+SETTINGS = ColdStartSettings(overshoot=1.5, slack=3.0)
 COLD_PER_S = 1.6
-LIMIT = int(COLD_PER_S * TERMS.overshoot + TERMS.slack)
+LIMIT = int(COLD_PER_S * SETTINGS.overshoot + SETTINGS.slack)
 
 
 class HostView:
@@ -30,7 +30,7 @@
         known = [name for name, at in self.known_since.items() if at <= now]
         age_s = now - self.started_at
         interval_s = compute_cold_send_interval(
-            COLD_PER_S, TERMS, "e", self.name, known, age_s=age_s
+            COLD_PER_S, SETTINGS, "e", self.name, known, age_s=age_s
         )
         if interval_s is None or now - self.last_send < interval_s:
             return False
@@ -101,7 +101,8 @@
 def test_a_host_sends_to_a_cold_endpoint_from_the_minimum_age():
     ages = [MIN_HOST_AGE_S - 0.1, MIN_HOST_AGE_S]
     intervals_s = [
-        compute_cold_send_interval(COLD_PER_S, TERMS, "e", "host-0", (), age_s=age) for age in ages
+        compute_cold_send_interval(COLD_PER_S, SETTINGS, "e", "host-0", (), age_s=age)
+        for age in ages
     ]
     assert intervals_s[0] is None
     assert intervals_s[1] == pytest.approx(1.1 / LIMIT)
@@ -110,7 +111,7 @@
 def test_no_more_hosts_send_than_the_limit_has_sends():
     names = [f"host-{n}" for n in range(24)]
     intervals_s = [
-        compute_cold_send_interval(COLD_PER_S, TERMS, "e", name, names, age_s=MIN_HOST_AGE_S)
+        compute_cold_send_interval(COLD_PER_S, SETTINGS, "e", name, names, age_s=MIN_HOST_AGE_S)
         for name in names
     ]
     assert (
--- a/cloverway/tests/test_core_incarnations.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -27,8 +27,8 @@
 PROMPT = Prompt(9_000, 50, (PromptSegment(1, 6_000), PromptSegment(2, 3_000)))
 
 
-def make_entry(born, name="e1", **fields):
-    return EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 6, started_ms=born, **fields)
+def make_entry(started_ms, name="e1", **fields):
+    return EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 6, started_ms=started_ms, **fields)
 
 
 def make_directory(*entries):
@@ -249,21 +249,21 @@
             self.drained.add(entry.started_ms)
 
     @invariant()
-    def only_the_latest_life_is_known(self):
+    def only_the_latest_incarnation_is_known(self):
         endpoint = self.directory.endpoints.get("e1")
         if endpoint is not None:
             assert endpoint.entry.started_ms == self.latest_start
 
     @invariant()
-    def it_is_used_while_it_is_there_and_does_not_drain(self):
-        is_there = self.latest_start is not None and (
+    def endpoint_is_used_while_present_and_not_draining(self):
+        is_present = self.latest_start is not None and (
             self.gone_at is None or self.now - self.gone_at < MISSING_GRACE_S
         )
-        expected = is_there and self.latest_start not in self.drained
+        expected = is_present and self.latest_start not in self.drained
         assert bool(self.directory.list_usable("desk", self.now)) == expected
 
     @invariant()
-    def its_load_is_of_its_own_requests(self):
+    def load_counts_only_requests_of_the_incarnation(self):
         for endpoint in self.directory.endpoints.values():
             load = endpoint.load
             own = {n for n, (_, counted) in self.requests.items() if counted is load}
--- a/cloverway/tests/test_core_isolation.py
+++ b/cloverway/tests/test_core_isolation.py
@@ -1,9 +1,9 @@
 """Isolation of large prompts at engines whose answers stall during their prefill; no network.
 
 The load: four engines with a prefill speed of 30,000 tokens per second in chunks of 2,048, events
-of nine tokens and a gap objective of 0.6 s. Notes have answers of 300 tokens on average. One in ten
-of the other prompts is larger than 14,000 tokens, so that its prefill takes longer than the gap
-objective. Together they use 0.6 of the prefill capacity.
+of nine tokens and a gap objective of 0.6 s. Notes, which are short prompts, have answers of 300
+tokens on average. One in ten of the other prompts is larger than 14,000 tokens, so that its prefill
+takes longer than the gap objective. Together they use 0.6 of the prefill capacity.
 """
 
 from __future__ import annotations
@@ -56,10 +56,10 @@
         self.region = Region(engines, speed)
         self.isolation = LargePromptIsolation("model")
         self.is_isolated = is_isolated
-        self.notes = self.late = self.large_served = 0
+        self.notes = self.stalled = self.large_served = 0
         self.chosen: Counter[frozenset[str]] = Counter()
         for engine in self.region.engines:
-            engine.on_end = self.note_end
+            engine.on_end = self.record_end
         self.region.simulate(draw_arrivals(seed), self.take)
 
     def take(self, routed, now):
@@ -74,17 +74,17 @@
             self.isolation.record_prompt(routed, here, now)
         return here
 
-    def note_end(self, run, now):
+    def record_end(self, run, now):
         arrival = self.region.runs[run.number]
         self.isolation.record_answer(run.longest_gap_s, GAP_OBJECTIVE_S, now)
         if arrival.input_tokens == 700:
             self.notes += 1
-            self.late += run.longest_gap_s > GAP_OBJECTIVE_S
+            self.stalled += run.longest_gap_s > GAP_OBJECTIVE_S
         self.large_served += arrival.input_tokens > 14_000
 
     @property
-    def late_fraction(self):
-        return self.late / self.notes
+    def stalled_fraction(self):
+        return self.stalled / self.notes
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -94,7 +94,7 @@
     In these simulations, 18 to 38 of 100 notes stall without isolation, and 7 to 9 with it.
     """
     before, after = Simulation(seed, False), Simulation(seed, True)
-    assert after.late_fraction < 0.5 * before.late_fraction
+    assert after.stalled_fraction < 0.5 * before.stalled_fraction
     assert after.large_served >= 0.9 * before.large_served
     assert len(after.region.refused) <= len(before.region.refused) + 10
 
@@ -113,11 +113,11 @@
     assert set(simulation.chosen) == {frozenset()}
 
 
-def make_isolation(large_s: float, late: int = 10) -> LargePromptIsolation:
+def make_isolation(large_s: float, stalled: int = 10) -> LargePromptIsolation:
     """Return the isolation state of a host that observed stalls, and large prompts among others."""
     isolation = LargePromptIsolation("model")
     for number in range(20):
-        isolation.record_answer(1.0 if number < late else 0.1, GAP_OBJECTIVE_S, 1.0)
+        isolation.record_answer(1.0 if number < stalled else 0.1, GAP_OBJECTIVE_S, 1.0)
     isolation._prefill.add(1.0, 1.0)
     isolation._large_prefill.add(large_s, 1.0)
     return isolation
@@ -133,7 +133,7 @@
 
 
 def test_single_stalls_or_too_few_answers_cause_no_isolation():
-    assert not make_isolation(0.5, late=0).select_engines(list_engines(4), 1.0)
+    assert not make_isolation(0.5, stalled=0).select_engines(list_engines(4), 1.0)
     few = LargePromptIsolation("model")
     for _ in range(int(MIN_ANSWERS) - 1):
         few.record_answer(1.0, GAP_OBJECTIVE_S, 1.0)
--- a/cloverway/tests/test_core_kv_fetch.py
+++ b/cloverway/tests/test_core_kv_fetch.py
@@ -2,7 +2,7 @@
 
 The load is that of callers with long shared prefixes: each of about ninety documents of 4,900
 tokens is requested every few seconds, at five engines of a region. The engine parameters are those
-of the users: 18 KB of KV cache per token, links of 180 Gbit/s.
+of a large deployment: 18 KB of KV cache per token, links of 180 Gbit/s.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from cloverway.core.prediction import RoutedCall, Sender, predict
 from cloverway.core.selection import choose_endpoint
 
-SHAPE = EngineSpec(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
-MODEL = Service("model", 360, engine=SHAPE)
+SPEC = EngineSpec(64, 340_000, token_bytes=18_432, link_mbps=180_000.0)
+MODEL = Service("model", 360, engine=SPEC)
 HERE = Sender("d1")
 ROUTE = Route("r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0)
 DOCUMENT = PromptSegment(1, 6_000)
@@ -141,5 +141,5 @@
 
 
 def test_fetch_time_is_the_setup_plus_the_transfer_time():
-    assert estimate_fetch_s(0, SHAPE) == 0.0
-    assert estimate_fetch_s(6_000, SHAPE) == pytest.approx(0.005 + 6_000 * 18_432 * 8 / 180e9)
+    assert estimate_fetch_s(0, SPEC) == 0.0
+    assert estimate_fetch_s(6_000, SPEC) == pytest.approx(0.005 + 6_000 * 18_432 * 8 / 180e9)
--- a/cloverway/tests/test_core_offers.py
+++ b/cloverway/tests/test_core_offers.py
@@ -1,4 +1,4 @@
-"""Offers of capacity between regions, and the requests forwarded by them; no network."""
+"""Capacity that regions advertise to each other, and requests forwarded by it; no network."""
 
 from __future__ import annotations
 
@@ -41,34 +41,34 @@
 SECONDS = 20.0
 
 
-def make_offer(capacity):
+def advertise(capacity):
     return AdvertisedCapacity(
         "model", capacity.wait_s, capacity.free_slots, capacity.max_prompt_tokens, capacity.engine
     )
 
 
 def forward_prompts(hosts: int, local_s: float = 0.0):
-    """Let hosts of a region without engines forward prompts to a region that offers capacity.
+    """Let hosts of a region without engines forward prompts to a region that advertises capacity.
 
     `local_s` is the interval of that region's own prompts. Return the fraction of time that its
     engine spends on prefill of forwarded prompts, and its longest queue in seconds.
     """
     endpoint = make_endpoint("a")
-    offers = [(0.0, offer())] * hosts
+    advertised = [(0.0, make_capacity())] * hosts
     sent, longest_s, step_s, number = 0, 0.0, 0.01, 0
     for step in range(int(SECONDS / step_s)):
         now = step * step_s
         if step % int(HEARTBEAT_S / step_s) == 0:
-            offers = [
-                (now, make_offer(compute_region_capacity(MODEL, [endpoint], 0.0, now)))
+            advertised = [
+                (now, advertise(compute_region_capacity(MODEL, [endpoint], 0.0, now)))
             ] * hosts
         if local_s and step % int(local_s / step_s) == 0:
             number += 1
             send(endpoint, make_call(f"local-{number}", TOKENS), number, now)
-        for host, (sent_at, offer_sent) in enumerate(offers):
-            updated = extrapolate_capacity(offer_sent, now - sent_at)
-            if updated.free_slots > 0 and updated.max_prompt_tokens >= TOKENS:
-                offers[host] = (sent_at, offer_sent._replace(free_slots=offer_sent.free_slots - 1))
+        for host, (sent_at, capacity) in enumerate(advertised):
+            extrapolated = extrapolate_capacity(capacity, now - sent_at)
+            if extrapolated.free_slots > 0 and extrapolated.max_prompt_tokens >= TOKENS:
+                advertised[host] = (sent_at, capacity._replace(free_slots=capacity.free_slots - 1))
                 number += 1
                 sent += 1
                 send(endpoint, make_call(f"far-{number}", TOKENS), number, now)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 3])
-def test_offers_are_extrapolated_between_heartbeats(hosts):
+def test_capacity_is_extrapolated_between_heartbeats(hosts):
     """Requests of an evacuated region were refused while engines elsewhere were idle half the time.
 
     The engine is full at the moment of a heartbeat and works off its queue before the next one.
@@ -91,29 +91,29 @@
 
 
 def test_forwarded_requests_do_not_overload_an_engine_with_local_work():
-    """Its own region uses half of the engine; three hosts elsewhere rely on its last offer."""
+    """Its own region uses half of the engine; three remote hosts use what it advertised last."""
     _, longest_s = forward_prompts(3, local_s=2 * PREFILL_S / PREFILL_DUTY)
     assert longest_s < 1.5
 
 
 def test_a_region_with_a_queue_has_no_capacity_until_it_is_prefilled():
-    busy = offer(queue_s=2.0)._replace(free_slots=0, max_prompt_tokens=0)
+    busy = make_capacity(queue_s=2.0)._replace(free_slots=0, max_prompt_tokens=0)
     assert extrapolate_capacity(busy, 1.0) == busy
 
 
-def test_an_old_offer_does_not_grow_without_bound():
-    full = offer(queue_s=0.3)._replace(free_slots=0, max_prompt_tokens=0)
+def test_old_capacity_does_not_grow_without_bound():
+    full = make_capacity(queue_s=0.3)._replace(free_slots=0, max_prompt_tokens=0)
     assert extrapolate_capacity(full, 1e6).free_slots <= 10
     assert extrapolate_capacity(full, 1e6).max_prompt_tokens < UNLIMITED_TOKENS
 
 
-def test_offers_of_plain_services_are_not_extrapolated():
-    """Their slots are lent one by one and returned when the request has ended."""
+def test_capacity_of_plain_services_is_not_extrapolated():
+    """Their slots are reserved one by one, and released when the request has ended."""
     plain = AdvertisedCapacity("desk", 0.1, 0, 0)
     assert extrapolate_capacity(plain, 5.0) == plain
 
 
-def test_a_region_offers_the_capacity_of_its_engines():
+def test_a_region_advertises_the_capacity_of_its_engines():
     endpoint = make_endpoint("a")
     idle = compute_region_capacity(MODEL, [endpoint], 0.0, 0.0)
     endpoint.load.record_prefill(BURST_TOKENS, 0.0)
@@ -124,7 +124,7 @@
     assert busy.wait_s > 0.9 * INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S
 
 
-def test_a_region_with_queued_requests_offers_no_capacity():
+def test_a_region_with_queued_requests_advertises_no_capacity():
     """The engines are overloaded, and each of them has capacity for a moment now and then.
 
     Two of five requests forwarded for such a moment were queued there and then declined, after half
@@ -156,7 +156,7 @@
     routed = route_call(make_call(input_tokens=5_000, output_tokens=20))
     candidates = [predict(routed, endpoint, sender=HERE, now=0.0) for endpoint in endpoints]
     assert choose_endpoint(candidates) is None
-    remote_candidate = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
+    remote_candidate = predict_region(routed, make_capacity(), RemoteRegion("south", 0.2), 0.0)
     assert choose_region(estimate_queueing_cost(candidates, 0.0), [remote_candidate], 0.3) is None
     assert (
         choose_region(estimate_queueing_cost(candidates, 2.0), [remote_candidate], 0.3)
@@ -164,7 +164,7 @@
     )
 
 
-def offer(queue_s=0.0, decode_s_per_token=0.006, running=0):
+def make_capacity(queue_s=0.0, decode_s_per_token=0.006, running=0):
     engine = EngineState(queue_s, INITIAL_PREFILL_S_PER_TOKEN, decode_s_per_token, running)
     return AdvertisedCapacity("model", queue_s, 10, UNLIMITED_TOKENS, engine)
 
@@ -184,7 +184,7 @@
     for output_tokens, leaves in ((600, True), (20, False)):
         routed = route_call(make_call(input_tokens=700, output_tokens=output_tokens))
         here = predict(routed, busy, sender=HERE, now=now)
-        remote_candidate = predict_region(routed, offer(), remote, now)
+        remote_candidate = predict_region(routed, make_capacity(), remote, now)
         assert (choose_region(here.cost_s, [remote_candidate], 0.3) is not None) is leaves
 
 
@@ -192,5 +192,5 @@
     endpoint = make_endpoint("a")
     routed = route_call(make_call(input_tokens=9_000, output_tokens=600))
     here = predict(routed, endpoint, sender=HERE, now=0.0)
-    remote_candidate = predict_region(routed, offer(), RemoteRegion("south", 0.2), 0.0)
+    remote_candidate = predict_region(routed, make_capacity(), RemoteRegion("south", 0.2), 0.0)
     assert choose_region(here.cost_s, [remote_candidate], 0.3) is None
--- a/cloverway/tests/test_core_quarantine.py
+++ b/cloverway/tests/test_core_quarantine.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from cloverway.core.quarantine import (
+    MAX_BLOCK_S,
     MAX_CRASHED,
     MAX_CRASHES,
-    MAX_HOLD_S,
     MAX_READ_DELAY_S,
     MAX_SERVED,
     MAX_SUSPECTS,
@@ -22,12 +22,12 @@
     QuarantineSettings,
 )
 
-TERMS = QuarantineSettings(ends=3, hold_s=1800.0)
+SETTINGS = QuarantineSettings(ends=3, hold_s=1800.0)
 FATAL, BYSTANDER, OTHER = 1, 2, 3
 
 
 def make_quarantine(*crashes):
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     for crash in crashes:
         quarantine.record_crash(crash)
     return quarantine
@@ -49,14 +49,14 @@
     assert quarantine.get_block(FATAL, 1.0) is None
     quarantine.record_crash(Crash("e2", (FATAL, OTHER), 2.0))
     block = quarantine.get_block(FATAL, 3.0)
-    assert block == (3, TERMS.hold_s - 1.0)
+    assert block == (3, SETTINGS.hold_s - 1.0)
     assert quarantine.get_block(BYSTANDER, 3.0) is None
     assert quarantine.get_block(OTHER, 3.0) is None
 
 
 def test_repeated_reports_of_one_crash_count_once():
     crash = Crash("e0", (FATAL,), 5.0)
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     assert quarantine.record_crash(crash) == crash
     assert quarantine.record_crash(crash._replace(at=5.4)) is None
     assert quarantine.record_crash(crash._replace(digests=(FATAL, OTHER))) == crash._replace(
@@ -72,15 +72,15 @@
     request crashes few endpoints.
     """
     quarantine = make_quarantine(*crash_in_turn(3, FATAL))
-    assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s - 0.1) is not None
-    assert quarantine.get_block(FATAL, 2.0 + TERMS.hold_s) is None
+    assert quarantine.get_block(FATAL, 2.0 + SETTINGS.hold_s - 0.1) is not None
+    assert quarantine.get_block(FATAL, 2.0 + SETTINGS.hold_s) is None
     quarantine.record_crash(Crash("e3", (FATAL,), 2000.0))
-    assert quarantine.get_block(FATAL, 2000.0) == (4, 2 * TERMS.hold_s)
+    assert quarantine.get_block(FATAL, 2000.0) == (4, 2 * SETTINGS.hold_s)
     for number in range(4, 40):
         quarantine.record_crash(Crash(f"e{number}", (FATAL,), 2000.0 + number))
     crashes, remaining_s = quarantine.get_block(FATAL, 2010.0)
     assert crashes == MAX_CRASHES
-    assert remaining_s <= MAX_HOLD_S + 10.0
+    assert remaining_s <= MAX_BLOCK_S + 10.0
 
 
 def test_request_served_after_a_crash_is_cleared():
@@ -98,7 +98,7 @@
     The request was served at each of them just before. If these crashes counted against it, it
     would be blocked for all callers for half an hour.
     """
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     assert not quarantine.record_served(OTHER, 10.0)
     for crash in crash_in_turn(3, OTHER, start=11.0):
         assert quarantine.record_crash(crash) is None
@@ -149,7 +149,7 @@
 def test_updates_in_any_order_give_the_same_crash_counts(events, random):
     shuffled = [*events, *random.sample(events, len(events) // 2)]
     random.shuffle(shuffled)
-    first, second = Quarantine(TERMS), Quarantine(TERMS)
+    first, second = Quarantine(SETTINGS), Quarantine(SETTINGS)
     for quarantine, order in ((first, events), (second, shuffled)):
         for kind, event in order:
             if kind == "crash":
@@ -164,7 +164,7 @@
     quarantine = make_quarantine(*crash_in_turn(3, FATAL, BYSTANDER), Crash("e9", (OTHER,), 50.0))
     quarantine.record_served(BYSTANDER, 51.0)
     quarantine.record_crash(Crash("e9", (4,), 52.0))
-    joining_host = Quarantine(TERMS)
+    joining_host = Quarantine(SETTINGS)
     joining_host.record_crash(Crash("e0", (BYSTANDER,), 0.0))
     update = quarantine.list_updates(float("-inf"), 100)
     for digest in update.served:
@@ -181,7 +181,7 @@
 
 
 def test_retained_state_is_bounded():
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     numbers = itertools.count(10)
     for crash_number in range(MAX_CRASHED + 50):
         digests = tuple(itertools.islice(numbers, 3))
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("ends", [1, 2, 5])
 def test_number_of_crashes_is_a_setting(ends):
-    quarantine = Quarantine(TERMS._replace(ends=ends))
+    quarantine = Quarantine(SETTINGS._replace(ends=ends))
     for crash in crash_in_turn(ends, FATAL):
         assert quarantine.get_block(FATAL, 0.0) is None
         quarantine.record_crash(crash)
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -1,6 +1,6 @@
 """Selection of endpoints under simulated load; no network.
 
-The engine parameters are those of the users' engines: prefill of 38 tokens per millisecond, chunks
+The engine parameters are those of deployed engines: prefill of 38 tokens per millisecond, chunks
 of 4,096 tokens, one token of each running answer per step.
 """
 
@@ -30,9 +30,7 @@
     predict,
 )
 from cloverway.core.retry_budget import RetryBudget, RetryBudgetSettings
-from cloverway.core.selection import (
-    choose_endpoint,
-)
+from cloverway.core.selection import choose_endpoint
 from cloverway.core.token_gaps import (
     INITIAL_BURST_RATIO,
     SATURATION_FRACTION,
@@ -41,22 +39,12 @@
 )
 
 HERE = Sender("d1")
-
-
 GAP_OBJECTIVE_S = 0.6
-
-
 ROUTE = Route(
     "r", "h", "/a/", CallKind.STREAM, (WeightedService("model", 1.0),), 5.0, 1.0, GAP_OBJECTIVE_S
 )
-
-
 BURST_TOKENS = int(INITIAL_BURST_RATIO * DEFAULT_GAP_OBJECTIVE_S / INITIAL_PREFILL_S_PER_TOKEN)
-
-
 MODEL = Service("model", 360, engine=EngineSpec(64, 240_000))
-
-
 PLAIN = Service("desk", 100)
 
 
@@ -239,7 +227,7 @@
     assert choose([endpoint], make_call(input_tokens=9_000), 0.0) is None
 
 
-def test_load_reports_of_silent_siblings_expire():
+def test_load_reports_of_silent_hosts_expire():
     endpoint = make_endpoint("a")
     endpoint.load.record_host_load("other", HostLoad(64, 0, 0, 0.0), ())
     assert choose([endpoint], make_call(), 1.0) is None
@@ -249,13 +237,13 @@
 def test_hosts_that_see_the_same_loads_spread_their_requests():
     """Eight hosts see two idle endpoints and choose at the same moment, without communication."""
     chosen = [
-        choose([make_endpoint("a", 6), make_endpoint("b", 6)], _plain(f"c{n}"), 0.0, PLAIN)
+        choose([make_endpoint("a", 6), make_endpoint("b", 6)], make_plain_call(f"c{n}"), 0.0, PLAIN)
         for n in range(40)
     ]
     assert 10 <= chosen.count("a") <= 30
 
 
-def _plain(name):
+def make_plain_call(name):
     return Call(name, "POST", "/a/", "h", (), b"", 0.0, 5.0)
 
 
@@ -282,8 +270,7 @@
 def test_requests_stay_in_their_failure_domain_if_endpoints_are_equal():
     """Two domains have an idle endpoint each; requests have bodies of 9 KB.
 
-    With the random spread alone, half of them would cross domains; the traffic cost a twentieth of
-    the score of a simulated day of low load.
+    With the random spread alone, half of them would cross domains, and that traffic is billed.
     """
     endpoints = [make_endpoint("far", domain="d2"), make_endpoint("near")]
     calls = [make_call(f"c{n}")._replace(body=b"x" * 9_000) for n in range(20)]
--- a/cloverway/tests/test_core_statements.py
+++ b/cloverway/tests/test_core_statements.py
@@ -24,14 +24,16 @@
 
 
 @given(st.lists(STATEMENTS, max_size=4), st.data())
-def test_join_is_commutative_and_idempotent(statements, data):
+def test_merge_is_commutative_and_idempotent(statements, data):
     """Guards against hosts that end up with different limits after the same updates."""
     repeated = [*statements, *data.draw(st.lists(st.sampled_from(statements or [NO_STATEMENT])))]
     shuffled = data.draw(st.permutations(repeated))
-    joined = [list(itertools.accumulate(order, Statement.join)) for order in (statements, shuffled)]
+    merged = [
+        list(itertools.accumulate(order, Statement.merge)) for order in (statements, shuffled)
+    ]
     last = max(statements, key=lambda s: (s.limit_at, -_limit_key(s)), default=NO_STATEMENT)
     expected = last._replace(leaving=any(statement.leaving for statement in statements))
-    assert [partial[-1] if partial else NO_STATEMENT for partial in joined] == [expected] * 2
+    assert [partial[-1] if partial else NO_STATEMENT for partial in merged] == [expected] * 2
 
 
 def _limit_key(statement):
--- a/cloverway/tests/test_core_suspects.py
+++ b/cloverway/tests/test_core_suspects.py
@@ -22,14 +22,14 @@
 CRASH_AFTER_S = 0.2
 """How long a fatal request runs until its engine crashes."""
 RESTART_AFTER_S = 3.0
-TERMS = QuarantineSettings()
+SETTINGS = QuarantineSettings()
 
 
 class Host:
     """The state of one host."""
 
     def __init__(self) -> None:
-        self.quarantine = Quarantine(TERMS)
+        self.quarantine = Quarantine(SETTINGS)
         self.runs = SuspectRuns()
         self.own_runs: dict[int, SuspectRun] = {}
 
@@ -50,7 +50,7 @@
         self.order = itertools.count()
         self.now = 0.0
         self.numbers = itertools.count()
-        self.flights: dict[int, SimpleNamespace] = {}
+        self.pending_calls: dict[int, SimpleNamespace] = {}
         self.crashes = 0
         self.crashes_by_cause: dict[int, int] = {}
         self.blocked: set[int] = set()
@@ -84,8 +84,8 @@
             self.repeat(digest, repeats, refused=True)
             return
         number = next(self.numbers)
-        flight = SimpleNamespace(**locals())
-        self.flights[number] = flight
+        pending_call = SimpleNamespace(**locals())
+        self.pending_calls[number] = pending_call
         self.engines[incarnation].add(number)
         self.record_run(host, number, digest, incarnation)
         if digest in self.fatal:
@@ -123,19 +123,19 @@
                 self.at(UPDATE_DELAY_S, other.runs.record, name, runs)
 
     def close(self, number):
-        flight = self.flights.pop(number, None)
-        if flight is not None and flight.host.own_runs.pop(number, None) is not None:
-            self.broadcast_runs(flight.host)
-        return flight
+        pending_call = self.pending_calls.pop(number, None)
+        if pending_call is not None and pending_call.host.own_runs.pop(number, None) is not None:
+            self.broadcast_runs(pending_call.host)
+        return pending_call
 
     def finish(self, number):
-        flight = self.close(number)
-        if flight is not None:
+        pending_call = self.close(number)
+        if pending_call is not None:
             self.served += 1
-            self.engines[flight.incarnation].discard(number)
+            self.engines[pending_call.incarnation].discard(number)
             for host in self.hosts:
-                delay_s = 0.0 if host is flight.host else UPDATE_DELAY_S
-                self.at(delay_s, host.quarantine.record_served, flight.digest, self.now)
+                delay_s = 0.0 if host is pending_call.host else UPDATE_DELAY_S
+                self.at(delay_s, host.quarantine.record_served, pending_call.digest, self.now)
 
     def crash_engine(self, incarnation, cause=None):
         if incarnation not in self.engines:
@@ -144,18 +144,23 @@
         self.crashes_by_cause[cause] = self.crashes_by_cause.get(cause, 0) + 1
         lost = [self.close(number) for number in self.engines.pop(incarnation)]
         self.at(RESTART_AFTER_S, self.start_engine)
-        for flight in lost:
-            crash = Crash(incarnation, (flight.digest,), self.now)
+        for pending_call in lost:
+            crash = Crash(incarnation, (pending_call.digest,), self.now)
             for host in self.hosts:
-                delay_s = 0.0 if host is flight.host else UPDATE_DELAY_S
+                delay_s = 0.0 if host is pending_call.host else UPDATE_DELAY_S
                 self.at(delay_s, host.quarantine.record_crash, crash)
-        for flight in lost:
-            self.lost += flight.digest not in self.fatal
-            if flight.attempts > 1:
-                again = (flight.host, flight.digest, flight.attempts - 1, flight.repeats)
+        for pending_call in lost:
+            self.lost += pending_call.digest not in self.fatal
+            if pending_call.attempts > 1:
+                again = (
+                    pending_call.host,
+                    pending_call.digest,
+                    pending_call.attempts - 1,
+                    pending_call.repeats,
+                )
                 self.at(0.001, self.send, *again)
             else:
-                self.repeat(flight.digest, flight.repeats)
+                self.repeat(pending_call.digest, pending_call.repeats)
 
     def repeat(self, digest, repeats, refused=False):
         self.refused += refused and digest not in self.fatal
@@ -230,7 +235,7 @@
 
 def test_crashes_explained_by_a_blocked_request_clear_other_suspects():
     """Guards against requests that stay isolated long after the cause was found."""
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     quarantine.record_crash(Crash("e0", (1, 2), 0.0))
     quarantine.record_crash(Crash("e1", (1, 2), 1.0))
     assert [quarantine.get_level(digest, 1.0) for digest in (1, 2)] == [SuspicionLevel.ISOLATED] * 2
@@ -241,7 +246,7 @@
 
 def test_indistinguishable_requests_are_not_blocked_for_each_other():
     """Guards against blocking seven harmless requests that ran beside the fatal one."""
-    quarantine = Quarantine(TERMS)
+    quarantine = Quarantine(SETTINGS)
     for number in range(3):
         quarantine.record_crash(Crash(f"e{number}", (1, 2), float(number)))
     assert [quarantine.get_block(digest, 3.0) for digest in (1, 2)] == [None, None]
--- a/cloverway/tests/test_core_token_gaps.py
+++ b/cloverway/tests/test_core_token_gaps.py
@@ -146,8 +146,8 @@
     """The engine is overloaded with prompts, and answers of 60 events are running there.
 
     With a burst limit of two thirds of the gap objective, the 99th percentile of the gaps is 0.58 s
-    of 0.6 already in this simulation, where all else is known. On a simulated day, a fifth of the
-    answers had a stall and were late, at a loss of two thirds of their value.
+    of 0.6 even here, where only recent prompts of the other host are unknown. Under the load of
+    many hosts, a fifth of the answers had a stall.
     """
     gaps, duty = simulate(0.6, MIN_BURST_RATIO)
     gaps.sort()
--- a/cloverway/tests/test_thrift_check.py
+++ b/cloverway/tests/test_thrift_check.py
@@ -1,3 +1,5 @@
+"""Messages that the check refuses before they reach the Thrift decoder."""
+
 from __future__ import annotations
 
 import contextlib
--- a/cloverway/thrift_check.py
+++ b/cloverway/thrift_check.py
@@ -26,9 +26,9 @@
 def check_struct(body: bytes) -> None:
     """Raise PeerError unless the bytes are exactly one complete struct.
 
-    A part that claims more bytes than there are leads beyond the end, where the next part is not
-    found. So one check of each type suffices, and no part needs a bounds check of its own. Speed
-    matters: half of the work of a host that serves no callers is decoding messages of other hosts.
+    A part that claims more bytes than there are moves the offset beyond the end, where reading the
+    next part fails. So no part needs a bounds check of its own. Speed matters: half of the work of
+    a host that serves no callers is decoding messages of other hosts.
     """
     try:
         end = _skip_struct(body, 0, MAX_DEPTH)
