--- a/cloverway/serving/context.py
+++ b/cloverway/serving/context.py
@@ -29,7 +29,7 @@
 PEER_SYNC_WAIT_S = 0.1
 """Age of a host up to which requests wait until another host has sent its state. The state was
 requested before this host was loaded, so that even a remote host has answered by now. Without it a
-host that just started would send on a request that all others refuse. If no other host answers, it
+host that has just started would run a request that all others refuse. If no other host answers, it
 serves anyway: when all hosts start at once, none has a state to send."""
 
 
--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -27,14 +27,14 @@
 """Share of the store's read budget used by all hosts together. The rest is left for starts and full
 reads."""
 READERS_PER_DOMAIN = 2
-"""Hosts of a failure domain that read the store for all of it, since each read is billed. With two
-readers, one that crashes or cannot reach the store delays nothing."""
+"""Hosts of a failure domain that read the store and inform the others, since each read is billed.
+With two readers, one that crashes or cannot reach the store delays nothing."""
 MAX_FOLLOWER_AGE_S = 2.4
-"""Age of its documents above which a host reads the store itself though it is no reader: one read
+"""Age of its documents above which a host that isn't a reader reads the store itself: one read
 by a reader, its interval, and one heartbeat in a large region. A change is then still in force
 within the four seconds that the strictest deployments allow."""
 POLL_PERIOD_S = 0.2
-"""How often such a host checks the age of its documents and whether it has become a reader."""
+"""Interval at which such a host checks the age of its documents and whether it is now a reader."""
 RANK_TTL_S = 0.4
 """How long a host's rank among the readers is cached. It is needed for each heartbeat and each
 check of the documents' age, and computing it goes through all known hosts."""
@@ -70,7 +70,7 @@
         self._was_reader = False
         self.on_change: Callable[[list[Change]], None] = lambda changes: None
         self.on_documents_changed: Callable[[], None] = lambda: None
-        """Called when a read of the store changed the meaning of the documents."""
+        """Called when a read of the store changed the content of the documents."""
 
     async def run(self) -> None:
         """Read the store forever."""
--- a/cloverway/serving/documents/sync.py
+++ b/cloverway/serving/documents/sync.py
@@ -22,8 +22,8 @@
 """Age of its documents above which a host fetches them from any host with newer ones, also from a
 remote region: one full read of the store that was missed, and a margin."""
 POLL_PERIOD_S = 0.2
-"""How often the age is checked, besides whenever a host of the failure domain has newer
-documents."""
+"""Interval at which the age is checked, besides each time that a host of the failure domain reports
+newer documents."""
 ONE_WAY_LATENCY_S = 0.1
 """Added to the age of what another host knows: the one-way latency to the farthest region, and a
 margin."""
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -273,7 +273,7 @@
 
 def _describe_own(settings: FleetSettings) -> Member:
     ip, _ = split_address(settings.listen.control)
-    inner = f"{ip}:{settings.listen.inner_ports[0]}"
+    peer_address = f"{ip}:{settings.listen.inner_ports[0]}"
     # The wall clock only has to increase between two starts at the same address.
     incarnation = time.time_ns() // 1000
     return Member(
@@ -282,7 +282,7 @@
         domain=settings.domain,
         region=settings.region,
         caller_address=settings.listen.callers,
-        forwarding_address=inner,
+        forwarding_address=peer_address,
         capacity=settings.machine.estimate_capacity(),
     )
 
--- a/cloverway/serving/hosts/broadcast.py
+++ b/cloverway/serving/hosts/broadcast.py
@@ -33,14 +33,14 @@
 """Regions that are sent a broadcast directly; any others receive it from these and by
 rebroadcast."""
 HOSTS_PER_REMOTE_REGION = 2
-"""Hosts of each of these regions that are sent it."""
+"""Hosts of each of these regions that a broadcast is sent to."""
 SYNC_SENDERS_PER_REGION = 2
 """Hosts of a region that send the state to a joining host: one more than needed without datagram
 loss."""
 SYNC_SENDER_REGIONS = 2
-"""Regions that send it besides the host's own, which may have been cut off together with it. When
-every host sent its state to each host that it heard again, this was half of the traffic between the
-regions of 89 hosts."""
+"""Regions whose hosts send the state besides those of the joining host's own region, which may have
+been cut off together with it. When every host sent its state to each host that it heard again, this
+was half of the traffic between the regions of 89 hosts."""
 
 
 class UpdateBatch(NamedTuple):
@@ -64,7 +64,7 @@
     seconds."""
 
     def receive(self, message: Any, is_remote: bool, now: float) -> None:
-        """Apply a message of another host, of a remote region or of this one."""
+        """Apply a message of another host; `is_remote` tells whether that is in another region."""
         ...
 
     def take_pending(self, now: float) -> UpdateBatch:
@@ -76,7 +76,7 @@
         ...
 
     def list_for_joining_host(self, now: float) -> list[bytes]:
-        """Return messages with all that a host must know that was absent until now."""
+        """Return messages with everything that a joining host must know."""
         ...
 
 
@@ -118,7 +118,7 @@
             self._send(chosen, source.list_for_rebroadcast(now))
 
     def sync_joining_host(self, name: str, now: float) -> None:
-        """Send the state to a host that was absent until now, if this host is a sender for it."""
+        """Send the state to a joining host, if this host is one of those that send it."""
         if self._is_sync_sender(name, now):
             self.send_full_state(name, now)
 
--- a/cloverway/serving/hosts/crashes.py
+++ b/cloverway/serving/hosts/crashes.py
@@ -63,8 +63,8 @@
     def receive(self, report: CrashReport, is_remote: bool, now: float) -> None:
         """Apply the report of another host.
 
-        A host of a remote region has sent it to a few hosts of this region only, so it is passed
-        on.
+        A host of another region sends it to only a few hosts of this region, so it is broadcast
+        here.
         """
         for digest in report.served:
             self._quarantine.record_served(digest, now)
--- a/cloverway/serving/hosts/endpoint_loads.py
+++ b/cloverway/serving/hosts/endpoint_loads.py
@@ -52,7 +52,7 @@
     def broadcast_at_once(self) -> None:
         """Broadcast a long prompt without waiting for the next period.
 
-        Until then other hosts would treat the engine that has just received it as idle. Requests
+        Otherwise other hosts would treat the engine that has just received it as idle. Requests
         that are sent in the same iteration of the event loop share a broadcast.
         """
         if not self._is_broadcast_scheduled:
@@ -66,7 +66,7 @@
         for use in message.uses:
             endpoint = self._directory.endpoints.get(use.endpoint)
             if endpoint is not None and (endpoint.entry.started_ms or 0) == use.born_ms:
-                # What was sent to another incarnation is neither running nor in memory here.
+                # Requests sent to another incarnation neither run nor have cached prompts here.
                 parts = [PromptSegment(*pair) for pair in zip(use.parts, use.tokens, strict=False)]
                 load = HostLoad(use.running, use.unread, use.held, now)
                 endpoint.load.record_host_load(message.host, load, parts)
--- a/cloverway/serving/hosts/gossip.py
+++ b/cloverway/serving/hosts/gossip.py
@@ -37,8 +37,8 @@
 """Period of heartbeats in a small region. A host counts as silent after four missed heartbeats."""
 REGION_PERIOD_HOSTS = 8
 """Size of a region up to which REGION_PERIOD_S applies; in larger regions the period grows with the
-number of hosts. A host thus sends 20 heartbeats per second at most, whatever the size of its
-region."""
+number of hosts. In a region of up to 20 hosts, a host thus sends at most 20 heartbeats per
+second."""
 MAX_REGION_PERIOD_S = 1.0
 """Upper bound of that period; here a host counts as silent after fewer than four missed
 heartbeats."""
@@ -46,7 +46,7 @@
 """Heartbeats per second that a host receives from idle hosts of its region, i.e. hosts that neither
 serve callers nor read the store. Their period grows with the region to stay within this rate. In a
 region of 65 hosts each host received 64 heartbeats per second just to know that the others were
-alive; with this rate it receives about 27 (calculated)."""
+alive; with this rate it receives about 27."""
 MAX_IDLE_PERIOD_S = 3.2
 """Upper bound of the period of idle hosts."""
 RECENTLY_STARTED_S = 5.0
@@ -146,7 +146,7 @@
             self.broadcaster.receive(message, now)
 
     def error_received(self, exc: Exception) -> None:
-        """Log an undelivered datagram; the host is missed by its heartbeats."""
+        """Log an undelivered datagram; missing heartbeats show which hosts are down."""
         log.debug("a datagram was not delivered", extra={"why": str(exc)})
 
     async def run(self) -> None:
@@ -169,8 +169,8 @@
                 self.members.forget(now)
                 self._update_alive_hosts(now)
                 if self._choose_period(now) < self._period_s:
-                    # This host has begun to serve callers. The others must know before their
-                    # requests are placed by outdated loads.
+                    # This host has begun to serve callers. Until the others know, they don't send
+                    # it their loads, and it would place requests by outdated ones.
                     region_due_at = now
             elif now - self._started_at < SEED_CONTACT_S:
                 self._send_seeds(now)
@@ -255,8 +255,8 @@
     def _send_to_remote_regions(self, now: float) -> None:
         """Send other regions a heartbeat, with the capacity of this region if this host knows it.
 
-        In a large region only hosts that serve callers receive each other's loads. What the others
-        assume about the engines would attract requests of other regions to full ones.
+        In a large region only hosts that serve callers receive each other's loads. The other hosts
+        would advertise capacity of engines that are full.
         """
         regions: dict[str, list[Peer]] = {}
         for peer in self.members.peers.values():
@@ -284,7 +284,10 @@
         return sorted(shuffled, key=lambda peer: peer.member.name not in serving)[:count]
 
     def _send_seeds(self, now: float) -> None:
-        """Contact seeds that are unknown, at the start or when all hosts were out of reach."""
+        """Send a heartbeat to seeds that are not among the known hosts.
+
+        That is the case at the start, and after all other hosts were unreachable.
+        """
         unknown = [s for s in self.seeds if s not in self.members.peers and s != self._own_name]
         if unknown:
             data = self._encode(now, self._list_relayed_hosts(now, True), ())
@@ -328,7 +331,10 @@
         return list_region_capacity(self.directory, self.get_queued_work_s, now)
 
     def _list_relayed_hosts(self, now: float, own_region: bool | None) -> tuple[HostState, ...]:
-        """Describe a sample of hosts: of this region or of others, or of all for None."""
+        """Describe a sample of the hosts that are alive.
+
+        `own_region` selects the hosts of this region or those of others; None selects all.
+        """
         alive = [
             peer
             for peer in self.members.list_alive(now)
@@ -373,7 +379,7 @@
         self._record_first_contact(peer, now)
 
     def _record_first_contact(self, peer: Peer, now: float) -> None:
-        """Report the first heartbeat of another host; its updates have arrived just before it."""
+        """Report the first heartbeat of another host, which sends its updates just before it."""
         if self._had_first_contact:
             return
         self._had_first_contact = True
--- a/cloverway/serving/hosts/messages.py
+++ b/cloverway/serving/hosts/messages.py
@@ -15,7 +15,9 @@
     domain: str
     region: str
     callers: str
+    """Its address for callers."""
     inner: str
+    """Its address for requests that other hosts forward."""
     ready: bool
     leaving: bool
     age_ms: int
@@ -37,6 +39,7 @@
     held: int
     """KV cache tokens reserved until the requests end."""
     parts: tuple[int, ...] = ()
+    """The ids of the segments."""
     tokens: tuple[int, ...] = ()
     """The size of each segment in tokens."""
     read: int = 0
@@ -58,8 +61,9 @@
     service_name: str
     wait_ms: int
     free: int
+    """Requests that may be sent there at once."""
     room: int = 0
-    """Prompt tokens of the largest request that may be sent there at once."""
+    """Prompt tokens of the largest of these requests."""
     read_ns: int = 0
     """Prefill time per prompt token at the engine with the shortest queue."""
     token_us: int = 0
@@ -83,7 +87,7 @@
     rate_mhz: int = 0
     """Rate of requests from callers at the sender, in thousandths per second."""
     digest: int = 0
-    """Digest of the meaning of all documents that the sender knows."""
+    """Digest of the content of all documents that the sender knows."""
     known: int = 0
     """Number of hosts that the sender knows."""
 
@@ -111,6 +115,7 @@
     """The crash of an endpoint, and the digests of the requests that ran there."""
 
     life: str
+    """The incarnation of the endpoint."""
     digests: tuple[int, ...]
     age_ms: int
 
@@ -129,8 +134,8 @@
 
     life: str
     limit_milli: int
-    """The limit that it names for all hosts, in thousandths of a request per second; -1 if it has
-    ended."""
+    """The limit that it sets for all hosts together, in thousandths of a request per second; -1 if
+    the limit has ended."""
     limit_age_ms: int
     """Time since that statement was received."""
     leaving: bool = False
@@ -149,8 +154,9 @@
 
     digest: int
     life: str
+    """The incarnation of the endpoint that runs it."""
     level: int
-    """The level of suspicion."""
+    """A value of `SuspicionLevel`."""
     left_ms: int
     """Time until it must have ended."""
 
--- a/cloverway/serving/hosts/region_capacity.py
+++ b/cloverway/serving/hosts/region_capacity.py
@@ -20,9 +20,9 @@
 ) -> tuple[RegionOffer, ...]:
     """Return the capacity of this region's endpoints by service.
 
-    Endpoints that are cold, have named a limit or asked for a pause have no more capacity than the
-    requests of their own region need. `get_queued_work_s` returns the work of the requests queued
-    here for a service, in seconds.
+    Endpoints that are cold, have set a limit or asked for a pause are left out: they have no more
+    capacity than the requests of their own region need. `get_queued_work_s` returns the work of the
+    requests queued here for a service, in seconds.
     """
     configuration = directory.configuration
     if configuration is None:
--- a/cloverway/serving/hosts/statements.py
+++ b/cloverway/serving/hosts/statements.py
@@ -13,10 +13,10 @@
 from cloverway.serving.telemetry import Metrics, log_event
 
 MIN_BROADCAST_INTERVAL_S = 0.2
-"""Minimum interval between two broadcasts: an endpoint may name another limit with each answer."""
+"""Minimum interval between two broadcasts: an endpoint may set another limit with each answer."""
 ENDED_LIMIT_REBROADCAST_S = 10.0
-"""How long the end of a limit is rebroadcast. A host that missed it learns of it from its own next
-answer of the endpoint and sends it fewer requests until then."""
+"""How long the end of a limit is rebroadcast. A host that missed it learns of it from the next
+answer of the endpoint to one of its own requests, and sends it fewer requests until then."""
 MAX_STATEMENTS_PER_MESSAGE = 20
 """Maximum number of endpoints in a message: about 60 bytes each, within one packet of 1,500
 bytes."""
--- a/cloverway/serving/hosts/suspects.py
+++ b/cloverway/serving/hosts/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps suspected requests isolated at endpoints, and tells the region's hosts where they run."""
+"""Isolates suspected requests at endpoints, and informs the hosts of the region where they run."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._own_name = own_name
         self._quarantine = quarantine
         self._own: dict[int, SuspectRun] = {}
-        """By the number of the attempt."""
+        """The suspects in progress here, by the number of the attempt."""
         self._runs = SuspectRuns()
         self._has_changed = False
         self.schedule_broadcast: Callable[[float], None] = lambda delay_s: None
@@ -34,7 +34,7 @@
     def weigh_candidates(
         self, routed: RoutedCall, candidates: Sequence[Candidate], now: float
     ) -> Sequence[Candidate]:
-        """Weigh the candidate endpoints of a request by the suspects that run there."""
+        """Exclude candidates of a request, or add to their cost, because of running suspects."""
         level = self._quarantine.get_level(routed.digest, now)
         return isolate_suspects(routed.digest, level, candidates, self._runs.list_running(now))
 
--- a/cloverway/serving/http/server.py
+++ b/cloverway/serving/http/server.py
@@ -86,7 +86,7 @@
         await self.connection.drain()
 
     def finish(self) -> None:
-        """Mark the response as complete."""
+        """End the response."""
         self.connection.write(self._http.send(h11.EndOfMessage()) or b"")
         self.finished = True
 
--- a/cloverway/serving/ports.py
+++ b/cloverway/serving/ports.py
@@ -38,7 +38,7 @@
     not_run: bool
     """Whether the endpoint states that it did not run the request and never will."""
     is_signed: bool
-    """Whether the endpoint's signature is present; without it, the bytes are not the endpoint's."""
+    """Whether the response has the endpoint's signature; without it, it may come from elsewhere."""
     is_misdirected: bool = False
     """Whether the response came from another endpoint than the addressed one."""
     limit_per_s: float | None = None
@@ -82,7 +82,7 @@
     """Names and formats of the protocol between callers, hosts and endpoints."""
 
     def decode_documents(self, documents: Iterable[Document]) -> list[Publication]:
-        """Decode published documents; malformed ones are returned marked as such."""
+        """Decode published documents; malformed ones are returned as unreadable."""
         ...
 
     def decode_call(self, exchange: Exchange) -> Call:
@@ -106,7 +106,7 @@
         ...
 
     def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
-        """Return the headers of a request that is passed on to a host, in the callers' format."""
+        """Return the headers of a request forwarded to a host, in the format that callers use."""
         ...
 
     def is_answer_to(self, head: ResponseHead, call: Call) -> bool:
--- a/cloverway/serving/requests/attempt.py
+++ b/cloverway/serving/requests/attempt.py
@@ -100,6 +100,7 @@
     reached_endpoint: bool = True
 
 
+# The names of these classes are written to logs and metrics, in lower case.
 Outcome = Declined | Broken | Answered
 
 
@@ -141,10 +142,10 @@
         except ConnectError as error:
             is_down = error.connection_refused and target.candidate is not None
             return Declined(f"no connection: {error}", reached_endpoint=False, is_down=is_down)
-        veto = self._find_veto()
-        if veto is not None:
+        reason = self._find_exclusion()
+        if reason is not None:
             connection.abort()
-            return Declined(veto, is_target_fault=False, reached_endpoint=False)
+            return Declined(reason, is_target_fault=False, reached_endpoint=False)
         request = self._make_request()
         if request is None:
             connection.abort()
@@ -164,7 +165,7 @@
             if not is_streaming:
                 pool.release(target.destination, client_exchange, get_idle_timeout_s(target))
 
-    def _find_veto(self) -> str | None:
+    def _find_exclusion(self) -> str | None:
         """Return why the endpoint must not get the request any more, or None.
 
         Its state may have changed since it was selected, while the connection was opened.
@@ -269,7 +270,7 @@
 
 @asynccontextmanager
 async def limit_idle_time(seconds: float | None) -> AsyncIterator[None]:
-    """Raise IdleTimeoutError when the body takes longer than `seconds`; None for no limit."""
+    """Raise IdleTimeoutError if the block takes longer than `seconds`; None for no limit."""
     try:
         async with asyncio.timeout(seconds):
             yield
@@ -280,12 +281,12 @@
 
 
 def get_idle_timeout_s(target: Target) -> float | None:
-    """Return the idle timeout of a connection whose other end names none; None for the default."""
+    """Return the idle timeout of a connection whose other end states none; None for the default."""
     return PEER_IDLE_TIMEOUT_S if target.peer is not None else None
 
 
 def decode_forwarding(value: bytes) -> ForwardingContext | None:
-    """Decode the PASSED_ON_HEADER of a request; return None when it is malformed."""
+    """Decode the FORWARDING_HEADER of a request; return None when it is malformed."""
     parts = value.decode("latin-1").split(";")
     if len(parts) != 3 or not parts[0].isdigit():
         return None
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -42,7 +42,7 @@
 no other sign. Requests queue at the hosts and not at endpoints, so a healthy endpoint answers well
 within this time."""
 PEER_RETRY_DELAY_S = 1.0
-"""Time for which no request is passed on to a host that failed."""
+"""Time for which no request is forwarded to a host that failed."""
 
 
 class RequestExecution:
--- a/cloverway/serving/requests/forwarding.py
+++ b/cloverway/serving/requests/forwarding.py
@@ -31,7 +31,7 @@
         await self._run(exchange, None)
 
     async def handle_forwarded(self, exchange: Exchange) -> None:
-        """Run a request that another host passed on, without passing it on again."""
+        """Run a request that another host forwarded, without forwarding it again."""
         values = [value for name, value in exchange.headers if name == FORWARDING_HEADER]
         origin = decode_forwarding(values[0]) if len(values) == 1 else None
         if origin is None:
@@ -62,7 +62,7 @@
         if call.forwarding is not None and call.forwarding.version > configuration.version:
             raise RequestError(
                 Kind.STARTING,
-                "this host's configuration is older than that of the host that passed it on",
+                "this host's configuration is older than that of the host that forwarded it",
                 retry_after=0.5,
             )
         route = self._context.directory.routes.find(call.host, call.path)
--- a/cloverway/serving/requests/incarnations.py
+++ b/cloverway/serving/requests/incarnations.py
@@ -47,7 +47,7 @@
     A lost connection looks the same whether its endpoint crashed or not, and directory entries are
     some seconds late. If an endpoint crashed twice under one request while its entry still named
     the first incarnation, only one crash would be counted. The request would be sent again for as
-    long as entries are late: seven times in a test where three are allowed. A query costs a
+    long as entries are late: seven times where three are allowed. A query costs a
     millisecond and is made only when a request returns to an incarnation that seemed to crash
     under it.
     """
--- a/cloverway/serving/requests/target_selector.py
+++ b/cloverway/serving/requests/target_selector.py
@@ -48,25 +48,25 @@
 its prefix is in this region, and traffic between regions is expensive."""
 MIN_BROADCAST_TOKENS = 1_000
 """Uncached prompt tokens from which a request is broadcast to other hosts at once; they take 26 ms
-of prefill. Smaller requests are reported with the next heartbeat."""
+of prefill. Smaller requests are reported with the next periodic broadcast of loads."""
 MAX_REGION_DECLINES = 3
 """How often a region may decline one request before it is no longer tried: each try costs traffic
 between regions."""
 
 
 class Target(NamedTuple):
-    """A place reserved for a request: an endpoint, or a host of another region."""
+    """The reserved target of a request: an endpoint, or a host of another region."""
 
     address: str
     name: str
-    """The incarnation of the endpoint, or the name of the host that the request is passed on to."""
+    """The incarnation of the endpoint, or the name of the host that the request is forwarded to."""
     region: str
     number: int
     """Identifies the request in the load of the endpoint."""
     candidate: Candidate | None = None
     peer: Peer | None = None
     reserved_service: str = ""
-    """The service of which a place in another region is reserved while the request runs."""
+    """The service of which a slot in another region is reserved while the request runs."""
 
     @property
     def fetch_from(self) -> str:
@@ -234,12 +234,12 @@
         return chosen
 
     def _take_remote(self, peer: Peer, service: Service) -> Target:
-        """Reserve a place that another region advertises.
+        """Reserve a free slot that another region advertises.
 
-        For a plain service the place is free again when the request has ended. If it counted as
-        taken until the region advertises again, six places would sustain six requests a second
-        instead of a hundred. For an engine the place stays taken, since only the next
-        advertisement shows what the prompt took.
+        For a plain service the slot is free again when the request has ended. If it counted as
+        taken until the region advertises again, six slots would sustain six requests a second
+        instead of a hundred. For an engine the slot stays taken, since only the next advertised
+        capacity shows how much of it the prompt used.
         """
         member = peer.member
         self._adjust_free(member.region, service.name, -1)
@@ -255,7 +255,7 @@
         )
 
     def _adjust_free(self, region: str, service: str, by: int) -> None:
-        """Change the number of places that a region is assumed to have free."""
+        """Change the number of free slots that a region is assumed to have."""
         for peer in self._members.peers.values():
             capacity = peer.advertised.get(service)
             if peer.member.region == region and capacity is not None:
@@ -283,7 +283,7 @@
         """Return whether a cold endpoint may get a request now; always true for a warm one."""
         if not endpoint.is_cold(now) or not service.cold_requests_per_s:
             return True
-        spacing = compute_cold_send_interval(
+        interval_s = compute_cold_send_interval(
             service.cold_requests_per_s,
             self._settings.cold,
             endpoint.entry.id,
@@ -291,7 +291,7 @@
             self._members.list_region(),
             age_s=now - self._started_at,
         )
-        return spacing is not None and now - endpoint.last_cold_send_at >= spacing
+        return interval_s is not None and now - endpoint.last_cold_send_at >= interval_s
 
     def _list_remote_regions(self, routed: RoutedCall, now: float) -> list[RegionCandidate]:
         """Predict the cost of a request in each other region that may run it and has capacity."""
@@ -312,7 +312,7 @@
         """Return the capacity that each other region advertised last.
 
         If several hosts of a region advertise, the most favourable value would be the least
-        accurate one, so the latest is taken.
+        accurate one, so the latest is used.
         """
         latest: dict[str, Peer] = {}
         for peer in self._members.list_alive(now):
