--- a/cloverway/tests/test_crashes.py
+++ b/cloverway/tests/test_crashes.py
@@ -17,7 +17,7 @@
 
 PACKET_BYTES = 1_472
 """Payload of one datagram over Ethernet without fragmentation."""
-DEADLY = 7
+CRASHING = 7
 
 
 class Host:
@@ -30,7 +30,7 @@
         self.broadcaster = UpdateBroadcaster(self.members, [self.exchange])
         self.broadcaster.send = lambda to, data: net.send(name, to, data)
 
-    def knows(self, digest=DEADLY):
+    def knows(self, digest=CRASHING):
         return self.quarantine.count_crashes(digest)
 
 
@@ -52,7 +52,7 @@
                 CODEC.decode(data), is_remote, crashes.read_clock()
             )
 
-    def list_knowing(self):
+    def list_hosts_that_know(self):
         return {name for name, host in self.hosts.items() if host.knows()}
 
 
@@ -76,9 +76,9 @@
     net = Net("a1", "a2", "a3", "b1", "b2", "b3", "b4", "c1", "c2", "c3")
 
     async def scenario():
-        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", CRASHING, clock[0])
         await settle()
-        assert net.list_knowing() == set(net.hosts)
+        assert net.list_hosts_that_know() == set(net.hosts)
         remote_receivers = {to for sender, to, _ in net.sent if sender == "a1" and to[0] != "a"}
         assert len(remote_receivers) == 4
 
@@ -91,13 +91,13 @@
     net.lost = lambda sender, receiver: sender == "a1" and receiver != "a3"
 
     async def scenario():
-        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", CRASHING, clock[0])
         await settle()
-        assert net.list_knowing() == {"a1", "a3"}
+        assert net.list_hosts_that_know() == {"a1", "a3"}
         for host in net.hosts.values():
             host.broadcaster.rebroadcast(clock[0] + 1.0)
         await settle()
-        assert net.list_knowing() == set(net.hosts)
+        assert net.list_hosts_that_know() == set(net.hosts)
         net.sent.clear()
         for host in net.hosts.values():
             host.broadcaster.rebroadcast(clock[0] + REBROADCAST_S + 0.1)
@@ -112,7 +112,7 @@
     net.lost = lambda sender, receiver: True
 
     async def scenario():
-        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", CRASHING, clock[0])
         await settle()
         net.lost = lambda sender, receiver: False
         rebroadcasting = asyncio.create_task(net.hosts["a1"].broadcaster.run())
@@ -130,15 +130,17 @@
     net.lost = lambda sender, receiver: True
 
     async def scenario():
-        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", CRASHING, clock[0])
         await settle()
         net.lost = lambda sender, receiver: False
         clock[0] += 60.0
         net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
-        assert net.list_knowing() == {"a1", "a2"}
-        hold_s = [host.quarantine.list_updates(0.0, 9).crashes[0].at for host in net.hosts.values()]
-        assert hold_s[0] == pytest.approx(
-            hold_s[1], abs=0.002
+        assert net.list_hosts_that_know() == {"a1", "a2"}
+        crash_times = [
+            host.quarantine.list_updates(0.0, 9).crashes[0].at for host in net.hosts.values()
+        ]
+        assert crash_times[0] == pytest.approx(
+            crash_times[1], abs=0.002
         ), "both know that it crashed a minute ago"
 
     asyncio.run(scenario())
@@ -148,12 +150,12 @@
     net = Net("a1", "a2", "b1")
 
     async def scenario():
-        net.hosts["a1"].exchange.report_crash("e", DEADLY, clock[0])
+        net.hosts["a1"].exchange.report_crash("e", CRASHING, clock[0])
         await settle()
-        assert net.list_knowing() == set(net.hosts)
-        net.hosts["a1"].exchange.report_served(DEADLY)
+        assert net.list_hosts_that_know() == set(net.hosts)
+        net.hosts["a1"].exchange.report_served(CRASHING)
         await settle()
-        assert net.list_knowing() == set()
+        assert net.list_hosts_that_know() == set()
         net.sent.clear()
         net.hosts["a1"].exchange.report_served(8)
         await settle()
@@ -194,7 +196,7 @@
     """
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(20)))
     for host in net.hosts.values():
-        host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
+        host.quarantine.record_crash(Crash("e", (CRASHING,), clock[0]))
 
     async def scenario():
         for joining in ("a3", "b7", "c19"):
@@ -215,7 +217,7 @@
     net = Net(*(f"{region}{number}" for region in "abc" for number in range(6)))
     for name, host in net.hosts.items():
         if name[0] != "b":
-            host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
+            host.quarantine.record_crash(Crash("e", (CRASHING,), clock[0]))
 
     async def scenario():
         for name, host in net.hosts.items():
@@ -230,12 +232,12 @@
     net = Net("a1", "a2")
     quarantine = net.hosts["a1"].quarantine
     for number in range(3):
-        quarantine.record_crash(Crash(f"held-{number}", (DEADLY,), clock[0]))
+        quarantine.record_crash(Crash(f"held-{number}", (CRASHING,), clock[0]))
     quarantine.record_crash(Crash("old", (8,), clock[0]))
     clock[0] += crashes.SYNC_AGE_S + 1.0
     quarantine.record_crash(Crash("new", (9,), clock[0]))
     net.hosts["a1"].broadcaster.sync_joining_host("a2", clock[0])
-    assert [net.hosts["a2"].knows(digest) for digest in (DEADLY, 8, 9)] == [3, 0, 1]
+    assert [net.hosts["a2"].knows(digest) for digest in (CRASHING, 8, 9)] == [3, 0, 1]
 
 
 def test_rebroadcast_traffic_does_not_grow_with_the_square_of_the_hosts(clock):
@@ -244,7 +246,7 @@
     for hosts in (10, 100):
         net = Net(*(f"a{number}" for number in range(hosts)))
         for host in net.hosts.values():
-            host.quarantine.record_crash(Crash("e", (DEADLY,), clock[0]))
+            host.quarantine.record_crash(Crash("e", (CRASHING,), clock[0]))
         for _ in range(20):
             for host in net.hosts.values():
                 host.broadcaster.rebroadcast(clock[0] + 1.0)
--- a/cloverway/tests/test_endpoint_loads.py
+++ b/cloverway/tests/test_endpoint_loads.py
@@ -20,7 +20,7 @@
     return Member(name, 1, "d1", "north", f"{name}:80", f"{name}:81", True)
 
 
-class Side:
+class RecordingHost:
     """One host with the messages that it sent."""
 
     def __init__(self, name, others, rate=10.0):
@@ -48,7 +48,7 @@
 
 
 def test_a_host_learns_the_load_of_another_host_at_an_endpoint():
-    here, there = Side("a", ["b"]), Side("b", ["a"])
+    here, there = RecordingHost("a", ["b"]), RecordingHost("b", ["a"])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     [(name, message)] = here.broadcast()
     assert name == "b"
@@ -61,7 +61,7 @@
 
 def test_only_changes_are_broadcast_and_everything_periodically():
     """With complete lists, 28 hosts of a region used more traffic for them than for requests."""
-    here = Side("a", ["b"])
+    here = RecordingHost("a", ["b"])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     assert len(here.broadcast()) == 1
     assert here.broadcast() == []
@@ -77,7 +77,7 @@
 def test_in_a_large_region_only_hosts_that_serve_callers_receive_loads():
     """Callers are directed to the two hosts that rank first, and to others under load."""
     others = [f"h{number}" for number in range(SMALL_REGION_HOSTS + 4)]
-    here = Side("a", others, rate=0.5)
+    here = RecordingHost("a", others, rate=0.5)
     here.members.peers["h3"].request_rate = 40.0
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     assert [name for name, _ in here.broadcast()] == ["h0", "h3"]
@@ -89,7 +89,7 @@
     The traffic then grows with the square of their number, just when they have the least to spare.
     So they all receive it with the next period, together with other prompts.
     """
-    here = Side("a", [f"h{number}" for number in range(MAX_IMMEDIATE_RECIPIENTS + 1)])
+    here = RecordingHost("a", [f"h{number}" for number in range(MAX_IMMEDIATE_RECIPIENTS + 1)])
     here.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
 
     async def broadcast_twice():
@@ -103,7 +103,7 @@
 
 
 def test_messages_of_an_unknown_host_are_dropped():
-    here, unknown = Side("a", ["b"]), Side("c", ["a"])
+    here, unknown = RecordingHost("a", ["b"]), RecordingHost("c", ["a"])
     unknown.load().begin(1, Work(9_000, 9_050), PROMPT, 0.0)
     here.exchange.receive(unknown.broadcast()[0][1], 0.0)
     assert here.load().sum_region_load(0.1).running == 0
--- a/cloverway/tests/test_fleet_crashes.py
+++ b/cloverway/tests/test_fleet_crashes.py
@@ -262,7 +262,7 @@
 
 
 def test_a_region_that_refuses_a_quarantined_request_still_gets_others():
-    """A host without engines passes the request on to a region that has quarantined it.
+    """A host without engines forwards the request to a region that has quarantined it.
 
     If the refusal were treated as a lack of capacity, all other requests would be kept away from
     that region until it advertises its engines again.
@@ -352,13 +352,13 @@
 
             host.context.target_selector.take = wait
             host.context.target_selector.estimate_start_delay = lambda routed, ahead_s, now: None
-            sending = await crashing.fleet.begin_call("/stream/a", body=CRASHING_BODY)
+            client_exchange = await crashing.fleet.begin_call("/stream/a", body=CRASHING_BODY)
             await wait_for(lambda: waits)
             for number in range(MAX_CRASHES):
                 crash = Crash(f"gone-{number}", (waits[0],), read_clock())
                 host.context.quarantine.record_crash(crash)
             go_on.set()
-            head = await sending.read_head(lambda head: True)
+            head = await client_exchange.read_head(lambda head: True)
             assert head.status == 503
             assert not crashing.crashed
             engines = host.directory.endpoints.values()
--- a/cloverway/tests/test_fleet_hosts.py
+++ b/cloverway/tests/test_fleet_hosts.py
@@ -66,7 +66,7 @@
 
 
 def test_two_hosts_of_a_domain_read_the_store_and_the_others_follow_them():
-    """Each read is billed: 90 hosts reading each second cost a twentieth of what callers got.
+    """Each read is billed, so the 90 hosts of a fleet must not all read each second.
 
     A change must still be in force everywhere at once, as if all of them had read.
     """
@@ -119,7 +119,7 @@
             host = fleet.hosts[0]
             endpoint = fleet.endpoints["model-0"]
             endpoint.answer = endpoint.stream(1, 20, gap_s=0.2)
-            sending = await fleet.begin_call("/cut/a", deadline_ms=8000)
+            client_exchange = await fleet.begin_call("/cut/a", deadline_ms=8000)
             await wait_for(lambda: endpoint.requests)
             leaving = asyncio.create_task(host.leave())
             await asyncio.sleep(0.1)
@@ -130,7 +130,7 @@
             await asyncio.sleep(2.8)
             late = await fleet.call("/once/a")
             assert late.status == 503
-            reply = await read_reply(sending)
+            reply = await read_reply(client_exchange)
             assert reply.body.count(b"data:") == 20 or not reply.complete
             await leaving
 
@@ -154,11 +154,11 @@
             connection = await fleet.pool.open_new(listen, 1.0)
             await asyncio.sleep(0.12)
             fields = [(b"Host", b"shop.example"), (b"X-Cloverway-Request-Id", b"late")]
-            sending = ClientExchange(
+            client_exchange = ClientExchange(
                 connection, make_request("POST", "/once/a", fields, b"x"), b"x"
             )
-            sending.write()
-            reply = await read_reply(sending)
+            client_exchange.write()
+            reply = await read_reply(client_exchange)
             assert reply.status == 503
             await leaving
 
@@ -258,12 +258,12 @@
             for endpoint in fleet.endpoints.values():
                 endpoint.answer = endpoint.never_answer
             tokens = (b"X-Cloverway-Token-Usage", b"9000,50")
-            sending = await fleet.begin_call("/stream/", first, headers=(tokens,))
+            client_exchange = await fleet.begin_call("/stream/", first, headers=(tokens,))
             endpoints = second.directory.endpoints.values()
             await wait_for(
                 lambda: any(e.load.estimate_backlog(read_clock()) for e in endpoints), 1.0
             )
-            sending.connection.abort()
+            client_exchange.connection.abort()
 
     run_scenario(scenario)
 
@@ -297,10 +297,10 @@
     async def scenario():
         async with run_fleet(hosts=0) as fleet:
             ports = take_ports(6)
-            early_reply = await fleet.add_host(seeds=(f"127.0.0.1:{ports[3]}",))
+            early_host = await fleet.add_host(seeds=(f"127.0.0.1:{ports[3]}",))
             await asyncio.sleep(0.25)
-            late = await fleet.add_host(ports=ports, seeds=())
-            await wait_for(lambda: late.members.peers and early_reply.members.peers, 0.5)
+            late_host = await fleet.add_host(ports=ports, seeds=())
+            await wait_for(lambda: late_host.members.peers and early_host.members.peers, 0.5)
 
     run_scenario(scenario)
 
@@ -318,8 +318,10 @@
             fleet.publish([bound], [make_service("desk")])
             south = await fleet.add_host("d2")
             await wait_for(lambda: south.members.own.ready)
-            norths = [await fleet.add_host("d1", seeds=(south.members.own.name,)) for _ in range(3)]
-            peers = [host.members.peers for host in norths]
+            north_hosts = [
+                await fleet.add_host("d1", seeds=(south.members.own.name,)) for _ in range(3)
+            ]
+            peers = [host.members.peers for host in north_hosts]
             await wait_for(
                 lambda: all(any(peer.advertised for peer in known.values()) for known in peers),
                 0.5,
--- a/cloverway/tests/test_fleet_joining.py
+++ b/cloverway/tests/test_fleet_joining.py
@@ -14,7 +14,7 @@
 from cloverway.tests.fleet.deployment import run_fleet, run_scenario, wait_for
 from cloverway.tests.fleet.standins import take_ports
 
-DEADLY = 7
+CRASHING = 7
 SYNC_TIMEOUT_S = 0.3
 """Time within which a host that has started must know what the hosts of its region know."""
 
@@ -34,14 +34,14 @@
     now = read_clock()
     for host in fleet.hosts:
         for number in range(3):
-            host.context.quarantine.record_crash(Crash(f"gone-{number}", (DEADLY,), now - 30.0))
-        life = host.directory.endpoints["desk-0"].entry.incarnation
-        host.directory.record_statement(life, Statement(0.5, now, True))
+            host.context.quarantine.record_crash(Crash(f"gone-{number}", (CRASHING,), now - 30.0))
+        incarnation = host.directory.endpoints["desk-0"].entry.incarnation
+        host.directory.record_statement(incarnation, Statement(0.5, now, True))
     await asyncio.sleep(0.1)
 
 
 def test_a_host_that_restarts_before_it_is_missed_receives_the_state_of_the_others():
-    """Guards against a rolling restart after which a known deadly request crashes an endpoint.
+    """Guards against a rolling restart after which a known crashing request crashes an endpoint.
 
     The others never missed the host, so none of them treated it as a joining host.
     """
@@ -78,7 +78,7 @@
 
 
 def test_a_joining_host_serves_no_request_before_it_received_the_state_of_the_others():
-    """Guards against a host that forwards a deadly request before it received the quarantine.
+    """Guards against a host that forwards a crashing request before it received the quarantine.
 
     Its configuration is there within milliseconds, and callers that kept its address reconnect at
     once.
@@ -92,8 +92,8 @@
                 for number in range(3):
                     crash = Crash(f"gone-{number}", (digest,), read_clock() - 30.0)
                     host.context.quarantine.record_crash(crash)
-            old, sibling = fleet.hosts
-            delay_datagrams(sibling, 0.05)
+            old, other = fleet.hosts
+            delay_datagrams(other, 0.05)
             new = await restart(fleet, old)
             reply = await fleet.call("/safe/a", new, body=b"deadly")
             assert reply.status == 503
@@ -109,8 +109,8 @@
     async def scenario():
         async with run_fleet(hosts=2) as fleet:
             await wait_for(lambda: all(len(h.gossip._alive_names) == 1 for h in fleet.hosts))
-            old, sibling = fleet.hosts
-            delay_datagrams(sibling, 3600.0)
+            old, other = fleet.hosts
+            delay_datagrams(other, 3600.0)
             new = await restart(fleet, old)
             began_at = read_clock()
             assert (await fleet.call("/safe/a", new)).status == 200
--- a/cloverway/tests/test_fleet_regions.py
+++ b/cloverway/tests/test_fleet_regions.py
@@ -7,10 +7,10 @@
 from cloverway.tests.fleet.standins import make_route, make_service
 
 
-def test_a_request_is_passed_on_to_the_region_that_may_run_it():
+def test_a_request_is_forwarded_to_the_region_that_may_run_it():
     """The route is bound to the south; the caller is connected to a host in the north.
 
-    Endpoints accept only hosts of their own region, so the request is passed on once, to a host in
+    Endpoints accept only hosts of their own region, so the request is forwarded once, to a host in
     the south.
     """
 
@@ -64,10 +64,10 @@
     run_scenario(scenario)
 
 
-def test_places_of_another_region_are_free_again_after_each_request():
-    """One region has no endpoint, and the endpoint of another region has two places.
+def test_slots_of_another_region_are_free_again_after_each_request():
+    """One region has no endpoint, and the endpoint of another region has two slots.
 
-    That capacity is advertised once a second. If a place stayed taken until the next
+    That capacity is advertised once a second. If a slot stayed taken until the next
     advertisement, all but the first two of twenty short requests would be refused.
     """
 
@@ -110,8 +110,8 @@
     run_scenario(scenario)
 
 
-def test_a_host_with_an_older_configuration_declines_a_passed_on_request():
-    """A host passes a request on by a configuration that the other host has not read yet.
+def test_a_host_with_an_older_configuration_declines_a_forwarded_request():
+    """A host forwards a request by a configuration that the other host has not read yet.
 
     The other host would run it by an outdated route after callers saw the effect of the new one. It
     declines the request as not run.
@@ -121,12 +121,12 @@
         async with run_fleet(endpoints=1) as fleet:
             host = fleet.hosts[0]
             newer = host.directory.configuration.version + 1
-            passed = b"%d;desk;south" % newer
+            forwarding = b"%d;desk;south" % newer
             fields = [
                 (b"Host", b"shop.example"),
                 (b"X-Cloverway-Request-Id", b"passed"),
                 (b"X-Cloverway-Deadline-Ms", b"2000"),
-                (b"cloverway-passed-on", passed),
+                (b"cloverway-passed-on", forwarding),
             ]
             request = make_request("POST", "/once/a", fields, b"x")
             head, _ = await fetch(
@@ -145,10 +145,10 @@
 
 
 def test_a_region_without_capacity_gets_no_requests():
-    """Guards against passing requests on by capacity that a region no longer advertises.
+    """Guards against forwarding requests by capacity that a region no longer advertises.
 
     The only endpoint of the region leaves. If heartbeats without capacity left the old value in
-    place, it would grow with its age, and each request would be passed on in vain three times.
+    place, it would grow with its age, and each request would be forwarded in vain three times.
     """
 
     async def scenario():
@@ -157,13 +157,15 @@
             remote = await fleet.add_endpoint("far-0", "desk", "d2")
             north = fleet.hosts[0]
 
-            def offers_room():
-                offers = [p.advertised.get("desk") for p in north.members.peers.values()]
-                return any(offer is not None and offer.free_slots > 0 for offer in offers)
+            def has_capacity():
+                capacities = [p.advertised.get("desk") for p in north.members.peers.values()]
+                return any(
+                    capacity is not None and capacity.free_slots > 0 for capacity in capacities
+                )
 
-            await wait_for(offers_room)
+            await wait_for(has_capacity)
             assert (await fleet.call("/safe/a", north)).body == b"ran at far-0"
             fleet.store.put("servers/far-0", remote.make_entry(state="draining"))
-            await wait_for(lambda: not offers_room(), 3.0)
+            await wait_for(lambda: not has_capacity(), 3.0)
 
     run_scenario(scenario)
--- a/cloverway/tests/test_fleet_requests.py
+++ b/cloverway/tests/test_fleet_requests.py
@@ -146,9 +146,9 @@
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["desk-0"]
             endpoint.answer = endpoint.never_answer
-            sending = await fleet.begin_call("/once/a")
+            client_exchange = await fleet.begin_call("/once/a")
             await wait_for(lambda: endpoint.requests)
-            sending.connection.abort()
+            client_exchange.connection.abort()
             await wait_for(lambda: endpoint.cancelled, 0.5)
             assert fleet.hosts[0].caller_server.in_progress == 0
 
@@ -251,11 +251,11 @@
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["model-0"]
             endpoint.answer = endpoint.stream(1, 3, gap_s=0.2)
-            sending = await fleet.begin_call("/cut/a")
-            await sending.read_head(lambda head: True)
-            assert b"token 1" in await sending.read_chunk()
+            client_exchange = await fleet.begin_call("/cut/a")
+            await client_exchange.read_head(lambda head: True)
+            assert b"token 1" in await client_exchange.read_chunk()
             assert len(endpoint.requests) == 1
-            assert not sending.is_complete
+            assert not client_exchange.is_complete
 
     run_scenario(scenario)
 
@@ -331,10 +331,10 @@
         async with run_fleet(endpoints=1) as fleet:
             endpoint = fleet.endpoints["model-0"]
             endpoint.answer = endpoint.stream(1, 1, aborts=True)
-            sending = await fleet.begin_call("/cut/a")
-            await sending.read_head(lambda head: True)
+            client_exchange = await fleet.begin_call("/cut/a")
+            await client_exchange.read_head(lambda head: True)
             with pytest.raises(ResponseError):
-                while await sending.read_chunk():
+                while await client_exchange.read_chunk():
                     continue
 
     run_scenario(scenario)
--- a/cloverway/tests/test_fleet_restarts.py
+++ b/cloverway/tests/test_fleet_restarts.py
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def keep_calling(fleet, path):
-    """Send requests one after the other while the body runs; yield the list of replies."""
+    """Send requests one after the other while the block runs; yield the list of replies."""
     replies = []
 
     async def call():
--- a/cloverway/tests/test_fleet_silence.py
+++ b/cloverway/tests/test_fleet_silence.py
@@ -71,12 +71,12 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("pause_s", "strained"), [(0.6, True), (0.0, False)])
-def test_a_stall_between_endpoints_does_not_count_as_strain_of_the_engine(pause_s, strained):
+@pytest.mark.parametrize(("pause_s", "saturated"), [(0.6, True), (0.0, False)])
+def test_a_stall_between_endpoints_does_not_count_as_saturation(pause_s, saturated):
     """A stream breaks off and continues at another endpoint after 0.7 s.
 
     Its caller sees a stall, but no engine prefills in every step: if the second engine counted as
-    strained, it would get no long prompts. An engine that stalls between its events is strained.
+    saturated, it would get no long prompts. An engine that stalls between its events is saturated.
     """
 
     async def scenario():
@@ -96,14 +96,12 @@
             assert reply.body.count(b"id: ") == 5
             loads = [endpoint.load for endpoint in host.directory.endpoints.values()]
             last_event_at = read_clock() - pause_s
-            assert any(load.is_saturated(last_event_at) for load in loads) == strained
+            assert any(load.is_saturated(last_event_at) for load in loads) == saturated
 
     run_scenario(scenario)
 
 
 ENGINE = {"slots": 8, "kvTokens": 300_000, "kvTokenBytes": 18_432, "linkMbps": 180_000}
-
-
 PROMPT = (b"X-Cloverway-Token-Usage", b"5000,30")
 
 
--- a/cloverway/tests/test_fleet_soak.py
+++ b/cloverway/tests/test_fleet_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak of real hosts, and the seeds that ever failed."""
+"""A short run of the soak of real hosts, with a seed and with the seeds that have failed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_random_faults(seed, tmp_path):
+def test_invariants_hold_under_random_faults(seed, tmp_path):
     soak = Soak(seed, tmp_path)
     assert asyncio.run(soak.run(SECONDS)) == []
     assert sum(seen.complete for seen in soak.seen) > 100
@@ -39,20 +39,20 @@
         ("once", 0, b"", 1, "cut off by planned work alone"),
     ],
 )
-def test_the_soak_sees_each_broken_promise(route, status, body, runs, what):
+def test_the_soak_detects_each_violation(route, status, body, runs, what):
     faults = [Fault("replace", 9.0, 10.0)]
     seen = CallRecord("c-1", route, "h", 10.0, 10.5, status, bool(status), body)
     found = list(check_response(seen, [Ran()] * runs, faults))
     assert any(what in violation for violation in found), found
 
 
-def test_a_cut_beside_an_unplanned_fault_is_no_broken_promise():
+def test_a_truncation_beside_an_unplanned_fault_is_no_violation():
     faults = [Fault("replace", 9.0, 10.0), Fault("kill", 8.0, 9.0)]
     seen = CallRecord("c-1", "once", "h", 10.0, 10.5, 0, False, b"")
     assert list(check_response(seen, [Ran()], faults)) == []
 
 
-def test_the_soak_sees_a_request_that_goes_on_to_end_endpoints():
+def test_the_soak_detects_a_request_that_keeps_crashing_endpoints():
     assert list(check_crashes("r", [1.0, 1.2, 1.5, 1.6, 1.7, 1.8, 3.4, 3.6, 3.7, 3.8])) == []
     assert list(check_crashes("r", [1.0])) == []
     assert list(check_crashes("r", [1.0, 1.2, 1.5, 3.6, 3.7, 3.8, 3.9])) != []
--- a/cloverway/tests/test_fleet_units.py
+++ b/cloverway/tests/test_fleet_units.py
@@ -61,20 +61,20 @@
 
 
 def test_the_queue_serves_by_priority_and_then_by_arrival():
-    """Three requests are queued for one place at a time."""
+    """Three requests are queued for one slot at a time."""
 
     async def scenario():
         queue = RequestQueue()
-        places = []
+        free_slots = []
         served = []
 
         async def enqueue(name, priority, arrived_at):
             until = read_clock() + 2
             granted = await queue.wait(
                 QueueTicket(QueueRank(priority, arrived_at)),
-                lambda ahead_s: places.pop() if places else None,
+                lambda ahead_s: free_slots.pop() if free_slots else None,
                 until,
-                places.append,
+                free_slots.append,
             )
             served.append((name, granted))
 
@@ -85,7 +85,7 @@
         ]
         await asyncio.sleep(0.05)
         for _ in range(3):
-            places.append("place")
+            free_slots.append("slot")
             await asyncio.sleep(0.05)
         await asyncio.gather(*tasks)
         assert [name for name, _ in served] == ["urgent", "old", "young"]
@@ -102,14 +102,14 @@
 
     async def scenario():
         queue = RequestQueue()
-        places = []
+        free_slots = []
         served = []
         start = read_clock()
 
         async def enqueue(name, arrived_at, latest_start_at):
             ticket = QueueTicket(QueueRank(1, arrived_at), latest_start_at=latest_start_at)
-            acquire = lambda ahead_s: places.pop() if places else None  # noqa: E731
-            await queue.wait(ticket, acquire, start + 2, places.append)
+            acquire = lambda ahead_s: free_slots.pop() if free_slots else None  # noqa: E731
+            await queue.wait(ticket, acquire, start + 2, free_slots.append)
             served.append(name)
 
         tasks = [
@@ -119,7 +119,7 @@
         ]
         await asyncio.sleep(0.1)
         for _ in range(3):
-            places.append("place")
+            free_slots.append("slot")
             await asyncio.sleep(0.05)
         await asyncio.gather(*tasks)
         assert served == ["in time", "late", "soon late"]
@@ -136,11 +136,10 @@
         await asyncio.sleep(0.01)
         now = read_clock()
         assert (
-            queue.try_acquire(QueueTicket(QueueRank(1, 2.0)), lambda ahead_s: "place", now) is None
+            queue.try_acquire(QueueTicket(QueueRank(1, 2.0)), lambda ahead_s: "slot", now) is None
         )
         assert (
-            queue.try_acquire(QueueTicket(QueueRank(0, 2.0)), lambda ahead_s: "place", now)
-            == "place"
+            queue.try_acquire(QueueTicket(QueueRank(0, 2.0)), lambda ahead_s: "slot", now) == "slot"
         )
         assert queue.sum_work_ahead(QueueTicket(QueueRank(1, 2.0)), now) == 0.2
         assert queue.sum_work_ahead(QueueTicket(QueueRank(0, 2.0)), now) == 0.0
@@ -212,22 +211,22 @@
 def test_a_result_is_released_when_the_waiting_task_is_cancelled():
     async def scenario():
         queue = RequestQueue()
-        places = []
+        free_slots = []
         task = asyncio.create_task(
             queue.wait(
                 QueueTicket(QueueRank(0, 0.0)),
-                lambda ahead_s: places.pop() if places else None,
+                lambda ahead_s: free_slots.pop() if free_slots else None,
                 read_clock() + 2,
-                places.append,
+                free_slots.append,
             )
         )
         await asyncio.sleep(0.03)
-        places.append("place")
-        while places:
+        free_slots.append("slot")
+        while free_slots:
             await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert places == ["place"] or task.result() == "place"
+        assert free_slots == ["slot"] or task.result() == "slot"
 
     asyncio.run(scenario())
 
@@ -335,14 +334,14 @@
     """Nobody reads the pipe of the process. A blocking write would stop all its requests."""
     read_end, write_end = os.pipe()
     try:
-        writer = LogLineHandler(write_end)
-        writer.setFormatter(logging.Formatter("%(message)s"))
+        log_handler = LogLineHandler(write_end)
+        log_handler.setFormatter(logging.Formatter("%(message)s"))
         for second in range(4_000):
             record = make_record("x" * 1_000)
             record.created = float(second)
-            writer.emit(record)
-        assert writer.dropped > 0
-        assert len(writer._pending) <= MAX_PENDING_BYTES + 2_000
+            log_handler.emit(record)
+        assert log_handler.dropped > 0
+        assert len(log_handler._pending) <= MAX_PENDING_BYTES + 2_000
     finally:
         os.close(read_end)
         os.close(write_end)
@@ -351,13 +350,13 @@
 def test_log_lines_in_a_second_are_limited():
     read_end, write_end = os.pipe()
     try:
-        writer = LogLineHandler(write_end)
-        writer.setFormatter(logging.Formatter("%(message)s"))
+        log_handler = LogLineHandler(write_end)
+        log_handler.setFormatter(logging.Formatter("%(message)s"))
         for _ in range(2_000):
             record = make_record()
             record.created = 5.0
-            writer.emit(record)
-        assert writer.dropped == 1_500
+            log_handler.emit(record)
+        assert log_handler.dropped == 1_500
     finally:
         os.close(read_end)
         os.close(write_end)
--- a/cloverway/tests/test_incarnations.py
+++ b/cloverway/tests/test_incarnations.py
@@ -18,10 +18,10 @@
 
 
 @asynccontextmanager
-async def run_engine(born: int | None = 1):
+async def run_engine(started_ms: int | None = 1):
     """Run a host and an engine whose entry has its start time; yield fleet, engine and host."""
     async with run_fleet(endpoints=0) as fleet:
-        more = {} if born is None else {"born": born}
+        more = {} if started_ms is None else {"born": started_ms}
         engine = await fleet.add_endpoint("engine", "model", **more)
         (host,) = fleet.hosts
         await wait_for(lambda: "engine" in host.directory.endpoints)
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -17,14 +17,14 @@
 from cloverway.serving.ports import ReplyFacts
 from cloverway.serving.telemetry import Metrics
 
-LIFE, OTHER = "engine-1@7", "engine-2@7"
+INCARNATION, OTHER = "engine-1@7", "engine-2@7"
 
 
 def make_member(name, region="north"):
     return Member(name, 1, "d1", region, f"{name}:80", f"{name}:81", True)
 
 
-class Side:
+class RecordingHost:
     """One host with the messages that it sent."""
 
     def __init__(self, name, others=("b",), remote=()):
@@ -40,17 +40,17 @@
         self.broadcaster.send = lambda name, data: self.sent.append((name, CODEC.decode(data)))
         self.sent = []
 
-    def publish(self, *lives):
-        for life in lives:
-            name, _, born_ms = life.partition("@")
-            entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, started_ms=int(born_ms))
+    def publish(self, *incarnations):
+        for incarnation in incarnations:
+            name, _, started_ms = incarnation.partition("@")
+            entry = EndpointEntry(name, "desk", "10.0.0.1:80", "d1", 8, started_ms=int(started_ms))
             self.directory.apply([EndpointPublished(name, entry)], 0.0)
 
-    def answer(self, limit_per_s, now, life=LIFE, *, leaving=False, is_signed=True):
+    def answer(self, limit_per_s, now, incarnation=INCARNATION, *, leaving=False, is_signed=True):
         facts = ReplyFacts(
             not_run=False, is_signed=is_signed, limit_per_s=limit_per_s, leaving=leaving
         )
-        self.exchange.record_answer(life, facts, request_id="r", sent_at=now - 1, now=now)
+        self.exchange.record_answer(incarnation, facts, request_id="r", sent_at=now - 1, now=now)
 
     def take_sent(self):
         sent, self.sent = self.sent, []
@@ -65,14 +65,14 @@
     """Guards against hosts that each have to learn a limit from an answer of their own."""
 
     async def scenario():
-        here, there = Side("a", ["b"], remote=["c"]), Side("b", ["a"])
+        here, there = RecordingHost("a", ["b"], remote=["c"]), RecordingHost("b", ["a"])
         here.answer(2.5, 100.0)
         here.answer(2.5, 100.1)
         await asyncio.sleep(0.1)
         [(name, report)] = here.take_sent()
         assert name == "b"
         there.exchange.receive(report, False, 500.0)
-        assert there.statements.get(LIFE).limit_per_s == 2.5
+        assert there.statements.get(INCARNATION).limit_per_s == 2.5
         await asyncio.sleep(0.1)
         assert there.sent == []
 
@@ -83,7 +83,7 @@
     """Guards against a broadcast to the hosts of the region for each answer."""
 
     async def scenario():
-        here = Side("a")
+        here = RecordingHost("a")
         for number in range(40):
             here.answer(10.0 + number, 100.0 + number / 100)
             await asyncio.sleep(0.01)
@@ -96,13 +96,13 @@
     """Guards against an old answer that overtakes a newer one and lifts a limit still in force."""
 
     async def scenario():
-        here = Side("a")
+        here = RecordingHost("a")
         here.answer(1.0, 100.0)
         here.answer(None, 100.5)
         here.answer(None, 103.0, is_signed=False)
-        assert here.statements.get(LIFE).limit_per_s == 1.0
+        assert here.statements.get(INCARNATION).limit_per_s == 1.0
         here.answer(None, 101.5)
-        assert here.statements.get(LIFE).limit_per_s is None
+        assert here.statements.get(INCARNATION).limit_per_s is None
 
     run_scenario(scenario)
 
@@ -111,8 +111,8 @@
     """Guards against hosts that have just started, or lost the datagram, and never learn of it."""
 
     async def scenario():
-        here = Side("a", ["b"])
-        here.publish(LIFE, OTHER)
+        here = RecordingHost("a", ["b"])
+        here.publish(INCARNATION, OTHER)
         here.answer(1.0, 100.0)
         here.answer(1.0, 100.0, OTHER)
         here.answer(None, 102.0, OTHER)
@@ -120,17 +120,20 @@
         here.take_sent()
         here.broadcaster.rebroadcast(101.0 + ENDED_LIMIT_REBROADCAST_S - 1)
         [(_, report)] = here.take_sent()
-        assert {(s.life, s.limit_milli) for s in report.statements} == {(LIFE, 1000), (OTHER, -1)}
+        assert {(s.life, s.limit_milli) for s in report.statements} == {
+            (INCARNATION, 1000),
+            (OTHER, -1),
+        }
         here.broadcaster.rebroadcast(102.0 + ENDED_LIMIT_REBROADCAST_S + 1)
         [(_, report)] = here.take_sent()
-        assert [s.life for s in report.statements] == [LIFE]
+        assert [s.life for s in report.statements] == [INCARNATION]
 
     run_scenario(scenario)
 
 
 def test_each_message_fits_into_one_packet():
     async def scenario():
-        here = Side("a", ["b"])
+        here = RecordingHost("a", ["b"])
         for number in range(MAX_STATEMENTS_PER_MESSAGE + 5):
             here.answer(1.0, 100.0, f"engine-of-a-long-name-{number:03}@1760000000000")
         await asyncio.sleep(0.1)
@@ -145,8 +148,8 @@
     """Guards against hosts that send to a leaving endpoint until it has told each of them."""
 
     async def scenario():
-        here, there = Side("a", ["b"]), Side("b", ["a"])
-        there.publish(LIFE, OTHER)
+        here, there = RecordingHost("a", ["b"]), RecordingHost("b", ["a"])
+        there.publish(INCARNATION, OTHER)
         here.answer(None, 100.0, leaving=True)
         here.answer(None, 101.0)
         await asyncio.sleep(0.1)
@@ -162,14 +165,16 @@
     """Guards against endless rebroadcasts about incarnations that ended long ago."""
 
     async def scenario():
-        here = Side("a", ["b"])
-        here.publish(LIFE)
+        here = RecordingHost("a", ["b"])
+        here.publish(INCARNATION)
         here.answer(None, 100.0, leaving=True)
         here.answer(None, 100.0, OTHER, leaving=True)
         await asyncio.sleep(0.1)
         here.take_sent()
         here.broadcaster.rebroadcast(300.0)
         [(_, report)] = here.take_sent()
-        assert [(s.life, s.leaving, s.limit_milli) for s in report.statements] == [(LIFE, True, -1)]
+        assert [(s.life, s.leaving, s.limit_milli) for s in report.statements] == [
+            (INCARNATION, True, -1)
+        ]
 
     run_scenario(scenario)
--- a/cloverway/tests/test_suspects.py
+++ b/cloverway/tests/test_suspects.py
@@ -20,7 +20,7 @@
 """Far more than the tests take from here, since messages are sent by the real clock."""
 
 
-class Side:
+class RecordingHost:
     """One host with the messages that it sent."""
 
     def __init__(self, name, other):
@@ -34,25 +34,25 @@
         self.broadcaster.send = lambda name, data: self.sent.append(CODEC.decode(data))
         self.sent = []
 
-    def begin(self, number, digest, life="e1"):
-        self.tracker.begin(number, want(digest), life, NOW + LEFT_S, NOW)
+    def begin(self, number, digest, incarnation="e1"):
+        self.tracker.begin(number, route_call(digest), incarnation, NOW + LEFT_S, NOW)
 
     def choose(self, digest):
-        candidates = [make_candidate(life) for life in ("e1", "e2")]
-        kept = self.tracker.weigh_candidates(want(digest), candidates, NOW)
-        return {c.endpoint.entry.incarnation: round(c.cost_s, 3) for c in kept}
+        candidates = [make_candidate(incarnation) for incarnation in ("e1", "e2")]
+        weighed = self.tracker.weigh_candidates(route_call(digest), candidates, NOW)
+        return {c.endpoint.entry.incarnation: round(c.cost_s, 3) for c in weighed}
 
 
 def _make_member(name):
     return Member(name, 1, "d1", "north", f"{name}:80", f"{name}:81", True)
 
 
-def want(digest):
+def route_call(digest):
     return RoutedCall(SimpleNamespace(id="r"), None, None, Counter(), digest)
 
 
-def make_candidate(life):
-    endpoint = SimpleNamespace(entry=SimpleNamespace(incarnation=life))
+def make_candidate(incarnation):
+    endpoint = SimpleNamespace(entry=SimpleNamespace(incarnation=incarnation))
     return Candidate(endpoint, 0.0, 0.0, None, False)
 
 
@@ -60,7 +60,7 @@
     """Guards against suspects of two hosts at one endpoint, whose crash would identify neither."""
 
     async def scenario():
-        here, there = Side("a", "b"), Side("b", "a")
+        here, there = RecordingHost("a", "b"), RecordingHost("b", "a")
         here.begin(7, SUSPECT)
         await asyncio.sleep(0.02)
         [report] = here.sent
@@ -78,7 +78,7 @@
 
 def test_a_request_that_is_not_suspected_is_not_broadcast():
     async def scenario():
-        here = Side("a", "b")
+        here = RecordingHost("a", "b")
         here.begin(7, INNOCENT)
         here.tracker.end(7)
         await asyncio.sleep(0.02)
@@ -90,19 +90,19 @@
 
 def test_a_suspect_of_a_silent_host_is_forgotten_after_its_deadline():
     async def scenario():
-        here, there = Side("a", "b"), Side("b", "a")
+        here, there = RecordingHost("a", "b"), RecordingHost("b", "a")
         here.begin(7, SUSPECT)
         there.tracker.receive(CODEC.decode(here.tracker.list_for_rebroadcast(NOW)[0]), False, NOW)
         assert there.choose(OTHER).keys() == {"e2"}
         candidates = [make_candidate("e1")]
-        assert there.tracker.weigh_candidates(want(OTHER), candidates, NOW + 2 * LEFT_S)
+        assert there.tracker.weigh_candidates(route_call(OTHER), candidates, NOW + 2 * LEFT_S)
 
     asyncio.run(scenario())
 
 
 def test_a_message_with_many_suspects_fits_into_one_packet():
     async def scenario():
-        here = Side("a", "b")
+        here = RecordingHost("a", "b")
         for number in range(3 * MAX_SUSPECTS_PER_MESSAGE):
             here.begin(number, SUSPECT, f"engine-of-a-long-name-{number:03}@1760000000000")
         [message] = here.tracker.list_for_rebroadcast(NOW)
