--- a/cloverway/addresses.py
+++ b/cloverway/addresses.py
@@ -12,17 +12,17 @@
 
 def check_address(address: str) -> str:
     """Return an address unchanged; raise ValueError unless it is an IP number and a port."""
-    found = ADDRESS.fullmatch(address)
-    if found is None or not 0 < int(found["port"]) < 2**16:
+    match = ADDRESS.fullmatch(address)
+    if match is None or not 0 < int(match["port"]) < 2**16:
         raise ValueError("must be an IP number and a port, such as 10.0.0.1:7000")
-    ipaddress.ip_address(found["ip"].strip("[]"))
+    ipaddress.ip_address(match["ip"].strip("[]"))
     return address
 
 
 def split_address(address: str) -> tuple[str, int]:
     """Split an address into its IP number, without brackets, and port."""
-    number, _, port = address.rpartition(":")
-    return number.strip("[]"), int(port)
+    ip, _, port = address.rpartition(":")
+    return ip.strip("[]"), int(port)
 
 
 def split_url(url: str) -> tuple[str, int]:
@@ -31,7 +31,7 @@
     return parts.hostname or "", parts.port or 80
 
 
-def format_address(name: Any) -> str:
+def format_address(socket_name: Any) -> str:
     """Return the address as text, from the value of `getsockname` or `getpeername`."""
-    number, port = name[:2]
-    return f"[{number}]:{port}" if ":" in number else f"{number}:{port}"
+    ip, port = socket_name[:2]
+    return f"[{ip}]:{port}" if ":" in ip else f"{ip}:{port}"
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -37,7 +37,7 @@
         except ConfigurationError as error:
             return Report(error.findings, warnings, [])
     changes = list_changes(old, new) if old else []
-    errors = list(_find_revision_faults(old, new, changes)) if old else []
+    errors = list(_find_revision_errors(old, new, changes)) if old else []
     return Report(errors, warnings, changes, describe(new))
 
 
@@ -141,7 +141,7 @@
             yield f"{name}: {own!r} is published as {other!r}; make them the same"
 
 
-def _find_revision_faults(old: Published, new: Published, changes: list[str]) -> Iterator[str]:
+def _find_revision_errors(old: Published, new: Published, changes: list[str]) -> Iterator[str]:
     if changes and new.revision <= old.revision:
         yield (
             f"revision: {new.revision} must be higher than {old.revision}, or no host applies the "
--- a/cloverway/commands/watch.py
+++ b/cloverway/commands/watch.py
@@ -32,10 +32,10 @@
 
 
 def watch(
-    address: str, count: int, every_s: float, sleep: Callable[[float], None], by: str = ""
+    address: str, count: int, interval_s: float, sleep: Callable[[float], None], by: str = ""
 ) -> Iterator[list[HistogramRow]]:
     """Read /metrics a number of times and yield the rows of each reading."""
-    for histograms in iterate_readings(_read_metrics(address, count, every_s, sleep)):
+    for histograms in iterate_readings(_read_metrics(address, count, interval_s, sleep)):
         yield summarise(histograms, by)
 
 
@@ -115,11 +115,11 @@
 
 
 def _read_metrics(
-    address: str, count: int, every_s: float, sleep: Callable[[float], None]
+    address: str, count: int, interval_s: float, sleep: Callable[[float], None]
 ) -> Iterator[str]:
     for reading in range(count):
         if reading:
-            sleep(every_s)
+            sleep(interval_s)
         yield query_text(address, "/metrics")
 
 
--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -57,13 +57,13 @@
     PEER = "peer"
 
 
-class Check(Enum):
+class PlatformCheck(Enum):
     """What the platform must send again before its changes are accepted."""
 
     NONE = 0
-    LATEST = 1
+    RECENT = 1
     """The latest changes in force, because it was unreachable and may have been restored."""
-    WHOLE = 2
+    SNAPSHOT = 2
     """All documents, because its revision decreased and it may be reusing revisions."""
 
 
@@ -84,7 +84,7 @@
         self._delivered_revision = 0
         self._last_contact_at = float("-inf")
         self._behind_since: float | None = None
-        self._check = Check.NONE
+        self._pending_check = PlatformCheck.NONE
         self.platform_stale = False
         """Whether the platform has less than is in force, or a conflicting history."""
 
@@ -120,13 +120,16 @@
         This is the last revision that the platform itself delivered, even if peers delivered later
         ones: the platform must deliver the same changes, or its history conflicts with them.
         """
-        if self._check is Check.LATEST:
+        if self._pending_check is PlatformCheck.RECENT:
             return min(self._revisions.documents.recheck_after, self._delivered_revision)
-        if self._check is Check.WHOLE and self._platform_revision >= self.revision:
+        if (
+            self._pending_check is PlatformCheck.SNAPSHOT
+            and self._platform_revision >= self.revision
+        ):
             return 0
         return self._delivered_revision
 
-    def fetch_after(self, revision: int) -> int | None:
+    def get_fetch_after(self, revision: int) -> int | None:
         """Return the revision after which to fetch from a peer at `revision`; None for no fetch."""
         if self._revisions.has_rejected(revision) or revision < 1:
             return None
@@ -140,13 +143,13 @@
         """Start to serve; from now on, a peer's snapshot no longer replaces what is in force."""
         self._is_serving = True
 
-    def conflicts(self, revision: int, digest: str) -> bool:
+    def conflicts_with(self, revision: int, digest: str) -> bool:
         """Return whether a peer has other documents under the revision that is in force here."""
         return revision == self.revision and digest != self.digest
 
-    def changes_after(self, revision: int) -> Changes:
+    def get_changes_after(self, revision: int) -> Changes:
         """Return a delta for a peer, or a snapshot if the peer has nothing or is far behind."""
-        return self._revisions.documents.changes_after(revision, self.revision)
+        return self._revisions.documents.get_changes_after(revision, self.revision)
 
     def apply(self, changes: Changes, source: Source, now: float) -> ApplyResult:
         """Merge changes; return whether they are in force, and if not, why."""
@@ -176,34 +179,41 @@
             self._delivered_revision = changes.revision
         if isinstance(result, Rejected) and result.conflicts:
             self.platform_stale = True
-            self._check = Check.NONE if self._revisions.has_conflict else Check.WHOLE
+            self._pending_check = (
+                PlatformCheck.NONE if self._revisions.has_conflict else PlatformCheck.SNAPSHOT
+            )
         elif self._revisions.has_conflict:
             self.platform_stale = True
-        elif self._check is Check.NONE and isinstance(result, Accepted | Unchanged):
+        elif self._pending_check is PlatformCheck.NONE and isinstance(result, Accepted | Unchanged):
             self.platform_stale = False
         return result
 
     def _passes_check(self, changes: Changes) -> bool:
         """Return whether changes reach back as far as the pending check requires."""
-        if changes.complete or (self._check is Check.LATEST and changes.after <= self.read_after):
-            self._check = Check.NONE
-        return self._check is Check.NONE
+        if changes.complete or (
+            self._pending_check is PlatformCheck.RECENT and changes.after <= self.read_after
+        ):
+            self._pending_check = PlatformCheck.NONE
+        return self._pending_check is PlatformCheck.NONE
 
-    def _record_contact(self, offered: int, now: float) -> None:
+    def _record_contact(self, reported_revision: int, now: float) -> None:
         """Mark the platform as stale if its revision decreased, or is behind for too long."""
-        went_back = offered < self._platform_revision
-        if now - self._last_contact_at > RECHECK_AFTER_S and self._check is Check.NONE:
-            self._check = Check.LATEST
-        self._platform_revision = offered
+        has_decreased = reported_revision < self._platform_revision
+        if (
+            now - self._last_contact_at > RECHECK_AFTER_S
+            and self._pending_check is PlatformCheck.NONE
+        ):
+            self._pending_check = PlatformCheck.RECENT
+        self._platform_revision = reported_revision
         self._last_contact_at = now
-        if offered >= self.revision:
+        if reported_revision >= self.revision:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
-        lags = self._behind_since is not None and now - self._behind_since >= STALE_AFTER_S
-        if went_back or lags:
+        is_behind = self._behind_since is not None and now - self._behind_since >= STALE_AFTER_S
+        if has_decreased or is_behind:
             self.platform_stale = True
-            self._check = Check.WHOLE
+            self._pending_check = PlatformCheck.SNAPSHOT
 
     def _replace_with_peer_snapshot(self, changes: Changes) -> ApplyResult:
         """Replace what was read from the platform alone by a peer's snapshot, if that is valid.
@@ -216,7 +226,7 @@
         if isinstance(result, Accepted):
             self._revisions = revisions
             self._has_peer_snapshot = True
-            self._check = Check.WHOLE
+            self._pending_check = PlatformCheck.SNAPSHOT
         return result
 
 
--- a/cloverway/config/documents.py
+++ b/cloverway/config/documents.py
@@ -98,7 +98,7 @@
             self._digest_sum += _hash(key, entry.text)
         self._prune()
 
-    def changes_after(self, after: int, revision: int) -> Changes:
+    def get_changes_after(self, after: int, revision: int) -> Changes:
         """Return the changes from revision `after` to the present one, or a snapshot."""
         if after < (self._min_delta_revision or 0) or after > revision:
             after = 0
--- a/cloverway/config/settings.py
+++ b/cloverway/config/settings.py
@@ -124,8 +124,8 @@
         if settings is not None:
             _check_platform(settings.platform, findings)
             _check_limits(settings.limits, findings)
-            for name, why in settings.quarantine.find_faults():
-                findings.add(f"quarantine.{name}", why)
+            for name, reason in settings.quarantine.find_faults():
+                findings.add(f"quarantine.{name}", reason)
         findings.raise_if_any()
         assert settings is not None
         return settings
--- a/cloverway/config/updates.py
+++ b/cloverway/config/updates.py
@@ -94,10 +94,10 @@
         """Whether the platform is behind the configuration in force, or conflicts with it."""
         return self._store.platform_stale
 
-    def changes_after(self, revision: int) -> Changes:
+    def get_changes_after(self, revision: int) -> Changes:
         """Return the documents after a revision for a peer; thread-safe."""
         with self._lock:
-            return self._store.changes_after(revision)
+            return self._store.get_changes_after(revision)
 
     def record_peer(self, host: str, revision: int) -> None:
         """Record that a peer is alive, and the revision that it announced."""
@@ -124,11 +124,11 @@
         """Return whether to fetch a peer's changes now; there is one fetch at a time."""
         if self._is_fetching or now < self._next_fetch_at:
             return False
-        return self._store.fetch_after(peer.revision) is not None
+        return self._store.get_fetch_after(peer.revision) is not None
 
     async def fetch(self, peer: PeerRevision, on_accepted: OnAccepted) -> None:
         """Fetch the changes that this host lacks from a peer."""
-        after = self._store.fetch_after(peer.revision)
+        after = self._store.get_fetch_after(peer.revision)
         if after is None or self._is_fetching:
             return
         self._is_fetching = True
@@ -147,13 +147,17 @@
         self, is_reader: Callable[[float], bool], on_accepted: OnAccepted
     ) -> None:
         """Read the platform's changes until cancelled; hosts that aren't readers read rarely."""
-        read_at = float("-inf")
+        last_read_at = float("-inf")
         while True:
             now = self._clock()
-            if self.is_serving and not is_reader(now) and now - read_at < NON_READER_INTERVAL_S:
+            if (
+                self.is_serving
+                and not is_reader(now)
+                and now - last_read_at < NON_READER_INTERVAL_S
+            ):
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            read_at = now
+            last_read_at = now
             if not await self._read_platform(on_accepted):
                 await asyncio.sleep(RETRY_DELAY_S)
 
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -24,7 +24,7 @@
 from cloverway.entry.callers import CallerServer
 from cloverway.errors import RequestError, UserError
 from cloverway.gateway import Ports, RequestGateway
-from cloverway.logs import configure_logs
+from cloverway.logs import configure_logging
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
 from cloverway.once.claims import Claims, LedgerTask
@@ -128,7 +128,7 @@
 
     def count_in_progress(self) -> int:
         """Return the number of requests from callers and of those forwarded by other hosts."""
-        return max(self.callers.in_progress(), self.dispatcher.in_flight())
+        return max(self.callers.count_in_progress(), self.dispatcher.in_flight())
 
     def stop(self) -> None:
         """Stop all tasks, the listeners first."""
@@ -172,7 +172,7 @@
             load=self.dispatcher.load,
             crash_tracker=tracker,
         )
-        handler = PeerRequestHandler(self.keys, self.gateway, self.control.changes_after)
+        handler = PeerRequestHandler(self.keys, self.gateway, self.control.get_changes_after)
         self.peer_server = PeerServer(
             settings.listen.peers,
             Identity(settings.host, self.incarnation),
@@ -188,12 +188,12 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_rejection=reporter.report_refusal,
+            on_rejection=reporter.report_rejection,
             on_disconnect=self._cancel_request,
         )
         operations = Operations(
             list_hosts=self.callers.list_hosts,
-            count_active=self.count_in_progress,
+            count_in_progress=self.count_in_progress,
             count_queued=self.dispatcher.queued,
             render_metrics=self.metrics.render,
             explain=self._explain,
@@ -229,7 +229,7 @@
 def run(path: Path) -> int:
     """Run a daemon until it has left; return its exit status."""
     daemon = Daemon.from_config(path)
-    configure_logs(daemon.settings.log_level, daemon.settings.host, daemon.incarnation)
+    configure_logging(daemon.settings.log_level, daemon.settings.host, daemon.incarnation)
     signals = _count_signals(daemon)
     daemon.start()
     daemon.wait_for_leave()
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -97,12 +97,12 @@
 class Responder:
     """Answers each CherryPy request with a handler; every failure becomes a problem document."""
 
-    def __init__(self, host: str, handle: Handler, answer_bytes: int) -> None:
+    def __init__(self, host: str, handle: Handler, max_answer_bytes: int) -> None:
         self.close_connections = False
         """Whether to close each connection after its answer."""
         self._host = host
         self._handle = handle
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
 
     def make_application(self) -> cherrypy.Application:
         """Return the WSGI application."""
@@ -167,7 +167,7 @@
         body = bytearray()
         for piece in pieces:
             body += piece
-            if len(body) > self._answer_bytes:
+            if len(body) > self._max_answer_bytes:
                 raise RequestError(
                     Kind.TRUNCATED,
                     "the stream exceeds the size limit for HTTP/1.0 callers",
--- a/cloverway/entry/caller_connection.py
+++ b/cloverway/entry/caller_connection.py
@@ -68,11 +68,11 @@
 class HeadState(Enum):
     """State of the head of a request."""
 
-    WHOLE = auto()
-    PART = auto()
-    LATE = auto()
+    COMPLETE = auto()
+    INCOMPLETE = auto()
+    TIMED_OUT = auto()
     """Incomplete, and past its deadline."""
-    LEFT = auto()
+    DISCONNECTED = auto()
     """Incomplete, and the caller has closed the connection."""
 
 
@@ -217,18 +217,18 @@
         """Receive available bytes of a head without blocking, and return its state."""
         source = self.rfile.source
         try:
-            more = source.prefetch(limits.max_bytes)
+            may_send_more = source.prefetch(limits.max_bytes)
         except OSError:
-            more = False
+            may_send_more = False
         if HEAD_END in source.prefetched or len(source.prefetched) >= limits.max_bytes:
             self.head_deadline = float("inf")
             self.had_request = True
-            return HeadState.WHOLE
-        if not more:
-            return HeadState.LEFT
+            return HeadState.COMPLETE
+        if not may_send_more:
+            return HeadState.DISCONNECTED
         if source.prefetched:
             self.head_deadline = min(self.head_deadline, now + limits.timeout_s)
-        return HeadState.LATE if now >= self.head_deadline else HeadState.PART
+        return HeadState.TIMED_OUT if now >= self.head_deadline else HeadState.INCOMPLETE
 
     def communicate(self) -> bool:
         """Answer one request; return whether the connection stays open."""
@@ -274,10 +274,10 @@
 
     def _check_head(self) -> None:
         """Reject ambiguous heads, which two parsers may understand differently."""
-        names = self.inheaders
-        if self.response_protocol != HTTP_1_0 and b"Host" not in names:
+        headers = self.inheaders
+        if self.response_protocol != HTTP_1_0 and b"Host" not in headers:
             self._reject("HTTP/1.1 requires a Host header")
-        if self.chunked_read and b"Content-Length" in names:
+        if self.chunked_read and b"Content-Length" in headers:
             self._reject("send Content-Length or Transfer-Encoding, not both")
 
     def _reject(self, detail: str) -> None:
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -117,7 +117,7 @@
         self._max_ages = MaxAges(settings.timing.suspect_s)
         self._holder = holder
         self._gateway = gateway
-        self._issue = issue_keys
+        self._issue_new_keys = issue_keys
         self._on_rejection = on_rejection
         self._clock = clock
         self._disconnects = DisconnectWatcher(on_disconnect)
@@ -158,13 +158,13 @@
         self._listener.stop()
         self._disconnects.stop()
 
-    def in_progress(self) -> int:
+    def count_in_progress(self) -> int:
         """Return the number of requests from complete head to written answer, with queued ones."""
         return self._listener.in_progress
 
     def list_hosts(self) -> HostList:
         """Return the hosts that a caller should use now."""
-        overloaded = self.in_progress() > self._limits.admitted + self._limits.queued
+        overloaded = self.count_in_progress() > self._limits.admitted + self._limits.queued
         return list_hosts(
             self._holder.current, self._clock(), self._max_ages, next(self._rotation), overloaded
         )
@@ -235,7 +235,7 @@
             key_count = bodies.parse_json(body, call.get_header("Content-Type")).get("count", 1)
         if type(key_count) is not int or not 1 <= key_count <= MAX_KEYS_PER_CALL:
             raise RequestError(Kind.MALFORMED, f"'count' must be from 1 to {MAX_KEYS_PER_CALL}")
-        keys = self._issue(key_count)
+        keys = self._issue_new_keys(key_count)
         lifetime_s = self._limits.idempotency_key_s
         return make_json_reply({"key": keys[0], "keys": keys, "lifetime_s": lifetime_s})
 
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -177,18 +177,20 @@
         """
         self._silent.discard(conn)
         match conn.prefetch_head(self.head_limits, time.monotonic()):
-            case HeadState.WHOLE if (
+            case HeadState.COMPLETE if (
                 self.request_counter.value < self.limits.threads + self.limits.queued
             ):
                 self.request_counter.add(1)
                 super().process_conn(conn)
-            case HeadState.WHOLE:
+            case HeadState.COMPLETE:
                 self._reject(
                     conn, Kind.OVERLOADED, "all threads are busy and the queue for them is full"
                 )
-            case HeadState.LATE:
+            case HeadState.TIMED_OUT:
                 self._reject(conn, Kind.TOO_SLOW, "the request head did not arrive in time")
-            case HeadState.PART if self.can_add_keepalive_connection or self._silent.drop_oldest():
+            case HeadState.INCOMPLETE if (
+                self.can_add_keepalive_connection or self._silent.drop_oldest()
+            ):
                 self._silent.add(conn)
                 self.put_conn(conn)
             case _:
@@ -251,9 +253,9 @@
 def send_rejection(conn: CallerConnection, kind: Kind, detail: str, request_id: str) -> None:
     """Answer a request without using a thread and without blocking, and close its connection."""
     head = conn.rfile.source.prefetched
-    keyless = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
+    has_no_key = HEAD_END in head and KEY_HEADER_PREFIX not in head.lower()
     retry_after = RETRY_AFTER_S if ERROR_ANSWERS[kind].has_retry_after else None
-    ran = Ran.NO if keyless else Ran.UNKNOWN
+    ran = Ran.NO if has_no_key else Ran.UNKNOWN
     error = RequestError(kind, detail, ran=ran, retry_after=retry_after)
     with contextlib.suppress(OSError):
         conn.socket.setblocking(False)
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -96,9 +96,9 @@
         request: Request,
         *,
         idempotent: bool,
-        gap_s: float,
+        max_gap_s: float,
         priority: int,
-        check: PreSendCheck,
+        pre_send_check: PreSendCheck,
     ) -> Reply:
         """Send; return once the header of the answer, or all of it, arrived.
 
@@ -263,9 +263,9 @@
             route.url,
             self.request,
             idempotent=profile.idempotent,
-            gap_s=profile.gap_ms / 1000,
+            max_gap_s=profile.gap_ms / 1000,
             priority=int(profile.priority),
-            check=lambda: self._check_before_send(gateway.ports.holder.current.domain),
+            pre_send_check=lambda: self._check_before_send(gateway.ports.holder.current.domain),
         )
 
     def _check_before_send(self, domain: str) -> None:
--- a/cloverway/logs.py
+++ b/cloverway/logs.py
@@ -13,7 +13,9 @@
 QUIET_LOGGERS = ("urllib3",)
 
 
-def configure_logs(level: str, host: str, incarnation: str, stream: TextIO | None = None) -> None:
+def configure_logging(
+    level: str, host: str, incarnation: str, stream: TextIO | None = None
+) -> None:
     """Log as JSON, with the host and its incarnation in each line.
 
     Library loggers that would write addresses and paths of each call log only warnings and above.
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -32,7 +32,7 @@
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.port import Changes, Listed, MemberStates, Platform
+from cloverway.sources.port import Changes, MemberState, MemberStates, Platform
 
 log = logging.getLogger(__name__)
 
@@ -155,9 +155,9 @@
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(self._schedule_broadcast)
 
-    def changes_after(self, revision: int) -> Changes:
+    def get_changes_after(self, revision: int) -> Changes:
         """Return the documents that changed after a revision; safe to call from any thread."""
-        return self._updates.changes_after(revision)
+        return self._updates.get_changes_after(revision)
 
     @property
     def address(self) -> str:
@@ -329,10 +329,10 @@
                 log.exception("can't read the platform's member list")
 
     def _apply_member_list(self, states: MemberStates) -> None:
-        leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
+        leaving = {name: state is MemberState.LEAVING for name, state in states.endpoints.items()}
         if self.gossip.endpoint_table.apply_member_list(leaving, self._clock()):
             self._broadcast_due = True
-        if states.hosts.get(self._settings.host) is Listed.LEAVING and not self._leaving:
+        if states.hosts.get(self._settings.host) is MemberState.LEAVING and not self._leaving:
             log.debug("the platform lists this host as leaving")
 
     def _is_reader(self, now: float) -> bool:
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -33,7 +33,7 @@
     """The functions of the daemon that the admin API calls."""
 
     list_hosts: Callable[[], HostList]
-    count_active: Callable[[], int]
+    count_in_progress: Callable[[], int]
     count_queued: Callable[[], int]
     """Returns the number of requests that wait for an endpoint."""
     render_metrics: Callable[[Sequence[Gauge]], bytes]
@@ -107,7 +107,7 @@
         return make_json_reply({"ready": True})
 
     def _answer_metrics(self, call: Call) -> Reply:
-        gauges = list(make_gauges(self._holder.current, self._operations.count_active()))
+        gauges = list(make_gauges(self._holder.current, self._operations.count_in_progress()))
         return Reply(200, METRICS_CONTENT_TYPE, self._operations.render_metrics(gauges))
 
     def _answer_hosts(self, call: Call) -> Reply:
@@ -116,7 +116,9 @@
     def _answer_status(self, call: Call) -> Reply:
         view, now = self._holder.current, self._clock()
         operations = self._operations
-        status = describe_status(view, operations.count_active(), operations.count_queued(), now)
+        status = describe_status(
+            view, operations.count_in_progress(), operations.count_queued(), now
+        )
         return make_json_reply(status)
 
     def _explain(self, call: Call) -> Reply:
@@ -130,7 +132,7 @@
         self._read_body(call)
         self._operations.begin_leaving()
         return make_json_reply(
-            {"leaving": True, "in_progress": self._operations.count_active()}, 202
+            {"leaving": True, "in_progress": self._operations.count_in_progress()}, 202
         )
 
     def _read_body(self, call: Call) -> bytes:
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -123,8 +123,8 @@
 
     def __init__(self, clock: Callable[[], float], gap_bounds_s: Sequence[float]) -> None:
         self._clock = clock
-        self._labels = TenantLabels(clock())
-        self._endpoints: set[str] = set()
+        self._tenant_labels = TenantLabels(clock())
+        self._endpoint_labels: set[str] = set()
         self._registry = aioprometheus.Registry()
         self._make_histograms(gap_bounds_s)
         self._make_counters()
@@ -150,29 +150,29 @@
 
     def _make_histograms(self, gap_bounds_s: Sequence[float]) -> None:
         registry = self._registry
-        self._first = _HistogramPair(
+        self._first_token_times = _HistogramPair(
             registry,
             "first_token_seconds",
             "Time from arrival to the first byte of the answer",
             TIME_BOUNDS_S,
         )
-        self._gap = _HistogramPair(
+        self._token_gaps = _HistogramPair(
             registry,
             "token_gap_seconds",
             "Time between tokens of a stream",
             gap_bounds_s,
         )
-        self._total = _HistogramPair(
+        self._request_times = _HistogramPair(
             registry, "request_seconds", "Time from arrival to the end", TIME_BOUNDS_S
         )
-        self._queue = _HistogramPair(
+        self._queue_times = _HistogramPair(
             registry, "queue_seconds", "Time from arrival to the first route", TIME_BOUNDS_S
         )
 
     def _make_counters(self) -> None:
         self._requests = self._make_counter("requests_total", "Requests by kind of outcome")
         self._attempts = self._make_counter("attempts_total", "Attempts at endpoints, by class")
-        self._outcomes = self._make_counter(
+        self._endpoint_requests = self._make_counter(
             "endpoint_requests_total", "Requests by the endpoint that was tried last"
         )
         self._tokens = self._make_counter("tokens_total", "Tokens of streams")
@@ -192,8 +192,13 @@
                 answer.set_result(self._render(gauges))
 
     def _tick(self) -> None:
-        for tenant in self._labels.review(self._clock()):
-            for pair in (self._first, self._gap, self._total, self._queue):
+        for tenant in self._tenant_labels.review(self._clock()):
+            for pair in (
+                self._first_token_times,
+                self._token_gaps,
+                self._request_times,
+                self._queue_times,
+            ):
                 pair.drop_tenant(tenant)
 
     def _record_request(self, observation: RequestEnded) -> None:
@@ -201,32 +206,32 @@
         urgency = observation.urgency or UNKNOWN_CLASS
         self._requests.inc({"class": urgency, "kind": kind, "ran": str(observation.ran)})
         if observation.endpoint:
-            self._outcomes.inc(
+            self._endpoint_requests.inc(
                 {"endpoint": self._label_endpoint(observation.endpoint), "kind": kind}
             )
         if observation.attempts:
             self._attempts.add({"class": urgency}, observation.attempts)
         if not observation.team:
             return
-        tenant = self._labels.choose(observation.team)
-        self._total.observe(urgency, tenant, observation.total_s)
+        tenant = self._tenant_labels.choose(observation.team)
+        self._request_times.observe(urgency, tenant, observation.total_s)
         if observation.attempts:
-            self._queue.observe(urgency, tenant, observation.queue_s)
+            self._queue_times.observe(urgency, tenant, observation.queue_s)
         if observation.first_byte_s is not None:
-            self._first.observe(urgency, tenant, observation.first_byte_s)
+            self._first_token_times.observe(urgency, tenant, observation.first_byte_s)
 
     def _record_stream(self, observation: StreamEnded) -> None:
         urgency = observation.urgency or UNKNOWN_CLASS
         self._tokens.add({"class": urgency}, observation.tokens)
-        tenant = self._labels.get(observation.team)
-        self._gap.merge(urgency, tenant, observation.gaps, observation.gap_sum_s)
+        tenant = self._tenant_labels.get(observation.team)
+        self._token_gaps.merge(urgency, tenant, observation.gaps, observation.gap_sum_s)
 
     def _label_endpoint(self, endpoint: str) -> str:
         """Return the label of a local endpoint, or of a remote endpoint's failure domain."""
         label = endpoint.partition("/")[0] + "/" if "/" in endpoint else endpoint
-        if label not in self._endpoints and len(self._endpoints) >= MAX_ENDPOINT_LABELS:
+        if label not in self._endpoint_labels and len(self._endpoint_labels) >= MAX_ENDPOINT_LABELS:
             return OTHER_ENDPOINTS
-        self._endpoints.add(label)
+        self._endpoint_labels.add(label)
         return label
 
     def _render(self, gauges: Sequence[Gauge]) -> bytes:
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -62,7 +62,7 @@
     def report_request(self, request_record: EndedRequest) -> None:
         """Report a request that the gateway ran or refused."""
         request = request_record.request
-        first_ms = (
+        first_byte_ms = (
             _to_ms(request_record.first_byte_s) if request_record.first_byte_s is not None else None
         )
         log.info(
@@ -75,7 +75,7 @@
                 "endpoint": request_record.endpoint,
                 "attempts": request_record.attempts,
                 "queue_ms": _to_ms(request_record.queue_s),
-                "first_byte_ms": first_ms,
+                "first_byte_ms": first_byte_ms,
                 "total_ms": _to_ms(request_record.total_s),
                 "outcome": str(request_record.kind or "ok"),
                 "ran": str(request_record.ran),
@@ -96,28 +96,28 @@
             )
         )
 
-    def report_refusal(self, refusal: Rejection) -> None:
+    def report_rejection(self, rejection: Rejection) -> None:
         """Report a request that was refused before it reached the gateway."""
         log.info(
             "request",
             extra={
-                "request_id": refusal.request_id,
-                "team": refusal.team,
-                "profile": refusal.profile,
-                "method": refusal.method,
+                "request_id": rejection.request_id,
+                "team": rejection.team,
+                "profile": rejection.profile,
+                "method": rejection.method,
                 "attempts": 0,
-                "total_ms": _to_ms(refusal.total_s),
-                "outcome": str(refusal.kind),
-                "ran": str(refusal.ran),
+                "total_ms": _to_ms(rejection.total_s),
+                "outcome": str(rejection.kind),
+                "ran": str(rejection.ran),
             },
         )
         self._metrics.record(
             RequestEnded(
-                team=refusal.team,
-                urgency=self._find_urgency(refusal.profile),
-                kind=refusal.kind,
-                ran=refusal.ran,
-                total_s=refusal.total_s,
+                team=rejection.team,
+                urgency=self._find_urgency(rejection.profile),
+                kind=rejection.kind,
+                ran=rejection.ran,
+                total_s=rejection.total_s,
             )
         )
 
--- a/cloverway/peers/handlers.py
+++ b/cloverway/peers/handlers.py
@@ -20,10 +20,12 @@
 class PeerRequestHandler:
     """Dispatches the calls of other hosts to the components that serve them."""
 
-    def __init__(self, keys: LedgerTask, gateway: Gateway, changes_after: GetChangesAfter) -> None:
+    def __init__(
+        self, keys: LedgerTask, gateway: Gateway, get_changes_after: GetChangesAfter
+    ) -> None:
         self._keys = keys
         self._gateway = gateway
-        self._changes_after = changes_after
+        self._get_changes_after = get_changes_after
 
     def claim(self, call: ClaimCall) -> ClaimResult:
         """Decide a claim of a key that this host issued."""
@@ -39,7 +41,7 @@
 
     def get_changes(self, after: int) -> peering.EncodedChanges:
         """Return the documents that changed after a revision."""
-        return encode_changes(self._changes_after(after))
+        return encode_changes(self._get_changes_after(after))
 
 
 def encode_changes(changes: Changes) -> peering.EncodedChanges:
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -81,21 +81,21 @@
         """Return the body of the response to a lookup."""
         return json.dumps({"addresses": list(addresses), "ttlS": ttl_s}).encode()
 
-    def encode_endpoint_headers(self, call: Call, terms: SendOptions) -> list[Header]:
+    def encode_endpoint_headers(self, call: Call, options: SendOptions) -> list[Header]:
         """Return the headers of a request to an endpoint."""
         headers = [
             *call.headers,
-            (names.DEADLINE, _format_ms(terms.left_s)),
+            (names.DEADLINE, _format_ms(options.left_s)),
             # If another endpoint now has this address, it rejects the request without running it.
-            (names.EXPECTED_ENDPOINT, terms.endpoint_id.encode("latin-1")),
+            (names.EXPECTED_ENDPOINT, options.endpoint_id.encode("latin-1")),
         ]
         if call.prompt is not None:
-            priority = min(MAX_PRIORITY, terms.priority)
+            priority = min(MAX_PRIORITY, options.priority)
             headers.append((names.PRIORITY, str(priority).encode()))
-        if terms.last_event_id:
-            headers.append((names.LAST_EVENT, terms.last_event_id.encode("latin-1")))
-        if terms.fetch_from:
-            headers.append((names.FETCH_FROM, terms.fetch_from.encode("latin-1")))
+        if options.last_event_id:
+            headers.append((names.LAST_EVENT, options.last_event_id.encode("latin-1")))
+        if options.fetch_from:
+            headers.append((names.FETCH_FROM, options.fetch_from.encode("latin-1")))
         return headers
 
     def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
@@ -115,7 +115,7 @@
         is_misdirected = head.status == MISDIRECTED
         not_run = head.get(names.NOT_RUN) is not None or is_misdirected
         is_signed = head.get(names.SIGNATURE) is not None
-        limit = head.get(names.LIMIT)
+        limit = head.get(names.RATE_LIMIT)
         limit_per_s = _read_decimal(limit, "the request rate limit in a response is malformed")
         leaving = head.get(names.LEAVING) == b"1"
         pause = head.get(names.RETRY_AFTER) if head.status == UNAVAILABLE else None
--- a/cloverway/platform/store.py
+++ b/cloverway/platform/store.py
@@ -139,13 +139,13 @@
             raise PlatformError(f"{path}: malformed response") from error
 
 
-def _limit_unreadable(page: tuple[Document, ...], read: int) -> list[Document]:
+def _limit_unreadable(page: tuple[Document, ...], read_count: int) -> list[Document]:
     """Return a page with unreadable documents emptied, or dropped beyond UNREADABLE_CUTOFF."""
     kept = []
     for document in page:
         if not is_unreadable(document):
             kept.append(document)
-        elif read + len(kept) < UNREADABLE_CUTOFF:
+        elif read_count + len(kept) < UNREADABLE_CUTOFF:
             kept.append(document._replace(value=UNREADABLE))
     return kept
 
--- a/cloverway/sources/codec.py
+++ b/cloverway/sources/codec.py
@@ -8,7 +8,7 @@
 
 from cloverway.config.published import is_revision
 from cloverway.errors import PlatformError
-from cloverway.sources.port import Changes, Document, Listed, MemberStates
+from cloverway.sources.port import Changes, Document, MemberState, MemberStates
 
 
 def decode_changes(data: bytes, after: int) -> Changes:
@@ -52,13 +52,13 @@
     raise PlatformError(f"{str(value)[:80]!r} is not a revision")
 
 
-def _parse_states(states: Any) -> dict[str, Listed]:
+def _parse_states(states: Any) -> dict[str, MemberState]:
     if not isinstance(states, dict):
         raise PlatformError("the states in the response are not a JSON object")
     return {name: _parse_state(entry) for name, entry in states.items()}
 
 
-def _parse_state(entry: Any) -> Listed:
+def _parse_state(entry: Any) -> MemberState:
     """Decode one state; an unknown one is treated as leaving, so that it gets no new requests."""
     state = entry.get("state") if isinstance(entry, dict) else entry
-    return Listed.LIVE if state == Listed.LIVE else Listed.LEAVING
+    return MemberState.LIVE if state == MemberState.LIVE else MemberState.LEAVING
--- a/cloverway/sources/http.py
+++ b/cloverway/sources/http.py
@@ -57,10 +57,10 @@
         self._clock = clock
         self._sleep = sleep
         rng = rng or random.Random()
-        self._watch = LimitedPool(
+        self._watch_pool = LimitedPool(
             urllib3.PoolManager(num_pools=1), RateLimiter(MIN_READ_INTERVAL_S, rng)
         )
-        self._list = LimitedPool(
+        self._list_pool = LimitedPool(
             urllib3.PoolManager(num_pools=1), RateLimiter(MIN_LIST_INTERVAL_S, rng)
         )
 
@@ -77,37 +77,41 @@
         deleted.
         """
         if after == 0:
-            self._watch.pool.clear()
+            self._watch_pool.pool.clear()
         path = f"/v1/config?after={after}&wait_s={wait_s:.3f}"
-        data = self._get(path, self._watch, wait_s + RESPONSE_TIMEOUT_S, MAX_CONFIGURATION_BYTES)
+        data = self._get(
+            path, self._watch_pool, wait_s + RESPONSE_TIMEOUT_S, MAX_CONFIGURATION_BYTES
+        )
         return decode_changes(data, after)
 
     def get_member_states(self) -> MemberStates:
         """Return the states of hosts and endpoints."""
         return decode_member_states(
-            self._get("/v1/hosts", self._list, RESPONSE_TIMEOUT_S, MAX_LIST_BYTES)
+            self._get("/v1/hosts", self._list_pool, RESPONSE_TIMEOUT_S, MAX_LIST_BYTES)
         )
 
-    def _get(self, path: str, limited: LimitedPool, timeout_s: float, limit: int) -> bytes:
+    def _get(self, path: str, limited_pool: LimitedPool, timeout_s: float, limit: int) -> bytes:
         """Wait for the rate limiter and return the body of a response; raise PlatformError."""
-        self._sleep(limited.limiter.get_delay(self._clock()))
+        self._sleep(limited_pool.limiter.get_delay(self._clock()))
         started_at = self._clock()
         retry_after_s = 0.0
         try:
-            response = self._open(limited, path, timeout_s)
+            response = self._open(limited_pool, path, timeout_s)
             try:
                 retry_after_s = _read_retry_after(response)
                 data = self._read(response, limit, started_at + timeout_s + BODY_TIMEOUT_S)
             finally:
                 response.release_conn()
         except (urllib3.exceptions.HTTPError, OSError, PlatformError) as error:
-            limited.limiter.record_failure(self._clock(), retry_after_s)
+            limited_pool.limiter.record_failure(self._clock(), retry_after_s)
             raise PlatformError(f"the platform at {self._url} can't be read: {error}") from error
-        limited.limiter.record_success(started_at)
+        limited_pool.limiter.record_success(started_at)
         return data
 
-    def _open(self, limited: LimitedPool, path: str, timeout_s: float) -> urllib3.BaseHTTPResponse:
-        return limited.pool.request(
+    def _open(
+        self, limited_pool: LimitedPool, path: str, timeout_s: float
+    ) -> urllib3.BaseHTTPResponse:
+        return limited_pool.pool.request(
             "GET",
             self._url + path,
             timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=timeout_s),
--- a/cloverway/sources/port.py
+++ b/cloverway/sources/port.py
@@ -37,7 +37,7 @@
         return self.after == 0
 
 
-class Listed(StrEnum):
+class MemberState(StrEnum):
     """The state of a host or an endpoint in the platform's list."""
 
     LIVE = "live"
@@ -47,8 +47,8 @@
 class MemberStates(NamedTuple):
     """States of hosts and endpoints as listed by the platform, which may be outdated."""
 
-    hosts: Mapping[str, Listed] = {}
-    endpoints: Mapping[str, Listed] = {}
+    hosts: Mapping[str, MemberState] = {}
+    endpoints: Mapping[str, MemberState] = {}
 
 
 class Platform(Protocol):
--- a/cloverway/tests/bench_configuration.py
+++ b/cloverway/tests/bench_configuration.py
@@ -99,14 +99,14 @@
 
     change_us = time_us(change)
     assert store.revision == last + ROUNDS, "a change was refused"
-    delta = store.changes_after(store.revision - 1)
+    delta = store.get_changes_after(store.revision - 1)
     for i in range(ROUNDS):
         put_profile(i, {"model": "m1"})
     return {
         "documents": len(snapshot.documents),
         "one change, us": change_us,
         "deletion of a profile, us": time_us(lambda i: put_profile(i, None)),
-        "delta for a peer, us": time_us(lambda _: store.changes_after(store.revision - 1)),
+        "delta for a peer, us": time_us(lambda _: store.get_changes_after(store.revision - 1)),
         "delta, bytes": len(encode(delta)),
         "whole, ms": whole_us / 1000,
         "whole, bytes": len(encode(snapshot)),
--- a/cloverway/tests/caller_harness.py
+++ b/cloverway/tests/caller_harness.py
@@ -63,7 +63,7 @@
 STREAM_BODY = b'{"messages": [{"role": "user", "content": "insulin?"}], "stream": true}'
 
 
-def issue(count: int) -> list[str]:
+def issue_keys(count: int) -> list[str]:
     return [f"key-{number}" for number in range(count)]
 
 
@@ -155,7 +155,7 @@
             make_settings(**limits),
             self.holder,
             self.gateway,
-            issue,
+            issue_keys,
             on_rejection=self.rejections.append,
             on_disconnect=self.disconnected.append,
             listener_limits=listener_limits,
@@ -201,10 +201,10 @@
     return b"".join(pieces)
 
 
-def read_until(sock: socket.socket, mark: bytes) -> bytes:
+def read_until(sock: socket.socket, delimiter: bytes) -> bytes:
     """Read until a mark arrives, or the peer closes."""
     text = b""
-    while mark not in text and (piece := sock.recv(4096)):
+    while delimiter not in text and (piece := sock.recv(4096)):
         text += piece
     return text
 
@@ -216,11 +216,11 @@
     return Answer(response.status, response.headers, response.read())
 
 
-def wait_until(condition: Callable[[], bool], seconds: float = 5.0) -> bool:
+def wait_until(condition: Callable[[], bool], timeout_s: float = 5.0) -> bool:
     """Poll a condition for a limited time; return whether it became true."""
     pause = threading.Event()
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         if condition():
             return True
         pause.wait(0.005)
--- a/cloverway/tests/stream_harness.py
+++ b/cloverway/tests/stream_harness.py
@@ -28,18 +28,22 @@
 
     def __init__(self, copier: Copier) -> None:
         self.stats: list[tuple[Request, StreamStats]] = []
-        self.client = EndpointClient(Limits(), copier, lambda *seen: self.stats.append(seen))
+        self.client = EndpointClient(
+            Limits(), copier, lambda *observation: self.stats.append(observation)
+        )
         self.workers = ThreadPoolExecutor(16)
         self.sockets: list[socket.socket] = []
 
-    def open(self, url: str, request: Request | None = None, gap_s: float = 5.0) -> EndpointStream:
+    def open(
+        self, url: str, request: Request | None = None, max_gap_s: float = 5.0
+    ) -> EndpointStream:
         stream = self.client.send(
             url,
             request or make_request(),
             idempotent=True,
-            gap_s=gap_s,
+            max_gap_s=max_gap_s,
             priority=1,
-            check=lambda: None,
+            pre_send_check=lambda: None,
         ).stream
         assert stream is not None
         return stream
@@ -50,11 +54,11 @@
             caller = socket.socket()
             caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             caller.connect(listener.getsockname())
-            served, _ = listener.accept()
+            gateway_side, _ = listener.accept()
         caller.settimeout(TIMEOUT_S)
-        served.settimeout(7.0)
-        self.sockets += [caller, served]
-        return caller, self.workers.submit(self._copy, stream, served)
+        gateway_side.settimeout(7.0)
+        self.sockets += [caller, gateway_side]
+        return caller, self.workers.submit(self._copy, stream, gateway_side)
 
     def copy(self, stream: EndpointStream) -> bytes:
         """Copy a stream to a caller that reads to the end, and return what it read."""
@@ -63,13 +67,13 @@
         copy_future.result(TIMEOUT_S)
         return data
 
-    def _copy(self, stream: EndpointStream, served: socket.socket) -> None:
+    def _copy(self, stream: EndpointStream, gateway_side: socket.socket) -> None:
         try:
-            stream.relay_to(served)
-            assert served.gettimeout() == 7.0
+            stream.relay_to(gateway_side)
+            assert gateway_side.gettimeout() == 7.0
         finally:
             with suppress(OSError):
-                served.shutdown(socket.SHUT_WR)
+                gateway_side.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
         self.client.close()
--- a/cloverway/tests/test_addresses.py
+++ b/cloverway/tests/test_addresses.py
@@ -8,18 +8,18 @@
 
 from cloverway.addresses import format_address, split_address, split_url
 
-NUMBERS = st.ip_addresses().map(str)
+IPS = st.ip_addresses().map(str)
 PORTS = st.integers(1, 65_535)
 
 
-@given(number=NUMBERS, port=PORTS)
-def test_an_address_survives_formatting_and_splitting(number: str, port: int) -> None:
-    assert split_address(format_address((number, port))) == (number, port)
+@given(ip=IPS, port=PORTS)
+def test_an_address_survives_formatting_and_splitting(ip: str, port: int) -> None:
+    assert split_address(format_address((ip, port))) == (ip, port)
 
 
-@given(number=NUMBERS, port=PORTS)
-def test_a_url_names_the_same_address(number: str, port: int) -> None:
-    assert split_url(f"http://{format_address((number, port))}") == (number, port)
+@given(ip=IPS, port=PORTS)
+def test_a_url_names_the_same_address(ip: str, port: int) -> None:
+    assert split_url(f"http://{format_address((ip, port))}") == (ip, port)
 
 
 def test_a_url_without_a_port_means_port_80() -> None:
@@ -28,10 +28,10 @@
 
 @pytest.mark.parametrize("family", [socket.AF_INET, socket.AF_INET6])
 def test_a_bound_socket_address_has_the_form_of_settings(family: int) -> None:
-    number = "127.0.0.1" if family == socket.AF_INET else "::1"
+    ip = "127.0.0.1" if family == socket.AF_INET else "::1"
     with socket.socket(family, socket.SOCK_DGRAM) as bound:
         try:
-            bound.bind((number, 0))
+            bound.bind((ip, 0))
         except OSError:
             pytest.skip("this machine has no address of the family")
         text = format_address(bound.getsockname())
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -19,16 +19,16 @@
 )
 
 
-class AdminBench:
+class AdminHarness:
     def __init__(self):
-        self.left = False
+        self.is_leaving = False
         self.holder = ViewHolder(make_view())
         self.server = AdminServer(
             make_settings(),
             self.holder,
             Operations(
                 list_hosts=lambda: HostList(hosts=[], lifetime_s=5.0, revision=3),
-                count_active=lambda: 2,
+                count_in_progress=lambda: 2,
                 count_queued=lambda: 1,
                 render_metrics=lambda gauges: "\n".join(g.name for g in gauges).encode(),
                 explain=lambda team, profile: {"team": team, "profile": profile},
@@ -38,9 +38,9 @@
         )
 
     def leave(self):
-        self.left = True
+        self.is_leaving = True
 
-    def ask(self, method, path, document=None):
+    def query(self, method, path, document=None):
         connection = http.client.HTTPConnection(self.server.address, timeout=10)
         body = json.dumps(document) if document is not None else None
         connection.request(method, path, body, {"Content-Type": "application/json"})
@@ -52,23 +52,23 @@
 
 @pytest.fixture(scope="module")
 def admin():
-    bench = AdminBench()
-    bench.server.start()
-    yield bench
-    bench.server.stop()
+    harness = AdminHarness()
+    harness.server.start()
+    yield harness
+    harness.server.stop()
 
 
 def test_readiness_follows_the_view(admin):
-    assert admin.ask("GET", "/healthz")[0] == 200
-    assert admin.ask("GET", "/readyz")[0] == 200
+    assert admin.query("GET", "/healthz")[0] == 200
+    assert admin.query("GET", "/readyz")[0] == 200
     for view, kind in [
         (make_view(published=None), "starting"),
         (make_view(leaving=True), "leaving"),
     ]:
         admin.holder.current = view
-        status, text = admin.ask("GET", "/readyz")
+        status, text = admin.query("GET", "/readyz")
         assert (status, json.loads(text)["kind"]) == (503, kind)
-        assert admin.ask("GET", "/healthz")[0] == 200
+        assert admin.query("GET", "/healthz")[0] == 200
     admin.holder.current = make_view()
 
 
@@ -78,26 +78,26 @@
         endpoints={"e": EndpointState("e", ready=True, reported_at=99.0)},
         summaries={("cu-1", "m"): Summary("cu-1", "m", 2, 1, 0, 98.0)},
     )
-    status, text = admin.ask("GET", "/v1/status")
+    status, text = admin.query("GET", "/v1/status")
     document = json.loads(text, parse_constant=pytest.fail)
     assert (status, document["revision"], document["in_progress"]) == (200, 3, 2)
     assert [host["heard_s_ago"] for host in document["hosts"]] == [0.5, None]
     assert document["endpoints"][0]["reported_s_ago"] == 1.0
     assert document["summaries"][0]["heard_s_ago"] == 2.0
-    assert b"endpoint_running" in admin.ask("GET", "/metrics")[1]
+    assert b"endpoint_running" in admin.query("GET", "/metrics")[1]
     admin.holder.current = make_view()
 
 
 def test_explain_drain_and_hosts(admin):
     question = {"team": "pharmacy", "profile": "chat"}
-    assert json.loads(admin.ask("POST", "/v1/explain", question)[1]) == question
-    assert admin.ask("POST", "/v1/explain", {"team": 1})[0] == 400
-    assert admin.ask("GET", "/v1/drain")[0] == 405
-    assert not admin.left
-    assert admin.ask("POST", "/v1/drain")[0] == 202
-    assert admin.left
-    assert json.loads(admin.ask("GET", "/v1/hosts")[1])["lifetime_s"] == 5.0
-    assert admin.ask("GET", "/v1/nothing")[0] == 404
+    assert json.loads(admin.query("POST", "/v1/explain", question)[1]) == question
+    assert admin.query("POST", "/v1/explain", {"team": 1})[0] == 400
+    assert admin.query("GET", "/v1/drain")[0] == 405
+    assert not admin.is_leaving
+    assert admin.query("POST", "/v1/drain")[0] == 202
+    assert admin.is_leaving
+    assert json.loads(admin.query("GET", "/v1/hosts")[1])["lifetime_s"] == 5.0
+    assert admin.query("GET", "/v1/nothing")[0] == 404
 
 
 def test_admin_api_answers_while_all_caller_threads_are_busy(admin):
@@ -106,14 +106,14 @@
     With one thread pool for both, requests of operators would wait too, and health checks of the
     host would fail.
     """
-    with CallerServerHarness() as bench, ThreadPoolExecutor(8) as callers:
-        bench.gateway.resume.clear()
+    with CallerServerHarness() as harness, ThreadPoolExecutor(8) as callers:
+        harness.gateway.resume.clear()
         calls = [
-            callers.submit(bench.call, "POST", "/v1/chat/completions", CHAT_BODY, CHAT)
+            callers.submit(harness.call, "POST", "/v1/chat/completions", CHAT_BODY, CHAT)
             for _ in range(8)
         ]
-        assert wait_until(lambda: bench.server.in_progress() == 8)
+        assert wait_until(lambda: harness.server.count_in_progress() == 8)
         for path in ("/healthz", "/metrics", "/v1/status", "/v1/hosts"):
-            assert admin.ask("GET", path)[0] == 200
-        bench.gateway.resume.set()
+            assert admin.query("GET", path)[0] == 200
+        harness.gateway.resume.set()
         assert [call.result().status for call in calls] == [200] * 8
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -83,7 +83,7 @@
         harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
     assert caught.value.partial == b"data: 1\n\ndata: 2\n\n"
     assert stream.closed.wait(5)
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_stream_that_fails_at_once_is_a_problem(harness):
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -101,7 +101,7 @@
     query = path.partition("?")[0]
     reader = io.BufferedReader(io.BytesIO(body))
     connection = SimpleNamespace(
-        rfile=reader, socket=None, limit_reading=lambda *_: None, drain=False
+        rfile=reader, socket=None, limit_reading=lambda *_: None, linger=False
     )
     http = SimpleNamespace(
         chunked_read=chunked, rfile=SimpleNamespace(remaining=0), body_is_read=False
@@ -197,4 +197,4 @@
     assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
     assert b"Traceback" not in answer
     assert not answer.startswith(b"HTTP/1.1 500")
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
--- a/cloverway/tests/test_client.py
+++ b/cloverway/tests/test_client.py
@@ -259,7 +259,7 @@
 
 @given(st.lists(st.text(st.characters(codec="ascii", exclude_characters="\r\n")), max_size=5))
 def test_events_do_not_depend_on_how_bytes_arrive(texts: list[str]) -> None:
-    whole = b"".join(b"data: " + text.encode() + b"\r\n\r\n" for text in texts)
-    one_by_one = (bytes([byte]) for byte in whole)
-    assert list(parse_events(one_by_one)) == list(parse_events(iter([whole])))
-    assert len(list(parse_events(iter([whole])))) == len(texts)
+    all_bytes = b"".join(b"data: " + text.encode() + b"\r\n\r\n" for text in texts)
+    one_by_one = (bytes([byte]) for byte in all_bytes)
+    assert list(parse_events(one_by_one)) == list(parse_events(iter([all_bytes])))
+    assert len(list(parse_events(iter([all_bytes])))) == len(texts)
--- a/cloverway/tests/test_configuration.py
+++ b/cloverway/tests/test_configuration.py
@@ -55,9 +55,9 @@
     reader, peer = make_store(), make_store()
     change = (region("rodrigues", 3),)
     assert isinstance(reader.apply(Changes(3, 2, change), PLATFORM, 1.0), Accepted)
-    after = peer.fetch_after(reader.served_revision)
+    after = peer.get_fetch_after(reader.served_revision)
     assert after == 2
-    delta = reader.changes_after(after)
+    delta = reader.get_changes_after(after)
     assert delta.documents == change
     assert isinstance(peer.apply(delta, PEER, 1.0), Accepted)
     assert peer.digest == reader.digest
@@ -68,7 +68,7 @@
     """A withdrawn team must not stay in force on hosts that receive only deltas."""
     reader, peer = make_store(team("a", 3)), make_store(team("a", 3))
     reader.apply(Changes(4, 3, (deleted("teams/a", 4),)), PLATFORM, 1.0)
-    peer.apply(reader.changes_after(3), PEER, 1.0)
+    peer.apply(reader.get_changes_after(3), PEER, 1.0)
     assert peer.published and not peer.published.teams
 
 
@@ -80,7 +80,7 @@
     for revision in range(4, 8):
         key = "teams/a" if revision == 4 else f"regions/gone-{revision}"
         reader.apply(Changes(revision, revision - 1, (deleted(key, revision),)), PLATFORM, 1.0)
-    changes = reader.changes_after(3)
+    changes = reader.get_changes_after(3)
     assert changes.complete
     peer.apply(changes, PEER, 1.0)
     assert peer.published and not peer.published.teams
@@ -113,8 +113,8 @@
     store = make_store()
     invalid = Changes(3, 2, (team("a", 3, home="nowhere"),))
     assert isinstance(store.apply(invalid, PEER, 1.0), Rejected)
-    assert store.fetch_after(3) is None
-    assert store.fetch_after(4) == 2
+    assert store.get_fetch_after(3) is None
+    assert store.get_fetch_after(4) == 2
 
 
 def test_key_of_another_team_is_rejected_in_a_delta() -> None:
@@ -237,11 +237,11 @@
     left, right = make_store(region("rodrigues", 3, "left")), make_store(
         region("rodrigues", 3, "right")
     )
-    assert left.conflicts(right.revision, right.digest)
-    rejection = left.apply(right.changes_after(0), PEER, 1.0)
+    assert left.conflicts_with(right.revision, right.digest)
+    rejection = left.apply(right.get_changes_after(0), PEER, 1.0)
     assert isinstance(rejection, Rejected) and rejection.conflicts
     right.apply(Changes(4, 3, (region("rodrigues", 4, "both"),)), PLATFORM, 1.0)
-    assert isinstance(left.apply(right.changes_after(3), PEER, 1.0), Accepted)
+    assert isinstance(left.apply(right.get_changes_after(3), PEER, 1.0), Accepted)
     assert left.digest == right.digest
 
 
@@ -252,11 +252,11 @@
         region("rodrigues", 3, "right")
     )
     right.apply(Changes(4, 3, (team("a", 4),)), PLATFORM, 1.0)
-    assert left.apply(right.changes_after(3), PEER, 1.0) == Gap(0, 3)
-    assert left.fetch_after(4) == 0
-    rejection = left.apply(right.changes_after(0), PEER, 1.0)
+    assert left.apply(right.get_changes_after(3), PEER, 1.0) == Gap(0, 3)
+    assert left.get_fetch_after(4) == 0
+    rejection = left.apply(right.get_changes_after(0), PEER, 1.0)
     assert isinstance(rejection, Rejected) and left.revision == 3
-    assert left.fetch_after(4) is None
+    assert left.get_fetch_after(4) is None
 
 
 def test_document_lost_by_a_restored_platform_can_be_withdrawn() -> None:
@@ -282,7 +282,7 @@
     assert not gate.check(store.revision, ["peer"], 1.0).ready
     gate.record_peer("peer", peer.served_revision)
     assert not gate.check(store.revision, ["peer"], 3.5).ready, "a later revision is known"
-    store.apply(peer.changes_after(store.fetch_after(3) or 0), PEER, 1.0)
+    store.apply(peer.get_changes_after(store.get_fetch_after(3) or 0), PEER, 1.0)
     ready = gate.check(store.revision, ["peer"], 3.6)
     assert ready.ready and ready.confirmed
 
@@ -294,8 +294,8 @@
     other = Changes(4, 0, (*BASE, region("rodrigues", 3, "second"), team("a", 4)))
     store = ConfigurationStore()
     store.apply(other, PLATFORM, 0.0)
-    assert store.fetch_after(peer.served_revision) == 0
-    store.apply(peer.changes_after(0), PEER, 0.1)
+    assert store.get_fetch_after(peer.served_revision) == 0
+    store.apply(peer.get_changes_after(0), PEER, 0.1)
     assert store.read_after == 0
     assert isinstance(store.apply(other, PLATFORM, 0.2), Rejected)
     assert store.digest == peer.digest and store.platform_stale
@@ -348,7 +348,7 @@
     change = Changes(3, 2, (Document("adapters/legal", 3, {"rank": 8}),))
     accepted = store.apply(change, PLATFORM, 1.0)
     assert isinstance(accepted, Accepted) and "adapters" in accepted.warnings[0]
-    assert store.changes_after(2).documents == change.documents
+    assert store.get_changes_after(2).documents == change.documents
 
 
 def test_other_reader_stays_when_one_fails() -> None:
--- a/cloverway/tests/test_configuration_machine.py
+++ b/cloverway/tests/test_configuration_machine.py
@@ -169,9 +169,9 @@
 
     @rule(i=store_index, j=store_index)
     def fetch_from_peer(self, i: int, j: int) -> None:
-        after = self.stores[i].fetch_after(self.stores[j].served_revision)
+        after = self.stores[i].get_fetch_after(self.stores[j].served_revision)
         if i != j and after is not None:
-            changes = self.stores[j].changes_after(after)
+            changes = self.stores[j].get_changes_after(after)
             self.network.append(changes)
             self.stores[i].apply(changes, Source.PEER, self.now)
 
--- a/cloverway/tests/test_connection_reuse.py
+++ b/cloverway/tests/test_connection_reuse.py
@@ -34,12 +34,12 @@
     could crash endpoint after endpoint without being quarantined.
     """
 
-    def end(connection: EndpointSideConnection) -> None:
+    def crash(connection: EndpointSideConnection) -> None:
         connection.answer(b"{}")
         endpoint.stop_listening()
         connection.read_request()
 
-    with RawEndpoint(end) as endpoint:
+    with RawEndpoint(crash) as endpoint:
         send(client, endpoint.url)
         with pytest.raises(RequestError) as failure:
             send(client, endpoint.url)
@@ -109,7 +109,7 @@
 
     with RawEndpoint(fall_silent) as endpoint:
         send(client, endpoint.url)
-        assert send(client, endpoint.url, gap_s=0.1).body == b"{}"
+        assert send(client, endpoint.url, max_gap_s=0.1).body == b"{}"
         assert len(endpoint.connections) == 2
 
 
@@ -153,7 +153,7 @@
         if error is not None:
             raise error
 
-    def answer_once_and_go(connection: EndpointSideConnection) -> None:
+    def answer_once_and_close(connection: EndpointSideConnection) -> None:
         connection.answer(b"{}")
         if second == "refused connection":
             endpoint.stop_listening()
@@ -162,10 +162,10 @@
     def refuse(connection: EndpointSideConnection) -> None:
         connection.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
 
-    with RawEndpoint(answer_once_and_go, refuse) as endpoint:
-        send(client, endpoint.url, check=check)
+    with RawEndpoint(answer_once_and_close, refuse) as endpoint:
+        send(client, endpoint.url, pre_send_check=check)
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, check=check)
+            send(client, endpoint.url, pre_send_check=check)
     assert failure.value.ran is Ran.UNKNOWN
     assert failure.value.kind in {Kind.ENDPOINT_FAILED, Kind.TIMED_OUT}
 
--- a/cloverway/tests/test_control.py
+++ b/cloverway/tests/test_control.py
@@ -13,7 +13,7 @@
 from cloverway.errors import PeerError, PlatformError
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.sources.port import Changes, Document, Listed, MemberStates
+from cloverway.sources.port import Changes, Document, MemberState, MemberStates
 from cloverway.tests.standins.service import Service
 from cloverway.tests.standins.waiting import wait_until
 
@@ -108,7 +108,7 @@
     def fetch(self, host, address, after):
         for loop in self.loops.values():
             if loop.address == address:
-                return loop.changes_after(after)
+                return loop.get_changes_after(after)
         raise PeerError("no such host")
 
     def publish(self, **more):
@@ -274,9 +274,9 @@
     wait_until(
         lambda: any(loop.gossip.endpoint_table._listed_leaving for loop in cluster.loops.values())
     )
-    cluster.platform.states = MemberStates(endpoints={"a-s1": Listed.LEAVING})
+    cluster.platform.states = MemberStates(endpoints={"a-s1": MemberState.LEAVING})
     wait_until(lambda: all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops))
-    cluster.platform.states = MemberStates(endpoints={"a-s1": Listed.LIVE})
+    cluster.platform.states = MemberStates(endpoints={"a-s1": MemberState.LIVE})
     reads = cluster.platform.reads
     wait_until(lambda: cluster.platform.reads > reads + 6)
     assert all(cluster.view(name).endpoints["a-s1"].leaving for name in cluster.loops)
--- a/cloverway/tests/test_copiers.py
+++ b/cloverway/tests/test_copiers.py
@@ -88,13 +88,13 @@
     chunk is copied.
     """
     wire = b"".join(COMPLETE_STREAM)
-    scripts = [make_script(wire[:place]) for place in range(len(wire))]
+    scripts = [make_script(wire[:size]) for size in range(len(wire))]
     with RawEndpoint(*scripts) as endpoint:
-        for place in range(len(wire)):
+        for size in range(len(wire)):
             caller, copy_future = harness.hand_over(harness.open(endpoint.url))
             copied = b"".join(iter(lambda: caller.recv(4096), b""))  # noqa: B023
             error = copy_future.exception(TIMEOUT_S)
-            assert isinstance(error, EndpointLostError), place
+            assert isinstance(error, EndpointLostError), size
             assert error.kind is Kind.TRUNCATED
             assert b"[DONE]" not in copied
             body = ChunkedBody()
@@ -116,7 +116,7 @@
     path. The old connection is closed, and the engine gets a cancel on a new one.
     """
     with RawEndpoint(make_script(chunk(EVENTS[0]), hold=True)) as endpoint:
-        caller, copy_future = harness.hand_over(harness.open(endpoint.url, gap_s=0.15))
+        caller, copy_future = harness.hand_over(harness.open(endpoint.url, max_gap_s=0.15))
         assert caller.recv(4096) == chunk(EVENTS[0])
         assert copy_future.exception(TIMEOUT_S).kind is Kind.TIMED_OUT
         wait_until(lambda: endpoint.closed_count == 1, what="close")
--- a/cloverway/tests/test_demo.py
+++ b/cloverway/tests/test_demo.py
@@ -70,16 +70,16 @@
     )
 
 
-WHOLE = Outcome("token " * LONG_TOKENS, host="h1")
+COMPLETE_STREAM = Outcome("token " * LONG_TOKENS, host="h1")
 
 
 @pytest.mark.parametrize(
     ("during", "after", "status", "words"),
     [
-        (WHOLE, Outcome("text", host="h2"), 0, ""),
+        (COMPLETE_STREAM, Outcome("text", host="h2"), 0, ""),
         (Outcome("token", host="h1"), Outcome("text", host="h2"), 0, "got 1"),
-        (WHOLE, Outcome("text", host="h2"), 1, "status 0, got 1"),
-        (WHOLE, Outcome("text", host="h1"), 0, "another host"),
+        (COMPLETE_STREAM, Outcome("text", host="h2"), 1, "status 0, got 1"),
+        (COMPLETE_STREAM, Outcome("text", host="h1"), 0, "another host"),
     ],
 )
 def test_a_stop_that_truncates_a_stream_is_reported(
@@ -103,6 +103,6 @@
 
 
 def test_the_demo_streams_over_the_platforms_protocol():
-    said = []
-    assert run_platform_call(said.append) == []
-    assert "status 200, 3 events, whole: yes" in said[-1]
+    printed = []
+    assert run_platform_call(printed.append) == []
+    assert "status 200, 3 events, whole: yes" in printed[-1]
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_directory.py
@@ -68,11 +68,11 @@
     never = {"heard_at": float("-inf")}
     view = make_view(**{"pl-1-b": never, "pl-2-a": never, "cu-1-a": never})
     assert list_names(view) == ["pl-1-a", "pl-1-c"]
-    heard = {
+    received = {
         ("cu-1", "m"): Summary("cu-1", "m", at=NOW - 1),
         ("pl-2", "m"): Summary("pl-2", "m", at=0),
     }
-    assert list_names(view._replace(summaries=heard)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
+    assert list_names(view._replace(summaries=received)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
 
 
 def test_the_list_of_a_large_fleet_is_bounded():
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -31,7 +31,7 @@
 
 
 def send(client: EndpointClient, url: str, request: Request | None = None, **options) -> Reply:
-    defaults = {"idempotent": True, "gap_s": 5.0, "priority": 1, "check": lambda: None}
+    defaults = {"idempotent": True, "max_gap_s": 5.0, "priority": 1, "pre_send_check": lambda: None}
     return client.send(url, request or make_request(), **(defaults | options))
 
 
@@ -148,12 +148,12 @@
     The endpoint reads the request, sends an incomplete answer and closes; it may have run.
     """
 
-    def play(connection: EndpointSideConnection) -> None:
+    def send_incomplete(connection: EndpointSideConnection) -> None:
         connection.read_request()
         connection.send(answer)
 
     client = EndpointClient.from_settings(Limits(answer_bytes=65536))
-    failure = send_expecting_error(client, play, idempotent=False)
+    failure = send_expecting_error(client, send_incomplete, idempotent=False)
     client.close()
     assert failure.ran is Ran.UNKNOWN
     assert failure.kind in {Kind.ENDPOINT_FAILED, Kind.TRUNCATED}
@@ -171,7 +171,7 @@
 
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, idempotent=False, check=refuse)
+            send(client, endpoint.url, idempotent=False, pre_send_check=refuse)
         wait_until(lambda: endpoint.closed_count == 1, what="close")
         assert endpoint.requests == []
     assert failure.value.ran is Ran.NO
@@ -323,7 +323,7 @@
 def test_caller_disconnects_before_the_first_byte_is_sent(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, check=lambda: client.abort("r1"))
+            send(client, endpoint.url, pre_send_check=lambda: client.abort("r1"))
         assert failure.value.kind is Kind.CALLER_LEFT
 
 
--- a/cloverway/tests/test_examples.py
+++ b/cloverway/tests/test_examples.py
@@ -43,18 +43,20 @@
 def test_every_region_can_serve_every_profile_by_itself(published: Published) -> None:
     """A region that is cut off must still serve its callers, so it needs each model and service."""
     for region in published.regions:
-        offered = {
+        served = {
             target
             for endpoint in published.endpoints.values()
             if published.region_of(endpoint.domain) == region
             for target in (*endpoint.models, *endpoint.services)
         }
-        assert {profile.target for profile in published.profiles.values()} <= offered
+        assert {profile.target for profile in published.profiles.values()} <= served
 
 
 def test_replica_counts_are_as_specified() -> None:
     counts = {
-        name: Counter(end.kind for end in load_directory(EXAMPLES / name).endpoints.values())
+        name: Counter(
+            endpoint.kind for endpoint in load_directory(EXAMPLES / name).endpoints.values()
+        )
         for name in DEPLOYMENTS
     }
     assert counts["riviere"] == {EndpointKind.ENGINE: 10, EndpointKind.SERVICE: 3}
@@ -67,8 +69,8 @@
         address.removeprefix("http://")
         for published in deployments
         for address in (
-            *(end.url for end in published.endpoints.values()),
-            *(place for host in published.hosts.values() for place in host[1:]),
+            *(endpoint.url for endpoint in published.endpoints.values()),
+            *(listen_address for host in published.hosts.values() for listen_address in host[1:]),
         )
     ]
     assert all(address.startswith("127.0.0.") for address in addresses)
--- a/cloverway/tests/test_framing.py
+++ b/cloverway/tests/test_framing.py
@@ -27,8 +27,8 @@
 
 
 def split(data: bytes, cuts: list[int]) -> list[bytes]:
-    places = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    return [data[start:end] for start, end in pairwise(places)]
+    positions = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
+    return [data[start:end] for start, end in pairwise(positions)]
 
 
 def feed_all(pieces: list[bytes]) -> tuple[bytes, bool, int, bytes]:
@@ -47,10 +47,10 @@
 
 
 @given(EVENTS, st.integers(0, 9999), st.lists(st.integers(0, 9999), max_size=4))
-def test_a_truncated_stream_never_looks_complete(events, place, cuts) -> None:
+def test_a_truncated_stream_never_looks_complete(events, size, cuts) -> None:
     events = [event for event in events if event != DONE]
     wire = chunk(*events, DONE) + b"0\r\n\r\n"
-    forwarded, complete, _, _ = feed_all(split(wire[: place % len(wire)], cuts))
+    forwarded, complete, _, _ = feed_all(split(wire[: size % len(wire)], cuts))
     assert not complete
     assert DONE not in forwarded
 
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -64,9 +64,11 @@
         self.sent = 0
         self.before_check: Callable[[], None] = lambda: None
 
-    def send(self, url: str, request: Request, *, check: Callable[[], None], **_: Any) -> Reply:
+    def send(
+        self, url: str, request: Request, *, pre_send_check: Callable[[], None], **_: Any
+    ) -> Reply:
         self.before_check()
-        check()
+        pre_send_check()
         self.sent += 1
         return self._answer()
 
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -14,7 +14,7 @@
 from cloverway.sources import http
 from cloverway.sources.codec import decode_changes, decode_member_states
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.port import Changes, Document, Listed
+from cloverway.sources.port import Changes, Document, MemberState
 from cloverway.sources.rate_limiter import MAX_DELAY_S, RateLimiter
 from cloverway.tests.standins.platform import Platform
 
@@ -49,8 +49,8 @@
 def test_unknown_state_is_treated_as_leaving(service: Platform, platform: HttpPlatform) -> None:
     service.set_listed(hosts={"a": "live", "b": "leaving"}, endpoints={"e": "rebooting"})
     states = platform.get_member_states()
-    assert states.hosts == {"a": Listed.LIVE, "b": Listed.LEAVING}
-    assert states.endpoints == {"e": Listed.LEAVING}
+    assert states.hosts == {"a": MemberState.LIVE, "b": MemberState.LEAVING}
+    assert states.endpoints == {"e": MemberState.LEAVING}
 
 
 def test_silent_connection_is_closed(
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -67,13 +67,13 @@
     return json.loads(body)
 
 
-def trickle(sock, piece, pace_s=0.05):
+def trickle(sock, piece, interval_s=0.05):
     """Send a piece repeatedly, until the returned event is set or the peer closes."""
     stop_event = threading.Event()
 
     def run():
         with contextlib.suppress(OSError):
-            while not stop_event.wait(pace_s):
+            while not stop_event.wait(interval_s):
                 sock.sendall(piece)
 
     thread = threading.Thread(target=run, daemon=True)
@@ -98,7 +98,7 @@
         stop_event.set()
         thread.join()
     assert (problem["kind"], problem["ran"]) == ("too_slow", "no")
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_slow_head_is_rejected(harness):
@@ -303,7 +303,7 @@
         assert b"data: 1" in read_until(sock, b"data: 1")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     assert stream.closed.wait(5)
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_caller_that_reads_nothing_releases_its_thread(harness):
@@ -312,7 +312,7 @@
     with harness.connect() as sock:
         sock.sendall(request.encode() + CHAT_BODY)
         assert harness.gateway.started.wait(5)
-        assert wait_until(lambda: harness.server.in_progress() == 0)
+        assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_caller_that_reads_slowly_releases_its_thread(harness, monkeypatch):
@@ -364,7 +364,7 @@
             callers = [stack.enter_context(harness.connect()) for _ in range(12)]
             for sock in callers[:8]:
                 sock.sendall(request)
-            assert wait_until(lambda: harness.server.in_progress() == 8)
+            assert wait_until(lambda: harness.server.count_in_progress() == 8)
             for sock in callers[8:]:
                 sock.sendall(request)
                 problem = read_problem(sock)
--- a/cloverway/tests/test_load.py
+++ b/cloverway/tests/test_load.py
@@ -12,7 +12,7 @@
 
 PLAN = LoadPlan(streams=8, seconds=0.4, tokens=4, token_s=0.01, timeout_s=5.0, model="m")
 
-ENDING = 1
+FINAL_EVENTS = 1
 """Events of the stand-in without text: the last one, which holds the finish reason."""
 
 
@@ -41,10 +41,10 @@
             engine.stop()
     assert set(complete.outcomes) == {COMPLETE}
     assert set(truncated.outcomes) == {TRUNCATED}
-    assert complete.tokens == (PLAN.tokens + ENDING) * complete.outcomes[COMPLETE]
+    assert complete.tokens == (PLAN.tokens + FINAL_EVENTS) * complete.outcomes[COMPLETE]
 
 
-def test_targets_need_a_name_and_an_ip_number() -> None:
+def test_targets_need_a_name_and_an_ip_address() -> None:
     for text in ("127.0.0.1:80", "gateway=example.org:80", "gateway="):
         with pytest.raises(UserError):
             bench.parse_target(text, {})
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -48,7 +48,7 @@
     """
     body = json.dumps({"messages": [{"content": BODY_SECRET}], "stream": True})
     headers = {**CHAT, "Idempotency-Key": KEY_SECRET}
-    with CallerServerHarness() as bench:
+    with CallerServerHarness() as harness:
         for answer in (
             Reply(200, "application/json", BODY_SECRET.encode()),
             Reply(
@@ -58,25 +58,27 @@
             RequestError(Kind.OVERLOADED, retry_after=1.0),
             RuntimeError("a fault"),
         ):
-            bench.gateway.answer = answer
+            harness.gateway.answer = answer
             try:
-                bench.call("POST", "/v1/chat/completions", body, headers)
+                harness.call("POST", "/v1/chat/completions", body, headers)
             except Exception:
                 logging.getLogger(__name__).debug("cut, as it should be")
-        bench.call("POST", "/v1/chat/completions", body + "}", headers)
-        bench.call("POST", "/v1/chat/completions", body, {**headers, "Authorization": "Bearer no"})
-        bench.call("POST", "/v1/chat/completions", body, {**headers, "Cloverway-Profile": BEARER})
-        with bench.connect() as sock:
+        harness.call("POST", "/v1/chat/completions", body + "}", headers)
+        harness.call(
+            "POST", "/v1/chat/completions", body, {**headers, "Authorization": "Bearer no"}
+        )
+        harness.call("POST", "/v1/chat/completions", body, {**headers, "Cloverway-Profile": BEARER})
+        with harness.connect() as sock:
             sock.sendall(f"POST {BODY_SECRET}{BEARER}{KEY_SECRET}\r\n\r\n".encode())
             assert b"400" in read_all(sock)
-        reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
-        for refusal in bench.rejections:
-            reporter.report_refusal(refusal)
-        for request in bench.gateway.requests:
+        reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), harness.holder)
+        for rejection in harness.rejections:
+            reporter.report_rejection(rejection)
+        for request in harness.gateway.requests:
             reporter.report_request(RequestRecord(request, "e-1", 1, 0.1, 0.0, 0.2, None, Ran.YES))
     logged = json.dumps(lines())
-    assert len(bench.gateway.requests) == 5
-    assert [refusal.kind for refusal in bench.rejections] == [
+    assert len(harness.gateway.requests) == 5
+    assert [rejection.kind for rejection in harness.rejections] == [
         "malformed",
         "unauthenticated",
         "forbidden",
@@ -87,10 +89,10 @@
 
 
 def test_each_request_is_logged_in_one_line_with_all_fields(lines):
-    with CallerServerHarness() as bench:
-        bench.call("POST", "/v1/chat/completions", b'{"messages": [1]}', CHAT)
-        reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), bench.holder)
-        [request] = bench.gateway.requests
+    with CallerServerHarness() as harness:
+        harness.call("POST", "/v1/chat/completions", b'{"messages": [1]}', CHAT)
+        reporter = Reporter(Metrics(lambda: 0.0, (0.1,)), harness.holder)
+        [request] = harness.gateway.requests
         reporter.report_request(
             RequestRecord(request, "e-1", 2, 0.1234, 0.01, 0.2, Kind.TRUNCATED, Ran.UNKNOWN)
         )
--- a/cloverway/tests/test_main.py
+++ b/cloverway/tests/test_main.py
@@ -57,14 +57,14 @@
 
 
 def test_check_shows_every_error_with_file_name_and_remedy(published: Path) -> None:
-    faults = DEPLOYMENT.replace('region = "curepipe"', 'region = "kurepipe"')
-    faults = faults.replace("[profiles.chat]", '[profiles.chat]\nservice = "stock-desk"')
-    (published / "all.toml").write_text(faults)
+    invalid = DEPLOYMENT.replace('region = "curepipe"', 'region = "kurepipe"')
+    invalid = invalid.replace("[profiles.chat]", '[profiles.chat]\nservice = "stock-desk"')
+    (published / "all.toml").write_text(invalid)
     result = run("check", published)
     assert result.exit_code == 1
     file = published / "all.toml"
-    place = f"error: {file}: domains.curepipe-a.region: there is no region 'kurepipe'; publish it"
-    assert place in result.stderr
+    finding = f"error: {file}: domains.curepipe-a.region: there is no region 'kurepipe'; publish it"
+    assert finding in result.stderr
     assert "profiles.chat: name either a model or a service" in result.stderr
     assert "2 errors" in result.stdout
     assert "Traceback" not in result.output
--- a/cloverway/tests/test_metrics.py
+++ b/cloverway/tests/test_metrics.py
@@ -25,7 +25,7 @@
     started.stop()
 
 
-def ended(**fields):
+def make_observation(**fields):
     return RequestEnded(
         **{"team": "pharmacy", "urgency": "urgent", "kind": None, "ran": Ran.YES, **fields}
     )
@@ -34,7 +34,9 @@
 def test_times_by_class_and_tenant(metrics):
     for _ in range(10):
         metrics.record(
-            ended(endpoint="e-1", attempts=1, first_byte_s=0.03, total_s=0.2, queue_s=0.001)
+            make_observation(
+                endpoint="e-1", attempts=1, first_byte_s=0.03, total_s=0.2, queue_s=0.001
+            )
         )
     histograms = parse_histograms(metrics.render().decode())
     by_class = histograms["cloverway_class_first_token_seconds", (("class", "urgent"),)]
@@ -53,19 +55,21 @@
 
 
 def test_outcomes_are_counted(metrics):
-    metrics.record(ended(endpoint="e-1", attempts=2, kind=Kind.TRUNCATED, ran=Ran.UNKNOWN))
-    metrics.record(ended(endpoint="far/e-1", attempts=1))
-    metrics.record(ended(team="", urgency="", kind=Kind.UNAUTHENTICATED, ran=Ran.NO))
+    metrics.record(
+        make_observation(endpoint="e-1", attempts=2, kind=Kind.TRUNCATED, ran=Ran.UNKNOWN)
+    )
+    metrics.record(make_observation(endpoint="remote/e-1", attempts=1))
+    metrics.record(make_observation(team="", urgency="", kind=Kind.UNAUTHENTICATED, ran=Ran.NO))
     text = metrics.render([Gauge("revision", "Revision", 7)]).decode()
     assert 'cloverway_requests_total{class="urgent",kind="truncated",ran="unknown"} 1' in text
-    assert 'cloverway_endpoint_requests_total{endpoint="far/",kind="ok"} 1' in text
+    assert 'cloverway_endpoint_requests_total{endpoint="remote/",kind="ok"} 1' in text
     assert 'kind="unauthenticated"' in text
     assert "cloverway_revision 7" in text
 
 
 def test_labels_stay_bounded(metrics):
     for number in range(MAX_ENDPOINT_LABELS * 2):
-        metrics.record(ended(team=f"team-{number}", endpoint=f"e-{number}"))
+        metrics.record(make_observation(team=f"team-{number}", endpoint=f"e-{number}"))
     lines = metrics.render().decode().splitlines()
     outcomes = [line for line in lines if line.startswith("cloverway_endpoint_requests_total{")]
     assert len(outcomes) == MAX_ENDPOINT_LABELS + 1
@@ -73,7 +77,7 @@
 
 def test_observations_of_many_threads_are_all_counted(metrics):
     threads = [
-        threading.Thread(target=lambda: [metrics.record(ended()) for _ in range(200)])
+        threading.Thread(target=lambda: [metrics.record(make_observation()) for _ in range(200)])
         for _ in range(8)
     ]
     for thread in threads:
--- a/cloverway/tests/test_published.py
+++ b/cloverway/tests/test_published.py
@@ -61,7 +61,7 @@
     "address",
     ["host:80", "10.0.0.1", "10.0.0.256:80", "10.0.0.1:0", "10.0.0.1:65536", "::1:80", "[x]:80"],
 )
-def test_address_must_be_an_ip_number_and_a_port(address: str) -> None:
+def test_address_must_be_an_ip_address_and_a_port(address: str) -> None:
     host = {"domain": "curepipe-a", "callers": address, "admin": "[::1]:1", "peers": "10.0.0.1:2"}
     (finding,) = list_findings(hosts={"h": host})
     assert finding.startswith("here: hosts.h.callers: ")
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -106,13 +106,15 @@
 
 
 @pytest.mark.parametrize(
-    "leave", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
+    "disconnect", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
 )
-def test_caller_disconnects_while_bytes_wait_for_it(relay_harness: StreamHarness, leave) -> None:
+def test_caller_disconnects_while_bytes_wait_for_it(
+    relay_harness: StreamHarness, disconnect
+) -> None:
     endpoint, _, caller, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
         wait_until(lambda: list_paused_streams(relay_harness), what="back-pressure")
-        leave(caller)
+        disconnect(caller)
         assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
 
 
--- a/cloverway/tests/test_trace.py
+++ b/cloverway/tests/test_trace.py
@@ -18,15 +18,15 @@
 
 
 def test_lines_of_all_hosts_are_shown_in_order(tmp_path):
-    near, far = tmp_path / "near.log", tmp_path / "far.log"
-    near.write_text(
-        make_line("10:00:00,100", "near", "sent", to="10.1.0.7:1", waited_s=0.0)
-        + make_line("10:00:00,150", "near", "sent", "r2")
+    first_log, second_log = tmp_path / "host-1.log", tmp_path / "host-2.log"
+    first_log.write_text(
+        make_line("10:00:00,100", "host-1", "sent", to="10.1.0.7:1", waited_s=0.0)
+        + make_line("10:00:00,150", "host-1", "sent", "r2")
         + "not json r1\n"
-        + make_line("10:00:01,000", "near", "attempt_failed", why="no room")
+        + make_line("10:00:01,000", "host-1", "attempt_failed", why="no room")
     )
-    far.write_text(make_line("10:00:00,500", "far", "refused", status=503, ran="no"))
-    result = RUN.invoke(app, ["trace", "r1", str(near), str(far)])
+    second_log.write_text(make_line("10:00:00,500", "host-2", "refused", status=503, ran="no"))
+    result = RUN.invoke(app, ["trace", "r1", str(first_log), str(second_log)])
     assert result.exit_code == 0
     lines = result.output.splitlines()
     assert [line.split()[2] for line in lines[1:]] == ["sent", "refused", "attempt_failed"]
@@ -41,9 +41,9 @@
     """
     log = tmp_path / "a.log"
     log.write_text(
-        make_line("10:00:00,100", "near", "attempt_failed", "r1", request_digest="00ab")
-        + make_line("10:00:00,500", "near", "refused", "r2", request_digest="00ab")
-        + make_line("10:00:00,600", "near", "refused", "r3", request_digest="00cd")
+        make_line("10:00:00,100", "host-1", "attempt_failed", "r1", request_digest="00ab")
+        + make_line("10:00:00,500", "host-1", "refused", "r2", request_digest="00ab")
+        + make_line("10:00:00,600", "host-1", "refused", "r3", request_digest="00cd")
     )
     result = RUN.invoke(app, ["trace", "00ab", str(log)])
     lines = result.output.splitlines()
@@ -51,14 +51,14 @@
 
 
 def test_logs_are_read_from_standard_input_with_other_text_before_each_line():
-    text = "  12.3 host-1 " + make_line("10:00:00,100", "near", "sent", left_s=4.9)
+    text = "  12.3 host-1 " + make_line("10:00:00,100", "host-1", "sent", left_s=4.9)
     result = RUN.invoke(app, ["trace", "r1", "--json"], input=text)
     assert json.loads(result.output)[0]["inputs"] == {"left_s": 4.9}
 
 
 def test_a_request_without_log_lines_is_an_error(tmp_path):
     log = tmp_path / "a.log"
-    log.write_text(make_line("10:00:00,100", "near", "sent"))
+    log.write_text(make_line("10:00:00,100", "host-1", "sent"))
     result = RUN.invoke(app, ["trace", "r9", str(log)])
     assert result.exit_code == 1
     assert "no line of the request 'r9'" in result.output
--- a/cloverway/tests/test_updates.py
+++ b/cloverway/tests/test_updates.py
@@ -19,11 +19,11 @@
     """Records the requested waits, and is never available."""
 
     def __init__(self, requested_waits: asyncio.Queue, loop: asyncio.AbstractEventLoop) -> None:
-        self._asked = requested_waits
+        self._requested_waits = requested_waits
         self._loop = loop
 
     def read(self, after: int, wait_s: float) -> Changes:
-        self._loop.call_soon_threadsafe(self._asked.put_nowait, wait_s)
+        self._loop.call_soon_threadsafe(self._requested_waits.put_nowait, wait_s)
         raise PlatformError("the platform is unavailable")
 
     def get_member_states(self) -> MemberStates:
--- a/cloverway/tests/test_watch.py
+++ b/cloverway/tests/test_watch.py
@@ -17,12 +17,12 @@
 OWN_NAME = re.compile(r"\bcloverway_\w+")
 
 
-def render(*ended: RequestEnded | StreamEnded) -> str:
+def render(*observations: RequestEnded | StreamEnded) -> str:
     metrics = Metrics(lambda: 0.0, (0.01, 0.1))
     metrics.start()
     try:
-        for one in ended:
-            metrics.record(one)
+        for observation in observations:
+            metrics.record(observation)
         view = View("h1", "i1", "a", "r", endpoints={"e1": EndpointState("e1")})
         return metrics.render(list(make_gauges(view, 0))).decode()
     finally:
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -48,14 +48,14 @@
         endpoint: TimedSocket,
         events: EventStream,
         buffered: bytes,
-        finish: OnFinish,
+        on_finish: OnFinish,
         copier: Copier,
     ) -> None:
         self.endpoint = endpoint
         self.events = events
         self.meter = StreamMeter()
         self._buffered = buffered
-        self._finish: OnFinish | None = finish
+        self._on_finish: OnFinish | None = on_finish
         self._copier = copier
 
     def __iter__(self) -> Iterator[bytes]:
@@ -129,9 +129,9 @@
         return piece
 
     def _end(self) -> None:
-        finish, self._finish = self._finish, None
-        if finish is not None:
-            finish(self.events.complete, self.meter.get_stats(time.monotonic()))
+        on_finish, self._on_finish = self._on_finish, None
+        if on_finish is not None:
+            on_finish(self.events.complete, self.meter.get_stats(time.monotonic()))
 
 
 class WorkerCopier:
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -64,14 +64,16 @@
 
 
 class EndpointCall(NamedTuple):
-    """One request to one endpoint; `gap_s` is the longest allowed inter-token gap in seconds."""
+    """One request to one endpoint."""
 
     address: tuple[str, int]
     request: Request
     idempotent: bool
-    gap_s: float
+    max_gap_s: float
+    """Longest allowed inter-token gap, in seconds."""
     priority: int
-    check: Callable[[], None]
+    pre_send_check: Callable[[], None]
+    """Called just before the first byte is sent; raises if the request must not be sent."""
 
 
 class _ConnectError(RequestError):
@@ -117,16 +119,18 @@
         request: Request,
         *,
         idempotent: bool,
-        gap_s: float,
+        max_gap_s: float,
         priority: int,
-        check: Callable[[], None],
+        pre_send_check: Callable[[], None],
     ) -> Reply:
         """Send a request and return its complete answer or its stream; raise RequestError.
 
-        `check` is called just before the first byte is sent; it raises if the request must not
-        be sent any more.
+        `pre_send_check` is called just before the first byte is sent; it raises if the request
+        must not be sent any more.
         """
-        call = EndpointCall(split_url(url), request, idempotent, gap_s, priority, check)
+        call = EndpointCall(
+            split_url(url), request, idempotent, max_gap_s, priority, pre_send_check
+        )
         with (
             self._pending.track(request.id) if idempotent else nullcontext(PendingExchange())
         ) as pending:
@@ -232,11 +236,11 @@
     ) -> None:
         now = time.monotonic()
         read_timeout_s = (
-            min(call.gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
+            min(call.max_gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
         )
         connection.timed_socket.begin(call.request.deadline, read_timeout_s)
         headers = _make_headers(call, now)
-        call.check()
+        call.pre_send_check()
         connection.request(
             call.request.method, call.request.path, body=call.request.body or None, headers=headers
         )
@@ -268,7 +272,7 @@
         head: ResponseHead,
         events: EventStream,
     ) -> EndpointStream:
-        def finish(complete: bool, stats: StreamStats) -> None:
+        def on_finish(complete: bool, stats: StreamStats) -> None:
             reusable = complete and head.keep_alive and not events.body.excess
             self._release_or_close(call.address, connection, reusable)
             if not complete:
@@ -276,8 +280,10 @@
             if self._observe is not None:
                 self._observe(call.request, stats)
 
-        connection.timed_socket.read_timeout_s = call.gap_s
-        return EndpointStream(connection.timed_socket, events, head.buffered, finish, self._copier)
+        connection.timed_socket.read_timeout_s = call.max_gap_s
+        return EndpointStream(
+            connection.timed_socket, events, head.buffered, on_finish, self._copier
+        )
 
     def _read_body(
         self, connection: EndpointConnection, head: ResponseHead, body: BodyParser
--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -47,15 +47,15 @@
     """A body whose length is given by Content-Length."""
 
     def __init__(self, length: int) -> None:
-        self._remaining = length
+        self._remaining_bytes = length
         self.ended = length == 0
         self.excess = b""
 
     def feed(self, data: bytes) -> bytes:
         """Parse received bytes and return the body bytes that they contain."""
-        body = data[: self._remaining]
-        self._remaining -= len(body)
-        self.ended = self._remaining == 0
+        body = data[: self._remaining_bytes]
+        self._remaining_bytes -= len(body)
+        self.ended = self._remaining_bytes == 0
         self.excess += data[len(body) :]
         return body
 
@@ -67,14 +67,14 @@
         self.ended = False
         self.excess = b""
         self._buffer = b""
-        self._remaining = 0
+        self._remaining_bytes = 0
         """Remaining bytes of the current chunk, with its final CRLF; 0 between chunks."""
-        self._trailer = -1
+        self._trailer_bytes = -1
         """Bytes of the trailer parsed, or -1 before the last chunk."""
 
     def feed(self, data: bytes) -> bytes:
         """Parse received bytes and return the body bytes that they contain; raise RequestError."""
-        if not self._buffer and not self._remaining:
+        if not self._buffer and not self._remaining_bytes:
             payload = self._take_single_chunk(data)
             if payload is not None:
                 return payload
@@ -92,7 +92,7 @@
 
     def _take_single_chunk(self, data: bytes) -> bytes | None:
         """Return the payload if the bytes are exactly one chunk (fast path), or None."""
-        if self.ended or self._trailer >= 0:
+        if self.ended or self._trailer_bytes >= 0:
             return None
         line = _SIZE_LINE.match(data)
         if line is None:
@@ -105,9 +105,9 @@
 
     def _step(self) -> bytes | None:
         """Parse one element and return its body bytes, or None if more bytes are needed."""
-        if self._trailer >= 0:
+        if self._trailer_bytes >= 0:
             return self._read_trailer()
-        if self._remaining:
+        if self._remaining_bytes:
             return self._read_data()
         return self._read_size()
 
@@ -123,24 +123,24 @@
         self._buffer = self._buffer[end + 2 :]
         size = int(line[1], 16)
         if size:
-            self._remaining = size + 2
+            self._remaining_bytes = size + 2
         else:
-            self._trailer = 0
+            self._trailer_bytes = 0
         return b""
 
     def _read_data(self) -> bytes | None:
         if not self._buffer:
             return None
-        if self._remaining > 2:
-            piece = self._buffer[: self._remaining - 2]
-            self._remaining -= len(piece)
+        if self._remaining_bytes > 2:
+            piece = self._buffer[: self._remaining_bytes - 2]
+            self._remaining_bytes -= len(piece)
             self._buffer = self._buffer[len(piece) :]
             return piece
         if len(self._buffer) < 2:
             return None
         if not self._buffer.startswith(CRLF):
             raise make_malformed_error("chunk data exceeds the chunk size")
-        self._remaining = 0
+        self._remaining_bytes = 0
         self._buffer = self._buffer[2:]
         return b""
 
@@ -150,8 +150,8 @@
             self._check_line(len(self._buffer))
             return None
         self._check_line(end)
-        self._trailer += end + 2
-        if self._trailer > MAX_TRAILER_BYTES:
+        self._trailer_bytes += end + 2
+        if self._trailer_bytes > MAX_TRAILER_BYTES:
             raise make_malformed_error("trailer too long")
         self._buffer = self._buffer[end + 2 :]
         self.ended = end == 0
@@ -174,13 +174,13 @@
         self.tokens = 0
         """Number of data events parsed, without `[DONE]`."""
         self._pending = b""
-        self._done = b""
+        self._done_event = b""
         self._end_forwarded = False
 
     @property
     def complete(self) -> bool:
         """Return whether both `[DONE]` and the end of the body were parsed."""
-        return bool(self._done) and self.body.ended
+        return bool(self._done_event) and self.body.ended
 
     def feed(self, data: bytes) -> bytes:
         """Parse received bytes and return the complete events to forward; raise RequestError."""
@@ -193,7 +193,7 @@
         if self.body.ended and not was_forwarded:
             self._end_forwarded = True
             self._check_end()
-            return events + self._done
+            return events + self._done_event
         return events
 
     def _is_single_event(self, payload: bytes) -> bool:
@@ -202,7 +202,7 @@
             payload.startswith(b"data:")
             and payload.find(BLANK_LINE) == len(payload) - len(BLANK_LINE)
             and not self._pending
-            and not self._done
+            and not self._done_event
             and not self.body.ended
             and DONE not in payload
             and b"\r" not in payload
@@ -210,7 +210,7 @@
 
     def _split(self, payload: bytes) -> bytes:
         """Return the complete events and buffer the rest."""
-        if self._done:
+        if self._done_event:
             self._require_blank(payload)
             return b""
         searched = max(0, len(self._pending) - MAX_EVENT_END_BYTES + 1)
@@ -219,7 +219,7 @@
         for end_match in _EVENT_END.finditer(payload, searched):
             event = payload[end : end_match.end()]
             if DONE in event and _read_data(event) == DONE:
-                self._done = event
+                self._done_event = event
                 self._pending = b""
                 self._require_blank(payload[end_match.end() :])
                 return payload[:end]
@@ -237,7 +237,7 @@
             raise make_malformed_error("an event follows [DONE]")
 
     def _check_end(self) -> None:
-        if not self._done:
+        if not self._done_event:
             raise RequestError(Kind.TRUNCATED, "the stream ended before its [DONE] event")
 
 
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -153,7 +153,7 @@
         self._poll = select.epoll()
         self._handlers: dict[int, EventHandler] = {}
         self._streams: set[RelayedStream] = set()
-        self._inbox: deque[tuple[RelayedStream, bytes]] = deque()
+        self._new_streams: deque[tuple[RelayedStream, bytes]] = deque()
         self._wake_sender, self._wake_receiver = socket.socketpair()
         self._wake_sender.setblocking(False)
         self._wake_receiver.setblocking(False)
@@ -183,7 +183,7 @@
         if self._stopping:
             stream.finished.set_exception(RequestError(Kind.TRUNCATED, "the host is shutting down"))
             return
-        self._inbox.append((stream, piece))
+        self._new_streams.append((stream, piece))
         self._wake()
 
     def _wake(self) -> None:
@@ -222,8 +222,8 @@
         self._poll.close()
 
     def _add_new(self) -> None:
-        while self._inbox:
-            stream, piece = self._inbox.popleft()
+        while self._new_streams:
+            stream, piece = self._new_streams.popleft()
             self._streams.add(stream)
             self._run_guarded(stream, partial(self._begin, stream, piece, self._clock()))
 
--- a/cloverway/upstream/stream_stats.py
+++ b/cloverway/upstream/stream_stats.py
@@ -43,5 +43,5 @@
     def get_stats(self, now: float) -> StreamStats:
         """Return the statistics of the stream, which ends at `now`."""
         first_token_at = self._first_token_at
-        spread = self._last_token_at - first_token_at if first_token_at is not None else 0.0
-        return StreamStats(self._tokens, first_token_at, now, tuple(self._gaps), spread)
+        gap_sum_s = self._last_token_at - first_token_at if first_token_at is not None else 0.0
+        return StreamStats(self._tokens, first_token_at, now, tuple(self._gaps), gap_sum_s)
