--- a/cloverway/tests/test_platform_names.py
+++ b/cloverway/tests/test_platform_names.py
@@ -43,7 +43,10 @@
     """
     reserved = {"name", "msg", "args", "module", "message", "filename", "lineno", "process"}
     calls = re.compile(r"\blog_event\((.*?)\n?\s*\)", re.DOTALL)
+    call_count = 0
     for path in (PACKAGE / "serving").rglob("*.py"):
         for call in calls.findall(path.read_text(encoding="utf-8")):
+            call_count += 1
             names = set(re.findall(r"\b(\w+)=", call))
             assert not names & reserved, f"{path.name}: {call}"
+    assert call_count, "no call of log_event was found: is the function renamed?"
