--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -42,7 +42,7 @@
     headers: Mapping[str, str]
     connection: CallerConnection
     http_request: Any
-    """Request object of the HTTP server, which determines the framing of the answer."""
+    """Request object of the HTTP server, which holds the state of the framing."""
 
     @property
     def is_http_1_0(self) -> bool:
@@ -91,11 +91,11 @@
         log.log(severity, "cherrypy", extra={"report": msg}, exc_info=traceback)
 
     def access(self) -> None:
-        """Log nothing, since a request is logged once its outcome is known."""
+        """Log nothing: `operations.reporting` logs a request once its outcome is known."""
 
 
 class Responder:
-    """Answers each CherryPy request with a handler; every failure becomes a problem document."""
+    """Passes each CherryPy request to a handler; every failure becomes a problem document."""
 
     def __init__(self, host: str, handle: Handler, max_answer_bytes: int) -> None:
         self.close_connections = False
@@ -146,7 +146,7 @@
             return self._make_problem(call, RequestError(Kind.INTERNAL))
 
     def _make_body(self, call: Call, reply: Reply) -> Iterable[bytes]:
-        """Set the head of a reply and return its body, complete or as an iterator."""
+        """Set the head of a reply and return its body, as a list or as an iterator of chunks."""
         if reply.stream is None:
             _set_head(reply)
             return [reply.body]
@@ -183,7 +183,7 @@
         if error.retry_after is not None:
             response.headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
         if not _is_body_read(call):
-            # The rest of the body would be parsed as the next request.
+            # On a reused connection, the rest of the body would be parsed as the next request.
             call.http_request.close_connection = True
             call.connection.linger = True
         return [json.dumps(error.as_problem(call.id)).encode()]
@@ -231,7 +231,7 @@
 
 
 def _run_at_end(callback: Callable[[], None]) -> None:
-    """Register a callback for when the answer was written or aborted."""
+    """Register a callback that runs once the answer was written or aborted."""
     cherrypy.serving.request.hooks.attach("on_end_request", callback, failsafe=True)
 
 
@@ -251,7 +251,7 @@
 
 
 def _is_body_read(call: Call) -> bool:
-    """Return whether the body was read, so that the next request starts behind it."""
+    """Return whether the body was read, so that the next request starts after it."""
     if call.http_request.body_is_read:
         return True
     return not call.http_request.chunked_read and not call.http_request.rfile.remaining
@@ -260,9 +260,10 @@
 def _relay_stream(
     call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream
 ) -> Iterator[bytes]:
-    """Yield the first piece to the server, and hand over the connection for the rest.
+    """Yield the first piece to the server, then relay the rest to the caller's socket.
 
-    `pieces` is referenced until the end, since dropping its generator would close the stream.
+    `pieces` stays referenced until the end: if its generator were dropped, it would close the
+    stream.
     """
     yield first
     try:
@@ -275,7 +276,7 @@
 
 
 def _abort_response(call: Call, error: Exception) -> None:
-    """Close the connection without the last chunk, so that the answer is seen as truncated."""
+    """Close the connection without the last chunk, so that the caller detects the truncation."""
     call.http_request.chunked_write = False
     call.http_request.close_connection = True
     if isinstance(error, RequestError | OSError):
--- a/cloverway/entry/authentication.py
+++ b/cloverway/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Authentication of callers: from bearer keys to teams, and to the profiles they may use."""
+"""Authentication of callers: maps bearer keys to teams, and checks the profiles they request."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
         """Return the team of a bearer key, or an empty name for an unknown key."""
         key_hash = hash_key(bearer)
         known = key_hash if key_hash in self.teams else UNMATCHED_HASH
-        # The look-up uses a hash, so a caller can't approach a known key byte by byte. The
-        # comparison takes the same time for known and unknown keys.
+        # The look-up is by hash, so its duration does not reveal how many bytes of a key are
+        # right. The comparison takes the same time for known and unknown keys.
         if not hmac.compare_digest(known, key_hash):
             return ""
         return self.teams.get(known, "")
@@ -76,7 +76,7 @@
 
 
 def hash_key(bearer: str) -> str:
-    """Return the published hash of a bearer key."""
+    """Return the hash of a bearer key in its published form."""
     return HASH_PREFIX + hashlib.sha256(bearer.encode("utf-8", "surrogateescape")).hexdigest()
 
 
--- a/cloverway/entry/bodies.py
+++ b/cloverway/entry/bodies.py
@@ -34,7 +34,7 @@
     pieces = _read_chunked(reader, limit) if chunked else _read_sized(reader, length, limit)
     body = bytearray()
     try:
-        # Appended to one buffer: as a list, a body sent byte by byte would need 40 times its size.
+        # One buffer, because a list of single bytes would use 40 times the size of the body.
         for piece in pieces:
             body += piece
     except TimeoutError as error:
@@ -56,7 +56,7 @@
     if not length.isascii() or not length.isdigit():
         raise RequestError(Kind.MALFORMED, "Content-Length is not a decimal number")
     if len(length) > 19 or int(length) > limit:
-        raise RequestError(Kind.TOO_LARGE, f"a body may have {limit} bytes")
+        raise RequestError(Kind.TOO_LARGE, f"the body exceeds the limit of {limit} bytes")
     return int(length)
 
 
@@ -76,7 +76,7 @@
     remaining = limit
     while size := _read_chunk_size(reader):
         if size > remaining:
-            raise RequestError(Kind.TOO_LARGE, f"a body may have {limit} bytes")
+            raise RequestError(Kind.TOO_LARGE, f"the body exceeds the limit of {limit} bytes")
         remaining -= size
         yield from _read_exactly(reader, size)
         if reader.readline(MAX_CHUNK_LINE_BYTES) != b"\r\n":
@@ -119,7 +119,7 @@
 
 
 class CompletionRequest(NamedTuple):
-    """A completion request as sent to an endpoint."""
+    """A completion request in the form that is sent to an endpoint."""
 
     body: bytes
     stream: bool
@@ -128,10 +128,10 @@
 def parse_completion(
     body: bytes, content_type: str, required_field: str, model: str
 ) -> CompletionRequest:
-    """Check the body of a completion for a required field, and set the model of the profile.
+    """Check the body of a completion request and set its model to that of the profile.
 
-    The profile determines the model, not the caller. The body is encoded again from the parsed
-    document: for a duplicate name, an endpoint could use another value than this host checked.
+    Raise RequestError MALFORMED. The body is encoded again from the parsed document: if it has a
+    duplicate name, an endpoint could use another value than the one that was checked here.
     """
     document = parse_json(body, content_type)
     if not document.get(required_field):
--- a/cloverway/entry/caller_connection.py
+++ b/cloverway/entry/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: non-blocking receipt of heads, time limits for reads and writes."""
+"""A caller's connection: receives heads without blocking, and limits reads and writes in time."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 """A caller that reads its answer more slowly than this, on average, is disconnected."""
 WRITE_BYTES = 64 * 1024
 SLOW_READ_AFTER_S = 0.25
-"""A read that still has to wait this many seconds after a time limit was set counts as slow."""
+"""A read that still waits this many seconds after a time limit was set counts as slow."""
 LINGER_S = 1.0
-"""How long input of a rejected caller is read and discarded before closing, in seconds."""
+"""How long the input of a rejected caller is discarded before closing, in seconds."""
 LINGER_BYTES = 64 * 1024
 REQUEST_ID_BYTES = 12
 
@@ -87,11 +87,11 @@
         super().__init__(sock, "r")
         self.deadline = float("inf")
         self.detached = False
-        """Whether reads return nothing instead of using the socket."""
+        """Whether reads return nothing and leave the socket alone."""
         self.prefetched = bytearray()
         """Bytes received before the connection was passed to a thread."""
         self.on_slow: Callable[[], object] | None = None
-        """Called once if a read has to wait after `slow_after`; may raise."""
+        """Called once if a read waits at or after `slow_after`; may raise an exception."""
         self.slow_after = 0.0
         """Monotonic time from which on a read that has to wait counts as slow."""
         self._socket = sock
@@ -143,12 +143,12 @@
         super().__init__(self.source)
 
     def has_data(self) -> bool:
-        """Return whether the head of a request was received already, without reading more."""
+        """Return whether a complete head was received already; does not read from the socket."""
         self._unread_buffered()
         return HEAD_END in self.source.prefetched
 
     def _unread_buffered(self) -> None:
-        """Move bytes that were read beyond the last request back to `prefetched`."""
+        """Move bytes that were buffered beyond the last request back to `prefetched`."""
         self.source.detached = True
         try:
             self.source.prefetched[:0] = self.read1(len(self.peek(1)))
@@ -159,7 +159,7 @@
 class TimedWriter(io.RawIOBase):
     """Writer of a connection, with one deadline for all bytes of a write.
 
-    Otherwise a caller that reads a byte now and then could occupy a thread indefinitely.
+    Without it, a caller that reads one byte at a time could occupy a thread indefinitely.
     """
 
     bytes_written = 0
@@ -194,8 +194,9 @@
         self.rfile = TimedReader(sock)
         self.wfile = TimedWriter(sock, server.timeout)
         self.linger = False
-        """Whether to discard input for a while before closing, so that the answer is not lost."""
+        """Whether to discard input before closing, so that the caller can read its answer."""
         self.had_request = False
+        """Whether the complete head of a request was received."""
         self.head_deadline = float("inf")
         """Monotonic time by which the head must be complete; infinite before its first byte."""
 
@@ -238,14 +239,14 @@
             self.server.request_counter.add(-1)
 
     def close(self) -> None:
-        """Close the connection; a caller that was rejected can read its answer first."""
+        """Close the connection, after a delay if a rejected caller has yet to read its answer."""
         self.server.on_connection_closed(self)
         if self.linger:
             self._discard_input()
         super().close()
 
     def _discard_input(self) -> None:
-        """Read and discard input for a short time.
+        """Read and discard input for up to LINGER_S.
 
         Closing a socket with unread input resets the connection, and the caller's system may then
         drop the answer before the caller has read it.
@@ -260,7 +261,7 @@
 
 
 class CallerRequest(HTTPRequest):
-    """HTTP request of a caller; early failures are answered with a problem document as well."""
+    """HTTP request of a caller; a request that can't be parsed also gets a problem document."""
 
     body_is_read = False
 
@@ -273,7 +274,7 @@
             self._check_head()
 
     def _check_head(self) -> None:
-        """Reject ambiguous heads, which two parsers may understand differently."""
+        """Reject ambiguous heads, which different HTTP parsers may interpret differently."""
         headers = self.inheaders
         if self.response_protocol != HTTP_1_0 and b"Host" not in headers:
             self._reject("HTTP/1.1 requires a Host header")
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -1,4 +1,4 @@
-"""Interface for callers: authenticates and checks calls and passes them to the gateway."""
+"""Interface for callers: authenticates and validates calls and passes them to the gateway."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 STARTING_RETRY_S = 1.0
 SLOW_BODY_RETRY_S = 1.0
 THREADS_PER_SLOW_BODY = 4
-"""The slow bodies of one team may occupy one in this many threads."""
+"""One of this many threads may wait for slow bodies of the same team."""
 SAFE_TARGET = re.compile(r"/[A-Za-z0-9/._~!$&'()*+,;=:@%?-]*")
 DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 ENCODED_SLASH = re.compile(r"%(2f|5c|00)", re.IGNORECASE)
@@ -58,9 +58,9 @@
     method: str
     """HTTP method, or empty if the head was not read."""
     team: str
-    """Team, or empty if the caller is unknown."""
+    """Team, or empty if the caller was not authenticated."""
     profile: str
-    """Profile if it is published, or empty: text of a caller is never logged."""
+    """Profile if it is published, otherwise empty, because text from a caller is never logged."""
     kind: Kind
     ran: Ran
     total_s: float
@@ -69,8 +69,8 @@
 class SlowBodyLimiter:
     """Limits how many threads wait for slow bodies of one team at a time.
 
-    A body may take some seconds. Without a limit for each team, a team whose callers are on a bad
-    link could occupy every thread. Bodies that arrive promptly are not counted.
+    A body may take several seconds to arrive. Without a limit per team, a team whose callers have
+    a slow network could occupy all threads. Bodies that arrive promptly are not counted.
     """
 
     def __init__(self, limit: int) -> None:
@@ -159,7 +159,7 @@
         self._disconnects.stop()
 
     def count_in_progress(self) -> int:
-        """Return the number of requests from complete head to written answer, with queued ones."""
+        """Return the number of requests with a complete head that are not answered yet."""
         return self._listener.in_progress
 
     def list_hosts(self) -> HostList:
@@ -185,7 +185,7 @@
             return self._gateway.run(request)
 
     def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
-        """Check a call, cheapest checks first, and return its request or an immediate reply."""
+        """Check a call, cheapest checks first; return its request, or its reply if it needs none."""
         check_path(call)
         published = self._holder.current.published
         if published is None:
@@ -244,11 +244,11 @@
         self._on_rejection(Rejection(rejection.request_id, "", "", "", rejection.kind, ran, 0.0))
 
     def _report_rejection(self, call: Call, error: RequestError, arrived_at: float) -> None:
-        # The log holds the outcome of this request; the caller's answer also covers its key.
+        # `ran` in the log is about this request; in the answer it is also about the key.
         ran = error.ran
         if call.get_header(KEY_HEADER) and error.kind is not Kind.KEY_INVALID:
-            # The key was not looked up: an earlier request with it may have run, and a caller that
-            # reads "no" would repeat the work with a new key.
+            # The key was not looked up, so an earlier request with it may have run. After "no", the
+            # caller would repeat the work with a new key.
             error.ran = Ran.UNKNOWN
         team, profile = self._identify(call)
         total_s = self._clock() - arrived_at
@@ -279,7 +279,7 @@
 
 
 def check_target(call: Call, caller: Caller) -> None:
-    """Raise RequestError unless the profile serves the path.
+    """Raise RequestError unless the profile allows the target.
 
     The target is forwarded to the endpoint verbatim, so it must stay below the path of its service.
     With dot segments or encoded slashes a caller could reach an endpoint's control paths.
--- a/cloverway/entry/departures.py
+++ b/cloverway/entry/departures.py
@@ -1,4 +1,4 @@
-"""Detects callers that disconnect while their request is pending and no thread reads the socket."""
+"""Detect callers that disconnect while their request is pending and no thread reads the socket."""
 
 from __future__ import annotations
 
@@ -71,9 +71,9 @@
                 self._check(descriptor)
 
     def _check(self, descriptor: int) -> None:
-        # Since the event was returned, the request may have ended and the next one may use the same
+        # Since the event was returned, the request may have ended and another one may use the same
         # descriptor. The socket is polled again under the lock, so that the wrong request is never
-        # cancelled; it can't be closed before its block has ended.
+        # cancelled. `watch` needs the lock to end, so the socket can't be closed meanwhile.
         with self._lock:
             watched = self._watched.get(descriptor)
             is_disconnected = watched is not None and _is_disconnected(watched.sock)
--- a/cloverway/entry/directory.py
+++ b/cloverway/entry/directory.py
@@ -9,7 +9,7 @@
 from cloverway.membership.view import HostState, View
 
 LIST_LIFETIME_S = 5.0
-"""Seconds for which a caller may use a list; short, so that a leaving host is soon unused."""
+"""Seconds for which a caller may use a list; short, so that callers soon avoid a leaving host."""
 MAX_HOSTS = 32
 MAX_SUMMARY_AGE_S = 10.0
 
@@ -43,8 +43,8 @@
 ) -> HostList:
     """Return the usable hosts: own failure domain first, then own region, then the others.
 
-    Hosts that leave, are overloaded or were not heard recently are omitted. `rotation` rotates the
-    order within each rank, so that callers are spread over the hosts of a rank.
+    Hosts that are leaving or overloaded, or were not heard from recently, are omitted. `rotation`
+    rotates the order within each rank, which spreads callers over the hosts of a rank.
     """
     published = view.published
     if published is None:
@@ -78,7 +78,7 @@
 ) -> bool:
     """Return whether a host of another failure domain may be alive according to its domain.
 
-    This host does not receive heartbeats of all hosts of other domains, but their summaries.
+    This host does not receive heartbeats from every host of another domain, only summaries.
     """
     assert view.published is not None
     domain = view.published.hosts[name].domain
--- a/cloverway/entry/listener.py
+++ b/cloverway/entry/listener.py
@@ -1,7 +1,8 @@
 """HTTP server of the interfaces for callers and operators: cheroot with resource limits.
 
-A connection occupies a thread only from the complete head of a request until its answer. Otherwise
-it is parked with the connection manager, so that idle and slow connections occupy no thread.
+A connection occupies a thread only from the complete head of a request until its answer. At other
+times it is parked in the connection manager of cheroot, so that idle connections and incomplete
+heads occupy no thread.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 REQUEST_KEY = "cloverway.request"
 
 IDLE_TIMEOUT_S = 30.0
-"""How long a connection may stay idle between requests, and a write may block, in seconds."""
+"""Maximum idle time between requests, and maximum time that a write may block, in seconds."""
 HEAD_TIMEOUT_S = 10.0
 """How long a caller may take to send the complete head of a request, in seconds."""
 KEY_HEADER_PREFIX = b"idempotency-key:"
@@ -53,9 +54,9 @@
 
     threads: int
     queued: int
-    """Requests that wait for a thread; further ones are rejected with 429 (overloaded)."""
+    """Requests that wait for a thread; more are rejected with 429 (overloaded)."""
     idle: int
-    """Open connections without a request; further ones are closed."""
+    """Open connections without a request; more are closed."""
     header_bytes: int
     head_timeout_s: float = HEAD_TIMEOUT_S
     idle_timeout_s: float = IDLE_TIMEOUT_S
@@ -72,9 +73,9 @@
 
 
 class RequestCounter:
-    """Counts requests from their complete head until they are answered.
+    """Counts requests between their complete head and their answer.
 
-    Requests that wait for a thread are included: a leaving host must not close them.
+    Requests that wait for a thread are included, because a leaving host must not close them.
     """
 
     def __init__(self) -> None:
@@ -91,8 +92,8 @@
 class SilentConnections:
     """Parked connections that have not sent any request yet, oldest first.
 
-    At the limit for idle connections the oldest of these is closed. Otherwise a client that opens
-    enough connections without sending anything would lock out every new caller.
+    At the limit of idle connections, the oldest of these is closed. Otherwise a client that opens
+    many connections and sends nothing could lock out all new callers.
     """
 
     def __init__(self) -> None:
@@ -172,7 +173,7 @@
     def process_conn(self, conn: CallerConnection) -> None:
         """Pass a connection with a complete request head to a thread; park or close others.
 
-        A caller that sends nothing, or a head byte by byte, occupies an entry in a bounded table
+        A caller that sends nothing, or sends a head byte by byte, occupies one of a limited number
         of parked connections, but no thread.
         """
         self._silent.discard(conn)
@@ -197,7 +198,7 @@
                 conn.close()
 
     def on_connection_closed(self, conn: CallerConnection) -> None:
-        """Handle the close of a connection."""
+        """Stop tracking a closed connection."""
         self._silent.discard(conn)
 
     def _reject(self, conn: CallerConnection, kind: Kind, detail: str) -> None:
@@ -242,7 +243,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Close all connections; threads that don't return within a timeout are forced to."""
+        """Close all connections; shut down those that are still in use after STOP_TIMEOUT_S."""
         self._server.stop()
         self._thread.join(STOP_TIMEOUT_S)
 
