--- a/cloverway/upstream/cancels.py
+++ b/cloverway/upstream/cancels.py
@@ -1,4 +1,4 @@
-"""Cancel abandoned requests at engines, in a background thread that no caller waits for."""
+"""Cancels abandoned requests at engines in a background thread, so that no caller waits."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 CANCEL_PATH = "/v1/cancel"
 TIMEOUT_S = 1.0
 MAX_DELAY_S = 10.0
-"""Cancels that were queued for longer than this are dropped, which bounds the inbox.
+"""Cancels that were queued for more than this many seconds are dropped, to bound the queue.
 
-The connection was closed at once, so a cancel only matters for engines that ignore a disconnect.
+The connection is closed at once, so a cancel matters only to engines that ignore a disconnect.
 """
 
 
 class CancelRequest(NamedTuple):
-    """A request to cancel, at which endpoint, and when this was requested (monotonic seconds)."""
+    """A request to cancel, its endpoint, and the monotonic time at which the cancel was queued."""
 
     address: tuple[str, int]
     request_id: str
--- a/cloverway/upstream/connections.py
+++ b/cloverway/upstream/connections.py
@@ -16,7 +16,7 @@
 """Pooled connections are closed after this many seconds without use.
 
 NAT gateways and firewalls drop the state of idle connections, but rarely that of a connection
-which was used a moment ago.
+that was used seconds ago.
 """
 MAX_IDLE_PER_ADDRESS = 64
 """Maximum number of idle connections to one endpoint."""
@@ -133,7 +133,7 @@
         self.sock = TimedSocket.take_over(self.sock)
 
     def read_head(self) -> ResponseHead:
-        """Read the head of the answer and the bytes that http.client buffered behind it.
+        """Read the head of the answer and the bytes that http.client buffered after it.
 
         From here on the socket is read directly: the buffer of http.client is empty, and its
         response object is closed without closing the socket.
@@ -157,7 +157,7 @@
 
 
 def _take_buffered(timed_socket: TimedSocket, response: http.client.HTTPResponse) -> bytes:
-    """Return the bytes that were buffered behind the head, without waiting for more.
+    """Return the bytes that were buffered after the head, without waiting for more.
 
     `peek` returns all of a filled buffer. If the buffer is empty it reads once, without blocking,
     and returns nothing if nothing is available.
--- a/cloverway/upstream/copiers.py
+++ b/cloverway/upstream/copiers.py
@@ -41,7 +41,7 @@
 
 
 class EndpointStream:
-    """The stream of one exchange, which owns the endpoint's socket until it has ended."""
+    """The stream of one exchange; owns the endpoint's socket until the stream has ended."""
 
     def __init__(
         self,
@@ -61,8 +61,8 @@
     def __iter__(self) -> Iterator[bytes]:
         """Iterate over complete events as they arrive; raise RequestError on a truncated stream.
 
-        The iterator has no `close` on purpose: a generator that delegates to it by `yield from`
-        and is dropped would otherwise end the stream before it is handed over.
+        The iterator deliberately has no `close`: a generator that delegates to it with
+        `yield from` would call it when it is dropped, and end the stream before the handover.
         """
         return iter(self._read_or_none, None)
 
@@ -70,10 +70,10 @@
         """Copy the rest to the caller in chunked framing, without the last chunk.
 
         If a caller vanishes without closing its connection, the kernel retransmits for about a
-        quarter of an hour. TCP_USER_TIMEOUT ends that, so that the engine stops decoding for it.
+        quarter of an hour. TCP_USER_TIMEOUT shortens this, so that the engine stops decoding.
         """
         timeout = caller.gettimeout()
-        with suppress(OSError):  # A socket that has failed is reported by the copier.
+        with suppress(OSError):  # The copier reports a socket that has failed.
             milliseconds = int(CALLER_STALL_TIMEOUT_S * 1000)
             caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
         try:
@@ -135,7 +135,7 @@
 
 
 class WorkerCopier:
-    """Copies in the worker thread of the request; kept as the baseline of benchmarks."""
+    """Copies in the worker thread of the request; the baseline of benchmarks."""
 
     def copy(self, stream: EndpointStream, caller: socket.socket) -> None:
         """Copy the stream to its end; raise RequestError if that fails."""
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP client for endpoints: send a request and return the complete answer or its stream.
+"""HTTP client for endpoints: sends a request and returns the complete answer or its stream.
 
 Nothing is retried here, with one exception: an idempotent request that fails on a pooled
 connection before the first byte of an answer is sent once more on a new connection.
@@ -145,8 +145,8 @@
     def abort(self, request_id: str) -> None:
         """Abort an idempotent request that waits for its answer, because its caller disconnected.
 
-        A non-idempotent request runs to its end, since a repeat may ask for its recorded answer.
-        A stream that has begun is not affected; its relay detects the disconnect itself.
+        A non-idempotent request runs to its end, since a repeat may request its recorded answer.
+        A stream that has begun is not affected: the relay detects the disconnect itself.
         """
         if self._pending.abort(request_id):
             log.info("request aborted: its caller disconnected", extra={"request_id": request_id})
@@ -175,8 +175,8 @@
             if not send_started or error.ran is not Ran.NO:
                 raise
             if isinstance(error, _ConnectError):
-                # If only the idle connection was dropped, connecting again works. If the endpoint
-                # crashed while it ran the request, connecting fails, and the crash must be counted.
+                # If only the idle connection was dropped, connecting again works. If it fails, the
+                # endpoint may have crashed while it ran the request, which must be counted.
                 raise EndpointLostError(Kind.ENDPOINT_FAILED, error.detail) from error
             kind = Kind.TIMED_OUT if error.kind is Kind.DEADLINE else Kind.ENDPOINT_FAILED
             raise RequestError(kind, error.detail, retry_after=error.retry_after) from error
@@ -341,7 +341,7 @@
 def _classify_failure(
     request: Request, timed_socket: TimedSocket, error: Exception
 ) -> RequestError:
-    """Return the error for a failed exchange, with what is known of whether the request ran."""
+    """Return the error for a failed exchange; `ran` is NO only if no byte was sent."""
     late = time.monotonic() >= request.deadline
     if not timed_socket.send_started:
         if isinstance(error, ValueError | http.client.InvalidURL):
@@ -376,7 +376,7 @@
 def _make_body_parser(head: ResponseHead) -> BodyParser:
     """Return the parser for a body.
 
-    A body that ends with the connection is refused: it can't be told from a truncated one.
+    A body that ends with the connection is an error: a truncated one would look the same.
     """
     if head.length is not None:
         return LengthBody(head.length)
--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -1,4 +1,4 @@
-"""Incremental parsers for response bodies, which tell a complete body from a truncated one.
+"""Incremental parsers for response bodies, which detect truncation.
 
 The end of a body is taken from its framing, never from the end of the connection: a connection
 that closes is no proof that the answer was complete.
@@ -36,7 +36,7 @@
     ended: bool
     """Whether the end of the body was parsed."""
     excess: bytes
-    """Bytes received after the end of the body, which belong to no requested answer."""
+    """Bytes received after the end of the body; they belong to no answer."""
 
     def feed(self, data: bytes) -> bytes:
         """Parse received bytes and return the body bytes that they contain; raise RequestError."""
@@ -68,7 +68,7 @@
         self.excess = b""
         self._buffer = b""
         self._remaining_bytes = 0
-        """Remaining bytes of the current chunk, with its final CRLF; 0 between chunks."""
+        """Remaining bytes of the current chunk, including its final CRLF; 0 between chunks."""
         self._trailer_bytes = -1
         """Bytes of the trailer parsed, or -1 before the last chunk."""
 
--- a/cloverway/upstream/pending.py
+++ b/cloverway/upstream/pending.py
@@ -50,7 +50,7 @@
     def abort(self, request_id: str) -> bool:
         """Abort a pending request; return whether it was pending.
 
-        Its thread blocks in a read. Shutting down the socket wakes it, and `aborted` tells it why.
+        Its thread blocks in a read. Shutting down the socket wakes it; `aborted` is the reason.
         """
         with self._lock:
             pending = self._by_id.get(request_id)
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -1,7 +1,7 @@
 """The relay task: one event loop that copies every stream from its endpoint to its caller.
 
 A worker hands over both sockets and blocks until the stream has ended. Meanwhile only the loop
-reads and writes them; waking a thread for each token would cost several times more.
+reads and writes them. Waking a thread for each token would cost several times as much.
 """
 
 from __future__ import annotations
@@ -187,7 +187,7 @@
         self._wake()
 
     def _wake(self) -> None:
-        with suppress(BlockingIOError):  # The buffer is full, so the loop wakes up anyway.
+        with suppress(BlockingIOError):  # If the buffer is full, the loop wakes up anyway.
             self._wake_sender.send(b"\0")
 
     def _drain_wakeups(self, mask: int, now: float) -> None:
@@ -198,16 +198,16 @@
         """Wait for ready sockets, serve them, and check the limits of all streams.
 
         The limits are checked against the time before the wait. If the process was suspended
-        during the wait, it reads what arrived meanwhile before it treats a stream as stalled.
-        Each socket is served with its own time stamp: with a single one for a batch that takes
-        long, every stream of the batch would look stalled for that long.
+        during the wait, what arrived meanwhile is read before a stream counts as stalled.
+        Each socket is served with its own time stamp. With a single one, the duration of a long
+        batch would count as silence of each of its streams.
         """
         before = self._clock()
         for descriptor, mask in self._poll.poll(SWEEP_INTERVAL_S):
             handler = self._handlers.get(descriptor)
             if handler is not None:
                 handler(mask, self._clock())
-        # Only after the batch: a new stream may reuse a descriptor that has an event in it.
+        # After the batch, because a new stream may reuse a descriptor that has an event in it.
         self._add_new()
         if before - self._last_sweep_at >= SWEEP_INTERVAL_S:
             self._last_sweep_at = before
@@ -261,11 +261,11 @@
         return handle
 
     def _update_interest(self, stream: RelayedStream, was_blocked: bool) -> None:
-        """Register for events of the side that the stream waits for."""
+        """Register for the events that the stream waits for, or end it if it is complete."""
         if stream.complete:
             self._end(stream, None)
         elif stream.has_unsent and not was_blocked:
-            # A mask of zero would not do: epoll reports a reset whatever the mask, repeatedly.
+            # Unregistered, because epoll reports a reset repeatedly even with an empty mask.
             self._unregister(stream.endpoint)
             self._poll.modify(stream.caller, select.EPOLLOUT | select.EPOLLRDHUP)
         elif was_blocked and not stream.has_unsent:
@@ -293,7 +293,7 @@
             stream.finished.set_result(None)
             return
         if not isinstance(error, RequestError):
-            log.error("unexpected error while copying a stream", exc_info=error)
+            log.error("unexpected error while relaying a stream", exc_info=error)
         stream.finished.set_exception(error)
 
     def _register(self, sock: socket.socket, mask: int, handler: EventHandler) -> None:
--- a/cloverway/upstream/streams.py
+++ b/cloverway/upstream/streams.py
@@ -1,4 +1,4 @@
-"""Wrappers around the stream of an answer that report its outcome once."""
+"""Wrappers around the stream of an answer, which report its outcome once."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     """Records a stream up to a size limit, and reads it to its end even if the caller disconnects.
 
     A repeat with the same idempotency key gets the recording. If a disconnect cancelled the run,
-    a non-idempotent operation could stop halfway, and its repeat could not learn the outcome.
+    a non-idempotent operation could stop halfway, and a repeat could not learn its outcome.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         return self._pieces
 
     def relay_to(self, caller: socket.socket) -> None:
-        """Copy the rest to the caller's socket; read it to the end even if the caller leaves."""
+        """Copy the rest to the caller's socket; read on to the end if the caller disconnects."""
         caller_left = False
         for piece in self._pieces:
             caller_left = caller_left or not _send_chunk(caller, piece)
