--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -1,7 +1,7 @@
 """The admin API for operators: health, readiness, metrics, status, explanations and draining.
 
 It has its own listener and threads, so that it answers while all threads for callers are busy. It
-requires no key: operators must not expose its address to the callers' network.
+requires no key, so its address must not be reachable from the callers' network.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
     list_hosts: Callable[[], HostList]
     count_in_progress: Callable[[], int]
     count_queued: Callable[[], int]
-    """Returns the number of requests that wait for an endpoint."""
+    """Returns the number of requests that are queued for an endpoint."""
     render_metrics: Callable[[Sequence[Gauge]], bytes]
     explain: Callable[[str, str], Mapping[str, Any]]
-    """Returns the routing decision for a team and a profile."""
+    """Returns the routing decision for a request of a team with a profile."""
     begin_leaving: Callable[[], None]
 
 
@@ -140,7 +140,7 @@
 
 
 def describe_status(view: View, in_progress: int, queued: int, now: float) -> dict[str, Any]:
-    """Return the state of a host, with ages in seconds in place of times of its own clock."""
+    """Return the state of a host, with ages in seconds instead of monotonic times."""
     return {
         "host": view.host,
         "incarnation": view.incarnation,
@@ -176,7 +176,7 @@
 
 
 def make_gauges(view: View, in_progress: int) -> Iterator[Gauge]:
-    """Yield the gauges of a host with their present values."""
+    """Yield the gauges of a host with their current values."""
     revision = view.published.revision if view.published else 0
     yield Gauge("revision", "Revision of the configuration in force", revision)
     yield Gauge("ready", "Whether the host takes work", float(view.ready))
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -1,7 +1,7 @@
 """Histograms and counters of requests, owned by one task.
 
 The registry is not thread-safe, so only this task uses it. Each request and each stream sends one
-typed observation when it has ended, not one for each token.
+observation when it has ended, instead of one for each token.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 """Upper bounds of the latency buckets, in seconds."""
 MAX_ENDPOINT_LABELS = 512
-"""Maximum number of endpoints and failure domains with their own label; others share one."""
+"""Maximum number of endpoints and failure domains with a label of their own; others share one."""
 OTHER_ENDPOINTS = "_other"
 UNKNOWN_CLASS = "_unknown"
 SUCCESS = "ok"
@@ -32,7 +32,7 @@
 
 
 class RequestEnded(NamedTuple):
-    """Observation of one request that was answered or refused. Times are seconds."""
+    """Observation of one request that was answered or rejected. Times are seconds."""
 
     team: str
     urgency: str
@@ -57,7 +57,7 @@
 
 
 class Gauge(NamedTuple):
-    """The present value of a gauge."""
+    """The current value of a gauge."""
 
     name: str
     help: str
@@ -90,7 +90,7 @@
         self._merge(self.by_tenant, {"tenant": tenant}, counts, total_s)
 
     def drop_tenant(self, tenant: str) -> None:
-        """Remove a tenant whose label is no longer used."""
+        """Remove the histogram of a tenant whose label is no longer used."""
         self.by_tenant.values.pop({"tenant": tenant}, None)
 
     def _make(
@@ -144,7 +144,7 @@
         self._task.send(observation)
 
     def render(self, gauges: Sequence[Gauge] = ()) -> bytes:
-        """Return all metrics as text, with the gauges given."""
+        """Return all metrics as text, including the given gauges."""
         text: bytes = self._task.ask(_Render(gauges), RENDER_TIMEOUT_S)
         return text
 
@@ -236,7 +236,7 @@
 
     def _render(self, gauges: Sequence[Gauge]) -> bytes:
         for known in self._gauges.values():
-            # An endpoint that is gone must not keep its last value.
+            # An endpoint that no longer exists must not keep its last value.
             known.values.clear()
         for gauge in gauges:
             if gauge.name not in self._gauges:
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -97,7 +97,7 @@
         )
 
     def report_rejection(self, rejection: Rejection) -> None:
-        """Report a request that was refused before it reached the gateway."""
+        """Report a request that was rejected before it reached the gateway."""
         log.info(
             "request",
             extra={
