--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -38,16 +38,16 @@
 log = logging.getLogger(__name__)
 
 STALE_AFTER_S = 4.0
-"""A platform that is behind for this long is stale; a change is in force everywhere by then."""
+"""Seconds after which a platform that is behind is stale; a change takes less time to spread."""
 
 RECHECK_AFTER_S = 10.0
-"""After this long without contact, the platform may have been restored from older data."""
+"""Seconds without contact after which the platform may have been restored from older data."""
 
 PEER_TIMEOUT_S = 4.0
-"""A starting host stops waiting for a peer that it has not heard from for this long."""
+"""Seconds without contact after which a starting host stops waiting for a peer."""
 
 READERS_PER_DOMAIN = 2
-"""Hosts of a failure domain that read the platform; if one of them fails, reads continue."""
+"""Hosts of a failure domain that read the platform; more than one, in case a reader fails."""
 
 
 class Source(StrEnum):
@@ -62,17 +62,17 @@
 
     NONE = 0
     RECENT = 1
-    """The latest changes in force, because it was unreachable and may have been restored."""
+    """The latest changes in force, because it was out of contact and may have been restored."""
     SNAPSHOT = 2
-    """All documents, because its revision decreased and it may be reusing revisions."""
+    """All documents, because its revision decreased or is behind, and it may reuse revisions."""
 
 
 class ConfigurationStore:
     """The configuration in force; accepts or rejects the changes of the platform and peers.
 
-    Not thread-safe. Until `start_serving` is called the host serves no callers, and the first
-    snapshot from a peer replaces what was read from the platform alone: the peer has its snapshot
-    in force, while a platform that was restored from older data may have reused revisions.
+    Not thread-safe. Before `start_serving` is called, the first snapshot from a peer replaces what
+    was read from the platform alone: the peer has its snapshot in force, while a platform that was
+    restored from older data may have reused revisions.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self._behind_since: float | None = None
         self._pending_check = PlatformCheck.NONE
         self.platform_stale = False
-        """Whether the platform has less than is in force, or a conflicting history."""
+        """Whether the platform is behind the configuration in force, or conflicts with it."""
 
     @property
     def published(self) -> Published | None:
@@ -100,7 +100,7 @@
 
     @property
     def served_revision(self) -> int:
-        """The revision announced to peers: 0 until this host serves, so that none relies on it."""
+        """The revision announced to peers: 0 until this host serves, so that no peer relies on it."""
         return self._revisions.revision if self._is_serving else 0
 
     @property
@@ -118,7 +118,7 @@
         """The revision after which to read the platform next; 0 for a snapshot.
 
         This is the last revision that the platform itself delivered, even if peers delivered later
-        ones: the platform must deliver the same changes, or its history conflicts with them.
+        ones. The platform must deliver the same changes; otherwise its history conflicts.
         """
         if self._pending_check is PlatformCheck.RECENT:
             return min(self._revisions.documents.recheck_after, self._delivered_revision)
@@ -140,7 +140,7 @@
         return self.revision if revision > self.revision else None
 
     def start_serving(self) -> None:
-        """Start to serve; from now on, a peer's snapshot no longer replaces what is in force."""
+        """Start to serve; a peer's snapshot no longer replaces the configuration in force."""
         self._is_serving = True
 
     def conflicts_with(self, revision: int, digest: str) -> bool:
@@ -152,7 +152,7 @@
         return self._revisions.documents.get_changes_after(revision, self.revision)
 
     def apply(self, changes: Changes, source: Source, now: float) -> ApplyResult:
-        """Merge changes; return whether they are in force, and if not, why."""
+        """Apply changes; return whether they came into force, or the reason why not."""
         before = self.revision
         if error := self._revisions.find_format_error(changes):
             return Rejected(before, (error,))
@@ -163,7 +163,7 @@
         else:
             result = self._revisions.apply_from_peer(changes)
             self._needs_snapshot = isinstance(result, Gap) and result.known == 0 < self.revision
-        # A lower revision would restore what operators have withdrawn, such as a key.
+        # A lower revision would restore documents that operators have withdrawn, such as a key.
         assert self.revision >= before, "the revision in force went down"
         return result
 
@@ -197,7 +197,7 @@
         return self._pending_check is PlatformCheck.NONE
 
     def _record_contact(self, reported_revision: int, now: float) -> None:
-        """Mark the platform as stale if its revision decreased, or is behind for too long."""
+        """Record the platform's revision; mark it as stale if it decreased or lags too long."""
         has_decreased = reported_revision < self._platform_revision
         if (
             now - self._last_contact_at > RECHECK_AFTER_S
@@ -240,7 +240,7 @@
 
 
 class ReadinessGate:
-    """Delays the start of a host until the platform and its peers have responded, or a timeout."""
+    """Delays the start of a host until the platform and its peers respond, or until a timeout."""
 
     def __init__(self, started_at: float, timeout_s: float = 3.0) -> None:
         self._deadline = started_at + timeout_s
@@ -274,10 +274,10 @@
         return Readiness(True, "timed out waiting for the platform and peers")
 
     def _drop_silent_peers(self, now: float) -> None:
-        """Drop peers that are no longer heard from.
+        """Drop peers that were not heard from recently.
 
-        A peer can crash after it has announced a revision that no other peer has. Waiting for that
-        revision would keep this host from serving for ever; only the platform may still have it.
+        A peer can crash after it has announced a revision that no other peer has. This host would
+        wait for that revision forever; only the platform may still have it.
         """
         self._last_heard_at |= {host: now for host in self._newly_heard}
         self._newly_heard.clear()
@@ -288,7 +288,7 @@
 def choose_readers(
     hosts: Iterable[str], domain: str, key: str = "configuration", count: int = READERS_PER_DOMAIN
 ) -> tuple[str, ...]:
-    """Choose the live hosts of a failure domain that read the platform, by rendezvous hashing."""
+    """Choose which live hosts of a failure domain read the platform, by rendezvous hashing."""
     ranked = sorted(
         set(hosts), key=lambda host: (_compute_score(domain, key, host), host), reverse=True
     )
@@ -296,7 +296,7 @@
 
 
 def log_result(result: ApplyResult, source: Source) -> None:
-    """Log the result of applying changes; operators must correct what leads to a rejection."""
+    """Log the result of applying changes; a rejection needs a correction by operators."""
     fields = {"source": str(source)}
     match result:
         case Accepted(published, after):
--- a/cloverway/config/consistency.py
+++ b/cloverway/config/consistency.py
@@ -1,7 +1,7 @@
 """Consistency checks across published documents that are each valid by themselves.
 
-Only the documents of one change are checked, so that the cost of a change does not grow with the
-number of documents. `UniqueIndex` holds the unique values of the other documents.
+Only the documents of a change and those that refer to deleted ones are checked, so that the cost
+hardly grows with the number of documents. `UniqueIndex` holds the unique values of the others.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
     @property
     def dotted(self) -> str:
-        """The dotted name of the document, as shown in findings."""
+        """The dotted name of the document, as it appears in findings."""
         return f"{self.table}.{self.name}" if self.name else self.table
 
 
 class Inconsistency(NamedTuple):
-    """An error at a dotted name, with a remedy."""
+    """An error at a dotted name, with its remedy."""
 
     field_path: str
     message: str
@@ -40,7 +40,7 @@
 
 
 class UniqueIndex:
-    """Index of the addresses and key hashes of a valid configuration by value."""
+    """Documents of a valid configuration by their unique values: addresses and key hashes."""
 
     def __init__(self) -> None:
         self._owners: dict[str, DocumentId] = {}
@@ -86,7 +86,7 @@
 def _find_referrers(
     published: Tables, regions: set[str], domains: set[str], profiles: set[str]
 ) -> Iterator[tuple[DocumentId, Any]]:
-    """Yield the documents that refer to deleted ones; the others cost only set look-ups."""
+    """Yield the documents that refer to deleted ones; each other document costs a set look-up."""
     for name, domain in published.domains.items():
         if domain.region in regions:
             yield DocumentId("domains", name), domain
--- a/cloverway/config/documents.py
+++ b/cloverway/config/documents.py
@@ -1,4 +1,4 @@
-"""Documents in force, each stored as the text that is sent to peers, with its revision."""
+"""Documents in force, each stored with its revision as the JSON text that peers receive."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 DIGEST_BYTES = 8
 
 RECHECKED_CHANGES = 1000
-"""Changes that the platform must send again after an outage: more than the deployment planned for
-in two years makes in three hours. If the platform was restored from data that is no older, these
+"""Changes that the platform must send again after an outage: more than the largest planned
+deployment makes in three hours. If the platform was restored from data that is no older, these
 include all changes that it lost, so that a missing one is detected."""
 
 
 class DocumentEntry(NamedTuple):
-    """A stored document; its text takes a fifth of the memory of parsed tables."""
+    """A stored document; its text uses a fifth of the memory of parsed tables."""
 
     revision: int
     text: bytes | None
@@ -32,7 +32,7 @@
     error: str = ""
     """Why the value can't be stored; such an entry is never in force."""
     implied: bool = False
-    """Whether it was deleted because a snapshot lacked it, not by a known revision."""
+    """Whether the deletion was inferred from a snapshot, so that its revision is not known."""
 
     @classmethod
     def from_document(cls, document: Document) -> DocumentEntry:
@@ -68,7 +68,7 @@
         self._tombstones: dict[str, DocumentEntry] = {}
         self._max_tombstones = max_tombstones
         self._min_delta_revision: int | None = None
-        """A delta from an earlier revision would lack a deletion; None while there is nothing."""
+        """A delta from an earlier revision would lack a deletion; None before the first change."""
         self._digest_sum = 0
 
     def __len__(self) -> int:
@@ -86,7 +86,7 @@
         return entry.text if entry else None
 
     def apply(self, changes: Mapping[str, DocumentEntry], revision: int) -> None:
-        """Apply changes up to a revision; all must be later than the stored documents."""
+        """Apply changes up to a revision; each must be later than all stored documents."""
         if self._min_delta_revision is None:
             self._min_delta_revision = revision
         for key, entry in sorted(changes.items(), key=_get_sort_key):
@@ -99,7 +99,7 @@
         self._prune()
 
     def get_changes_after(self, after: int, revision: int) -> Changes:
-        """Return the changes from revision `after` to the present one, or a snapshot."""
+        """Return the changes after revision `after` up to `revision`, or a snapshot."""
         if after < (self._min_delta_revision or 0) or after > revision:
             after = 0
         deleted = _list_entries_after(self._tombstones, after) if after else ()
@@ -163,13 +163,13 @@
 def _list_entries_after(
     entries: dict[str, DocumentEntry], after: int
 ) -> Iterator[tuple[str, DocumentEntry]]:
-    """Yield the entries after a revision; earlier ones are not visited, as entries are sorted."""
+    """Yield the entries after a revision, latest first; relies on their order by revision."""
     keys = itertools.takewhile(lambda key: entries[key].revision > after, reversed(entries))
     return ((key, entries[key]) for key in keys)
 
 
 def _hash(key: str, text: bytes | None) -> int:
-    """Return what one document adds to the digest; a deleted document adds nothing."""
+    """Return what one document adds to the digest; 0 for a deleted document."""
     if text is None:
         return 0
     data = key.encode() + b"\0" + text
--- a/cloverway/config/findings.py
+++ b/cloverway/config/findings.py
@@ -20,7 +20,7 @@
     def __init__(self, source: str = "", origins: Mapping[str, str] | None = None) -> None:
         self.source = source
         self.origins: Mapping[str, str] = origins if origins is not None else {}
-        """The source of each document by its dotted name, if there are several sources."""
+        """Source of each document by its dotted name, if there are several sources."""
         self.errors: list[str] = []
         self.warnings: list[str] = []
 
@@ -65,6 +65,6 @@
 
 
 def suggest(name: str, known: Iterable[str]) -> str:
-    """Return the remedy for an unknown name: the closest known name, or to remove it."""
+    """Return the remedy for an unknown name: use the closest known name, or remove it."""
     close = difflib.get_close_matches(name, sorted(known), n=1)
     return f"did you mean {close[0]!r}?" if close else "remove it"
--- a/cloverway/config/published.py
+++ b/cloverway/config/published.py
@@ -26,7 +26,7 @@
 class Published(Tables):
     """A complete and valid configuration.
 
-    A subclass of the NamedTuple, because a tuple has no room for the cached indexes.
+    A subclass of `Tables`, because a NamedTuple has no attributes for cached indexes.
     """
 
     @classmethod
@@ -92,7 +92,7 @@
 
 
 def parse_document(document_id: DocumentId, value: Any, findings: Findings) -> Any:
-    """Return one document as its NamedTuple, or None after adding findings."""
+    """Return a document as its NamedTuple; add findings and return None if it is invalid."""
     if document_id.table in SINGLETONS:
         return validate(SINGLETONS[document_id.table], value, findings, document_id.dotted)
     if NAME.fullmatch(document_id.name) is None:
@@ -104,7 +104,7 @@
 def encode_value(value: Any) -> bytes:
     """Return a document's value as canonical JSON; raise ValueError with a remedy.
 
-    Equal values have equal text, so that the text can be compared and hashed.
+    Equal values have equal text, so that texts can be compared and hashed.
     """
     try:
         text = ENCODER.encode(value).encode()
--- a/cloverway/config/revisions.py
+++ b/cloverway/config/revisions.py
@@ -1,8 +1,8 @@
 """One history of revisions: the documents in force, and pending documents of rejected changes.
 
 A revision identifies one set of documents. Changes are applied only on top of a revision whose
-documents are all known, so that no revision is stored with a part of its changes missing. Whether
-a set is valid is a pure function of it, so that all hosts reject the same revisions.
+documents are all known, so that no stored revision lacks a part of its changes. Validation is a
+pure function of the set of documents, so that all hosts reject the same revisions.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from cloverway.sources.port import Changes
 
 MAX_DOCUMENTS = 100_000
-"""Maximum number of stored documents: five times the deployment planned for in two years."""
+"""Maximum number of stored documents: five times those of the largest planned deployment."""
 
 MAX_FINDINGS = 50
 """Maximum findings in a rejection; one mistake in a region can affect thousands of teams."""
@@ -49,11 +49,11 @@
     revision: int
     findings: tuple[str, ...]
     conflicts: bool = False
-    """Whether the changes have other documents for a revision that is in force."""
+    """Whether the changes have other content for a revision that is in force."""
 
 
 class Stale(NamedTuple):
-    """The source is behind: its revision is lower than the known one."""
+    """The source is behind: its revision is lower than a known one."""
 
     known: int
     offered: int
@@ -128,8 +128,8 @@
             and result.conflicts
             and not (extends_pending or changes.complete)
         ):
-            # A delta doesn't show all documents of the conflicting history. If it became pending
-            # without the unknown ones, the next delta would appear to fit.
+            # A delta may lack documents of the conflicting history. If it became pending without
+            # them, the next delta would appear to fit.
             return result
         if isinstance(result, Rejected):
             self._pending = _Pending(changes.revision, entries, result.conflicts)
@@ -164,7 +164,7 @@
     def _encode(
         self, changes: Changes, base: Mapping[str, DocumentEntry]
     ) -> dict[str, DocumentEntry]:
-        """Return changes as entries on top of `base`, with deletions implied by a snapshot."""
+        """Return changes as entries on top of `base`, including deletions implied by a snapshot."""
         entries = {
             key: entry._replace(revision=changes.revision) if entry.implied else entry
             for key, entry in base.items()
@@ -201,7 +201,7 @@
 
         Either the platform was restored from older data and reuses revisions, or two operators
         published the same revision. The document in force stays: replacing it would withdraw
-        accepted content, and hosts that saw the other one first would never agree.
+        accepted content, and hosts that accepted the other one would never agree.
         """
         remedy = f"publish it again with a revision over {changes.revision}"
         different = [
@@ -256,8 +256,8 @@
     def _compose(self, parsed: Mapping[DocumentId, Any], revision: int) -> Published | None:
         """Return the configuration in force with some documents replaced; None if incomplete.
 
-        Tables without a change are the same objects as before, so that values derived from them
-        stay valid.
+        Unchanged tables are the same objects as before, so that values derived from them stay
+        valid.
         """
         fields = self.published._asdict() if self.published else {}
         for table in {document_id.table for document_id in parsed if document_id.table in TABLES}:
@@ -315,7 +315,7 @@
 
 
 def _truncate(findings: list[str]) -> tuple[str, ...]:
-    """Shorten the findings of a rejection to fit a log line and a peer's memory."""
+    """Limit the findings of a rejection, to bound log lines and memory."""
     if len(findings) <= MAX_FINDINGS:
         return tuple(findings)
     return (*findings[:MAX_FINDINGS], f"and {len(findings) - MAX_FINDINGS} more findings")
--- a/cloverway/config/schema.py
+++ b/cloverway/config/schema.py
@@ -66,7 +66,7 @@
 
 
 class Objective(NamedTuple):
-    """Weights of the organisation's objectives; they need not add up to one."""
+    """Weights of the organisation's objectives; they need not sum to one."""
 
     tail_latency: Share = 1.0
     cost: Share = 1.0
@@ -108,7 +108,7 @@
     slots: Annotated[int, Field(ge=1, le=4096)] = 8
     """Requests that it runs concurrently."""
     fencing: bool = False
-    """Whether it rejects orders with an outdated fencing token; False if not known."""
+    """Whether it rejects requests with an outdated fencing token; False if not known."""
 
 
 class Profile(NamedTuple):
@@ -120,7 +120,7 @@
     idempotent: bool = False
     deadline_ms: Annotated[int, Field(ge=50, le=3_600_000)] = 30_000
     gap_ms: Annotated[int, Field(ge=50, le=600_000)] = 10_000
-    """Maximum gap between two events of a stream in milliseconds; the connection is then closed."""
+    """Maximum gap between two events of a stream in milliseconds; a longer one aborts it."""
     regions: tuple[Name, ...] = ()
     """Regions that may serve it; empty for all regions."""
 
@@ -136,7 +136,7 @@
 
 
 class Team(NamedTuple):
-    """A team of callers, with its key hashes, its profiles and its data residency."""
+    """A team of callers, with its key hashes, profiles and data residency."""
 
     home: Name
     bound: bool = False
@@ -144,7 +144,7 @@
     profiles: tuple[Name, ...] = ()
     key_hashes: tuple[KeyHash, ...] = ()
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0
-    """Its weight in the division of capacity when demand exceeds it."""
+    """Its weight when capacity is divided because demand exceeds it."""
 
 
 TABLES: dict[str, type] = {
--- a/cloverway/config/secrets.py
+++ b/cloverway/config/secrets.py
@@ -7,7 +7,7 @@
 from cloverway.config.findings import Findings
 
 MIN_SECRET_BYTES = 32
-"""A shorter secret could be found by brute force from recorded datagrams."""
+"""A shorter secret could be found by brute force from captured datagrams."""
 
 MAX_SECRET_BYTES = 4096
 
--- a/cloverway/config/settings.py
+++ b/cloverway/config/settings.py
@@ -40,7 +40,7 @@
 
     @property
     def wait_s(self) -> float:
-        """How long one read waits for a change, depending on the kind of platform."""
+        """Maximum wait of one read for a change, depending on the kind of platform."""
         return self.watch_s if self.kind == "http" else self.poll_s
 
 
@@ -55,7 +55,7 @@
     """Limits on the resources that the daemon uses and on the times that it waits."""
 
     threads: Count = 192
-    """Threads for callers; must be well over `admitted`."""
+    """Threads for callers; must exceed `admitted` + `queued`, to keep one free for refusals."""
     admin_threads: Count = 8
     admitted: Count = 64
     """Requests in progress at the same time."""
@@ -73,7 +73,7 @@
     idempotency_key_s: Seconds = 3600.0
     """Lifetime of an idempotency key, by the clock of the host that issued it."""
     drain_s: Seconds = 30.0
-    """How often a draining daemon logs what it waits for; each request ends by its deadline."""
+    """How often a draining daemon logs what it waits for. Each request ends by its deadline."""
     key_hold_s: Seconds = 10.0
     """How long a draining daemon decides claims after it issued its last idempotency key."""
 
@@ -83,7 +83,7 @@
 
     heartbeat_s: Seconds = 0.5
     suspect_s: Seconds = 2.0
-    """A host that was not heard from for this long is not used."""
+    """A host that was not heard from for this long is not used by others."""
     report_s: Seconds = 0.5
     """How often an endpoint's load is read."""
     summary_s: Seconds = 1.0
--- a/cloverway/config/table_checks.py
+++ b/cloverway/config/table_checks.py
@@ -1,7 +1,7 @@
 """Validate tables of settings against NamedTuples, with msgspec instead of pydantic.
 
-Hosts of the fleet load this module only. Loading a host took 0.34 s of CPU time with pydantic and
-0.26 s without it, and callers wait for that after a restart of all hosts.
+Hosts of a fleet load this module and not `config.validation`. Loading a host takes 0.34 s of CPU
+time with pydantic and 0.26 s without it, and callers wait for that when all hosts restart.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class Check(NamedTuple):
-    """A check of a value in addition to its type, added to the type with `Annotated`."""
+    """A check of a value beyond its type; part of the type hint, by `Annotated`."""
 
     run: Callable[[Any], Any]
-    """Raises ValueError with what the value must be."""
+    """Raises ValueError with the requirement that the value does not meet."""
 
 
 def check_table(
--- a/cloverway/config/updates.py
+++ b/cloverway/config/updates.py
@@ -27,11 +27,11 @@
 log = logging.getLogger(__name__)
 
 FetchChanges = Callable[[str, str, int], Changes]
-"""Fetch the changes after a revision from a peer (host, address); blocks, with a timeout."""
+"""Fetches the changes after a revision from a peer (host, address); blocks until a timeout."""
 OnAccepted = Callable[[Published], None]
 
 NON_READER_INTERVAL_S = 30.0
-"""How often a host that is not a reader reads the platform, in case both readers can't."""
+"""How often a host that is not a reader reads the platform, in case the readers can't."""
 RETRY_DELAY_S = 0.5
 
 
@@ -67,7 +67,7 @@
         self._next_fetch_at = 0.0
         self._last_error = ""
         self.is_serving = False
-        """Whether this host serves: the platform and the peers responded, or timed out."""
+        """Whether this host serves, since the platform and the peers responded or timed out."""
 
     def start(self) -> None:
         """Start the worker threads."""
@@ -81,7 +81,7 @@
 
     @property
     def published(self) -> Published | None:
-        """The latest accepted configuration; in force once this host serves."""
+        """The latest accepted configuration; used once this host serves."""
         return self._store.published
 
     @property
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -185,7 +185,7 @@
             return self._gateway.run(request)
 
     def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
-        """Check a call, cheapest checks first; return its request, or its reply if none is needed."""
+        """Check a call, cheapest checks first; return its request or an immediate reply."""
         check_path(call)
         published = self._holder.current.published
         if published is None:
