--- a/cloverway/sources/codec.py
+++ b/cloverway/sources/codec.py
@@ -59,6 +59,6 @@
 
 
 def _parse_state(entry: Any) -> MemberState:
-    """Decode one state; an unknown one is treated as leaving, so that it gets no new requests."""
+    """Decode one state; an unknown one is treated as leaving, so that no new requests are sent."""
     state = entry.get("state") if isinstance(entry, dict) else entry
     return MemberState.LIVE if state == MemberState.LIVE else MemberState.LEAVING
--- a/cloverway/sources/file.py
+++ b/cloverway/sources/file.py
@@ -22,8 +22,8 @@
 from cloverway.sources.port import Changes, Document, MemberStates
 
 CONTENT_CHECK_S = 2.0
-"""For this long after a change, contents are compared too: two writes within one tick of the file
-system's clock can leave the same time and size."""
+"""Seconds after a change in which contents are compared as well as stamps: two writes within one
+tick of the file system's clock can leave the same time and size."""
 
 MIN_STABLE_FRACTION = 0.9
 """Fraction of the poll interval for which contents must stay unchanged to be accepted."""
@@ -33,7 +33,7 @@
 
 
 class FileStamp(NamedTuple):
-    """File metadata that shows whether a file has changed without reading it."""
+    """File metadata, which shows whether a file has changed without reading it."""
 
     modified_ns: int
     changed_ns: int
@@ -48,11 +48,11 @@
 
 
 class FilePlatform:
-    """Watches a directory; the operator increases `revision` with each change.
+    """Watches a directory of TOML files; operators increase `revision` with each change.
 
-    New contents are accepted when they are the same in two successive polls, so that a partly
-    written file or a partly replaced directory is not accepted. Contents that can't be read, or
-    whose revision was not increased, are rejected, and the last valid ones stay.
+    New contents are accepted when two successive polls find them unchanged, so that a partly
+    written file or a partly replaced directory is not accepted. Contents that are invalid, or whose
+    revision was not increased, are rejected, and the last valid ones stay in use.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         return cls(Path(settings.directory), settings.poll_s)
 
     def read(self, after: int, wait_s: float) -> Changes:
-        """Return the documents after a revision; see `Platform`."""
+        """Return a snapshot once the revision is later than `after`; see `Platform`."""
         deadline = self._clock() + wait_s
         while True:
             self._poll(self._clock())
@@ -162,9 +162,9 @@
             findings.add("revision", f"is still {revision} but {names} changed; raise it")
         if findings.errors or revision == self._revision:
             return
-        # If a revision was skipped, it may have changed a document and the next one changed it
-        # back, while other hosts saw both. All documents then count as changed, so that none has
-        # an older revision here than on the other hosts.
+        # If a revision was skipped, it may have changed a document that this one changed back, and
+        # other hosts may have read both. All documents then count as changed, so that none has an
+        # older revision here than on the other hosts.
         if revision == self._revision + 1:
             entries |= {key: accepted[key] for key in entries if key not in changed}
         self._entries = entries
--- a/cloverway/sources/http.py
+++ b/cloverway/sources/http.py
@@ -16,8 +16,8 @@
 from cloverway.sources.rate_limiter import RateLimiter
 
 MAX_CONFIGURATION_BYTES = 64 * 1024 * 1024
-"""Maximum size of a response with documents: several times all documents of the deployment planned
-for in two years."""
+"""Maximum size of a response with documents: several times that of all documents of the largest
+planned deployment."""
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 """Maximum size of the list of hosts and endpoints."""
@@ -26,25 +26,25 @@
 CONNECT_TIMEOUT_S = 2.0
 
 RESPONSE_TIMEOUT_S = 3.0
-"""Timeout of a response, in addition to the requested wait; the connection is then closed."""
+"""Timeout of each read of a response, in addition to the requested wait, in seconds."""
 
 BODY_TIMEOUT_S = 30.0
-"""Timeout of a complete response, in addition to the above, even if data keeps arriving."""
+"""Timeout of the complete response, in addition to the above, even if data keeps arriving."""
 
 MIN_READ_INTERVAL_S = 0.25
 MIN_LIST_INTERVAL_S = 0.5
-"""Minimum intervals between two calls: 216 readers make fewer than 1,300 calls/s in any case."""
+"""Minimum intervals between two calls, so that 216 readers make fewer than 1,300 calls/s."""
 
 
 class LimitedPool(NamedTuple):
-    """A connection with its rate limiter; the watch and the list don't wait for each other."""
+    """A pool of one connection with its rate limiter."""
 
     pool: urllib3.PoolManager
     limiter: RateLimiter
 
 
 class HttpPlatform:
-    """Reads the service over one connection for the watch and one for the list."""
+    """Reads the service over two connections, so that the watch does not delay the list."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         """Watch for documents after a revision; see `Platform`.
 
         A snapshot is read over a new connection. On a reused one, a late response to an earlier
-        call could be read instead; if that is a delta, all documents that it lacks would count as
+        call could be read instead. If it is a delta, all documents that it lacks would count as
         deleted.
         """
         if after == 0:
--- a/cloverway/sources/port.py
+++ b/cloverway/sources/port.py
@@ -1,4 +1,4 @@
-"""Interface to the platform: what hosts read from it; they write nothing to it."""
+"""Interface to the platform, from which hosts only read."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 
 
 class Platform(Protocol):
-    """Reads the platform; both methods block, and raise PlatformError if it can't be read."""
+    """Reads the platform. Both methods block, and raise PlatformError if it can't be read."""
 
     def read(self, after: int, wait_s: float) -> Changes:
-        """Return the documents after a revision; wait up to `wait_s` seconds until there are any.
+        """Return the documents after a revision; wait up to `wait_s` seconds for one.
 
-        Returns a snapshot if `after` is 0. If the revision returned is lower than `after`, the
+        Return a snapshot if `after` is 0. If the returned revision is lower than `after`, the
         platform is stale.
         """
         ...
--- a/cloverway/sources/rate_limiter.py
+++ b/cloverway/sources/rate_limiter.py
@@ -1,14 +1,14 @@
-"""Limit the rate of calls to the platform's service, which all hosts of the fleet share."""
+"""Limits the rate of calls to the platform's service, which all hosts share."""
 
 from __future__ import annotations
 
 import random
 
 MAX_DELAY_S = 2.0
-"""Maximum backoff delay, so that changes are read soon after the end of an outage."""
+"""Maximum backoff delay in seconds, so that changes are read soon after an outage."""
 
 MAX_RETRY_AFTER_S = 30.0
-"""Maximum delay that the service can request."""
+"""Maximum delay in seconds that the service can request by Retry-After."""
 
 MIN_JITTER = 0.5
 
@@ -16,8 +16,8 @@
 class RateLimiter:
     """Determines when the next call may start; times are monotonic seconds.
 
-    After a success, calls are at least an interval apart. Each consecutive failure doubles the
-    delay, with jitter, so that readers that lost the service together don't return together.
+    After a success, calls start at least one interval apart. Each consecutive failure doubles the
+    delay, with jitter, so that readers that lost the service together don't retry together.
     """
 
     def __init__(self, interval_s: float, rng: random.Random) -> None:
