--- a/cloverway/platform/__init__.py
+++ b/cloverway/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: translates its names, formats and calls; makes no decisions."""
+"""Adapter to the users' platform: translates its names, formats and calls; decides nothing."""
--- a/cloverway/platform/dialect.py
+++ b/cloverway/platform/dialect.py
@@ -25,13 +25,13 @@
 STATE_PATH = "/report"
 """Path at which an endpoint reports its state; this request doesn't occupy one of its slots."""
 DEFAULT_DEADLINE_S = 30.0
-"""Deadline of a request that doesn't set one; the timeouts of routes are shorter."""
+"""Deadline of a request that sets none, in seconds; the timeouts of routes are shorter."""
 OK = 200
 MISDIRECTED = 421
 UNAVAILABLE = 503
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""Statuses that callers understand as "the request did not run", whether a host or an endpoint
-sent them."""
+"""Statuses that callers take as "the request did not run", whether a host or an endpoint sent
+them."""
 MAX_PRIORITY = 9
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 PROBLEM_HEADER = (b"Content-Type", b"application/problem+json")
@@ -41,7 +41,7 @@
     """Encodes and decodes the platform's HTTP messages."""
 
     def decode_documents(self, documents: Iterable[Document]) -> list[Publication]:
-        """Decode published documents; malformed ones are returned marked as such."""
+        """Decode published documents; malformed ones become `...Unreadable` publications."""
         return decode_documents(documents)
 
     def decode_call(self, exchange: Exchange) -> Call:
@@ -99,7 +99,7 @@
         return headers
 
     def encode_peer_headers(self, call: Call, left_s: float) -> list[Header]:
-        """Return the headers of a request that is passed on to a host, in the callers' format."""
+        """Return the headers of a request that is forwarded to a host, in the callers' format."""
         headers = [*call.headers, (names.DEADLINE, _format_ms(left_s))]
         if call.last_event_id:
             headers.append((names.LAST_EVENT, call.last_event_id.encode("latin-1")))
@@ -143,7 +143,7 @@
 
 
 def _choose_status(error: RequestError) -> int:
-    """Return a status that is consistent with `error.ran`: some statuses promise "did not run"."""
+    """Return a status that fits `error.ran`, since callers take some statuses as "did not run"."""
     if error.ran is Ran.NO and error.status >= 500:
         return 503
     if error.ran is not Ran.NO and error.status in NOT_RUN_STATUSES:
@@ -205,7 +205,7 @@
 
 
 def _read_decimal(value: bytes | None, message: str) -> float | None:
-    """Return a plain decimal number, or None if it is missing or malformed; log the latter."""
+    """Return a decimal number, or None if it is missing, or malformed (which is logged)."""
     if value is None:
         return None
     if DECIMAL.fullmatch(value.strip()) is None:
--- a/cloverway/platform/documents.py
+++ b/cloverway/platform/documents.py
@@ -23,7 +23,7 @@
 
 
 def decode_documents(documents: Iterable[Document]) -> list[Publication]:
-    """Decode documents; malformed ones are returned marked as such, unknown keys are skipped."""
+    """Decode documents; malformed ones become `...Unreadable`, unknown keys are skipped."""
     decoded = (_decode_document(document) for document in documents)
     return [publication for publication in decoded if publication is not None]
 
--- a/cloverway/platform/entries.py
+++ b/cloverway/platform/entries.py
@@ -1,12 +1,12 @@
 """Decode the entries of endpoints and the operators' configuration, and validate each field.
 
 Any program may write to the store: a value may be truncated, malformed or malicious. msgspec
-decodes all values and checks types and ranges, and every failure becomes a DocumentError. With
-hand-written decoding, one deeply nested value or a `1e999` stopped the task that reads the store at
-each attempt, and the host received no further updates.
+decodes all values and checks types and ranges, and every failure becomes a DocumentError. Any other
+exception, such as from a deeply nested value or a `1e999`, would stop the task that reads the store
+at each attempt, and the host would receive no further updates.
 
 msgspec is used rather than pydantic, because loading pydantic models adds 80 ms of CPU time to the
-start of a host, and callers wait for that after a restart of all hosts.
+start of a host, and callers wait for that when all hosts restart.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 log = logging.getLogger(__name__)
 
 MAX_ENTRY_BYTES = 64 * 1024
-"""An entry has about 300 bytes, and more the more models it lists."""
+"""A typical entry has about 300 bytes, plus those of each listed model."""
 MAX_CONFIGURATION_BYTES = 8 * 1024 * 1024
 """A route has about 300 bytes, so that 25,000 routes fit."""
 ADDRESS = (
@@ -43,8 +43,8 @@
 """Unicast IPv4 address and port. With a port over 65,535, each connection to the endpoint would
 raise an exception; multicast, broadcast and unspecified addresses belong to no endpoint."""
 ENDPOINT_ID = re.compile(r"[!-~]{1,190}")
-"""Printable ASCII, because the id is sent in a header: any other byte would raise an exception with
-each request, or terminate the header early."""
+"""Printable ASCII, because the id is sent in a header: any other byte would raise an exception for
+each request, or end the header early."""
 DAY_MS = 86_400_000
 ROUTE_KINDS = {
     "idempotent": CallKind.IDEMPOTENT,
@@ -65,11 +65,11 @@
     address: Address
     domain: Name = field(name="zone")
     version: Annotated[str, Meta(max_length=200)]
-    """Version of its software; not used, but an entry without it is not an endpoint's."""
+    """Software version; not used, but required, since every endpoint writes it."""
     slots: Annotated[int, Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
     cold_ms: Milliseconds = field(name="coldRemainingMs")
-    """Time until it is warm, not the time since it started."""
+    """Time until it is warm, not time since its start."""
     sequence: Count
     removal_in_ms: Milliseconds | None = field(name="remainingMs", default=None)
     started_ms: Count | None = field(name="born", default=None)
@@ -106,7 +106,7 @@
     host: str = field(name="hostname")
     prefix: str
     kind: Literal["idempotent", "non_idempotent", "streaming"] = field(name="routeType")
-    """Whether a request may be repeated; unrelated to the matching of paths."""
+    """Whether a request may be repeated or is a stream; not related to the matching of paths."""
     timeout_ms: Milliseconds = field(name="timeoutMs")
     service: Name | None = None
     weighted_services: list[_WeightedServiceFields] | None = field(
@@ -151,7 +151,7 @@
     token_bytes: Annotated[float, Meta(ge=0)] | None = field(name="kvTokenBytes", default=None)
     link_mbps: Annotated[float, Meta(ge=0)] | None = field(name="linkMbps", default=None)
     tokens_per_event: Count | None = field(name="stride", default=None)
-    """Tokens in each event of a stream, not the distance between events."""
+    """Tokens in each event of a stream; despite the outer name, not a distance."""
 
     def make_shape(self) -> EngineShape:
         return EngineShape(
--- a/cloverway/platform/store.py
+++ b/cloverway/platform/store.py
@@ -24,18 +24,18 @@
 from cloverway.serving.ports import HistoryGoneError, StoreBusyError
 
 RESPONSE_TIMEOUT_S = 0.9
-"""Timeout of a response, in addition to the time that a watch waits. The store responds in
+"""Timeout of a response in seconds, in addition to the wait of a watch. The store responds within
 milliseconds, or sixty times as slowly when it is degraded."""
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 """Maximum size of a response. A page has about 1 MB, or a single value of up to this size. A host
 has some hundred MB of memory, and decoding takes several times the size of a response."""
 MAX_PAGES = 10_000
 UNREADABLE_CUTOFF = 40_000
-"""Documents in one read after which unreadable ones are dropped and then treated as absent. If a
-writer fills the store, all its keys would not fit into the memory of a host."""
+"""Number of documents in one read beyond which unreadable ones are dropped, and so treated as
+absent. If a writer fills the store, its keys would not fit into the memory of a host."""
 ALL_KEYS = ""
-"""Prefix of all keys: one watch covers the writes of operators and of endpoints, because each
-waiting watch has a cost."""
+"""Prefix of all keys: one watch covers the writes of operators and endpoints, because each watch
+uses resources of the store."""
 
 UNREADABLE = b""
 """Replaces a value that can't be decoded; no valid document is empty."""
@@ -75,10 +75,10 @@
     async def read_all(self) -> Snapshot:
         """Return all documents; raise PlatformError.
 
-        The pages don't form a consistent snapshot. The revision returned is that of the first
-        page, so that the watch that follows repeats all writes made while later pages were read.
-        All prefixes are read concurrently: a host needs them to become ready, and far from the
-        store each call takes a round trip of 160 ms.
+        The pages don't form a consistent snapshot. The returned revision is the lowest of all
+        pages, so that the following watch repeats all writes made while pages were read.
+        All prefixes are read concurrently, because a host needs them to become ready, and each call
+        to a store in a remote region takes a round trip of 160 ms.
         """
         snapshots = await asyncio.gather(*(self._read_prefix(prefix) for prefix in PREFIXES))
         documents = tuple(document for snapshot in snapshots for document in snapshot.documents)
@@ -91,7 +91,7 @@
         try:
             response = await self._call("/kv-watch", query, wait_s)
         except ResponseTooLargeError as error:
-            # Writers are faster than this reader; pages of all keys are bounded, and show the same.
+            # Writers are faster than this reader. Reading all keys in bounded pages works instead.
             raise HistoryGoneError("/kv-watch: too many changes") from error
         return Snapshot(max(after, response.at), _decode_items(response.events), False)
 
