--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -100,7 +100,7 @@
 
     @property
     def served_revision(self) -> int:
-        """The revision announced to peers; 0 until this host serves, so that they don't rely on it."""
+        """The revision announced to peers; 0 until this host serves, so that no peer fetches it."""
         return self._revisions.revision if self._is_serving else 0
 
     @property
