--- a/cloverway/commands/__init__.py
+++ b/cloverway/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of the command line, and what they share."""
+"""Implementation of the commands of the command line."""
--- a/cloverway/commands/admin.py
+++ b/cloverway/commands/admin.py
@@ -11,7 +11,7 @@
 
 
 def check_address(address: str) -> str:
-    """Return the address; raise UserError unless it is an IP number and a port."""
+    """Return the address; raise UserError unless it is an IP address and a port."""
     try:
         return schema.check_address(address)
     except ValueError as error:
@@ -19,7 +19,7 @@
 
 
 def query_json(address: str, path: str, method: str = "GET", document: Any = None) -> Any:
-    """Query a host and return its JSON answer; raise UserError if there is none."""
+    """Query a host and return its JSON answer, decoded; raise UserError if there is none."""
     body = json.dumps(document).encode() if document is not None else b""
     try:
         return json.loads(_query(address, Call(path, body, method=method)))
--- a/cloverway/commands/bench.py
+++ b/cloverway/commands/bench.py
@@ -1,4 +1,4 @@
-"""Load one or more targets and compare the latencies that their callers measure."""
+"""Generate load on one or more targets and compare the latencies that callers measure."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def bench(
     targets: Sequence[Target], plan: LoadPlan, seed: int, pids: Sequence[int]
 ) -> tuple[list[LoadStats], list[ProcessUsage]]:
-    """Run a load; return the measurements of each target and the resource use of processes."""
+    """Run a load; return the statistics of each target and the resource use of processes."""
     before = [read_usage(pid) for pid in pids]
     started_at = time.monotonic()
     stats = run_load(targets, plan, Random(seed))
@@ -96,7 +96,7 @@
 def as_document(
     targets: Sequence[Target], stats: Sequence[LoadStats], usage: Sequence[ProcessUsage]
 ) -> dict[str, Any]:
-    """Return the measurements for JSON output; times are milliseconds."""
+    """Return the statistics for JSON output; times are milliseconds."""
     return {
         "targets": {
             target.name: {
--- a/cloverway/commands/call.py
+++ b/cloverway/commands/call.py
@@ -33,7 +33,7 @@
     Kind.KEY_SPENT: "It is never run again with this key: find out whether it was, then decide.",
     Kind.KEY_INVALID: "Omit --idempotency-key and give --once.",
 }
-"""Advice for refusals that a later retry does not resolve."""
+"""Advice for errors that a later retry does not resolve."""
 
 
 class CallOptions(NamedTuple):
@@ -73,7 +73,7 @@
 
 
 def make_call(options: CallOptions) -> Call:
-    """Create the call; raise UserError if options are missing or contradict each other."""
+    """Create the call; raise UserError if options are missing or conflict."""
     if options.service:
         return _apply_options(
             Call.for_service(options.profile, options.service, options.path, _read_data(options)),
@@ -88,7 +88,7 @@
 
 
 def print_answer(answer: Answer, write: Callable[[str], Any]) -> None:
-    """Write the text of an answer piece by piece; raise CallError if it was truncated."""
+    """Write the text of an answer as it arrives; raise CallError if it was truncated."""
     if "/services/" in answer.path:
         write(answer.read().decode("utf-8", "replace"))
         return
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -29,7 +29,7 @@
 
 
 def check_directory(directory: Path, against: Path | None = None) -> Report:
-    """Validate a published directory, and compare it with an older one if that is given."""
+    """Validate a published directory, and compare it with an older one if one is given."""
     old = _load_reference(against)
     with collect_warnings() as warnings:
         try:
@@ -83,7 +83,7 @@
 
 @contextmanager
 def collect_warnings() -> Iterator[list[str]]:
-    """Collect the warnings of validation in a list, in place of logging them."""
+    """Collect the warnings of validation in a list instead of logging them."""
     texts: list[str] = []
     handler = _Collector(texts)
     logger = logging.getLogger("cloverway.config")
@@ -122,7 +122,7 @@
 
 
 def _find_mismatches(settings: Settings, published: Published | None) -> Iterator[str]:
-    """Yield the settings that differ from what callers and other hosts read of this host."""
+    """Yield the settings that differ from the host's published entry."""
     if published is None:
         return
     host = published.hosts.get(settings.host)
--- a/cloverway/commands/status.py
+++ b/cloverway/commands/status.py
@@ -45,7 +45,7 @@
 
 
 def query_all(addresses: Sequence[str]) -> list[HostStatus]:
-    """Query all addresses in parallel; a host that does not answer raises no exception."""
+    """Query all addresses in parallel; a host that does not answer has a `fault`."""
     with ThreadPoolExecutor(MAX_PARALLEL_QUERIES) as pool:
         return list(pool.map(_query, addresses))
 
@@ -56,7 +56,7 @@
 
 
 def find_problems(statuses: Sequence[HostStatus]) -> list[str]:
-    """Return what needs attention: silent, outdated or unready hosts, and a stale platform."""
+    """Return what needs attention: unreachable, outdated or unready hosts, or a stale platform."""
     unreachable = [status.address for status in statuses if status.fault]
     newest = max((status.document.get("revision", 0) for status in statuses), default=0)
     outdated = [
--- a/cloverway/commands/trace.py
+++ b/cloverway/commands/trace.py
@@ -14,7 +14,7 @@
 COMMON_FIELDS = frozenset(
     ("time", "level", "logger", "message", "host", "incarnation", "request_id")
 )
-"""Fields that have their own columns, or that don't explain the decision."""
+"""Fields that have their own columns, or don't explain a decision."""
 
 
 class LogLine(NamedTuple):
@@ -27,9 +27,9 @@
 
 
 def trace_request(request_id: str, sources: Sequence[TextIO]) -> list[LogLine]:
-    """Return the lines of a request from the logs of several hosts; raise UserError if none.
+    """Return the lines of a request from logs, ordered by time; raise UserError if none.
 
-    In place of the id of one attempt, `request_id` may be the digest that all repeats share.
+    `request_id` is the id of one attempt, or the digest that all repeats of a request share.
     """
     found = (line for source in sources for line in _read_lines(source, request_id))
     lines = sorted(found, key=lambda line: line.time)
--- a/cloverway/commands/watch.py
+++ b/cloverway/commands/watch.py
@@ -1,4 +1,4 @@
-"""Read a host's histograms and compute quantiles by class or tenant."""
+"""Read a host's histograms repeatedly and compute their quantiles."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HistogramRow(NamedTuple):
-    """Quantiles of one histogram over the time between two readings."""
+    """Count and quantiles of one histogram between two readings."""
 
     histogram: str
     labels: str
@@ -34,7 +34,7 @@
 def watch(
     address: str, count: int, interval_s: float, sleep: Callable[[float], None], by: str = ""
 ) -> Iterator[list[HistogramRow]]:
-    """Read /metrics a number of times and yield the rows of each reading."""
+    """Read /metrics `count` times and yield the rows of each reading."""
     for histograms in iterate_readings(_read_metrics(address, count, interval_s, sleep)):
         yield summarise(histograms, by)
 
@@ -62,7 +62,7 @@
 def subtract(
     later: Mapping[Series, Buckets], earlier: Mapping[Series, Buckets]
 ) -> dict[Series, Buckets]:
-    """Return the counts between two readings; a restarted host counts from zero."""
+    """Return the counts between two readings; after a restart, those since the restart."""
     return {
         series: _subtract_buckets(buckets, earlier.get(series, {}))
         for series, buckets in later.items()
@@ -104,7 +104,7 @@
 
 
 def iterate_readings(texts: Iterable[str]) -> Iterator[dict[Series, Buckets]]:
-    """Yield the histograms of each reading: the first since the start, others since the last."""
+    """Yield the histograms of each reading: first since the start, then since the last reading."""
     readings = (parse_histograms(text) for text in texts)
     first = next(readings, None)
     if first is None:
