--- a/cloverway/__main__.py
+++ b/cloverway/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of operators and callers: parses options and prints results of commands."""
+"""Command line for operators and callers: parses options and prints the results of commands."""
 
 from __future__ import annotations
 
--- a/cloverway/answers.py
+++ b/cloverway/answers.py
@@ -1,4 +1,4 @@
-"""Read answers in the callers' client: complete or reported as truncated, and error answers."""
+"""Answers as the callers' client reads them: truncation is detected, and errors are parsed."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
             yield self._read_event(self.read().decode("utf-8", "replace"))
             return
         is_done = False
-        # Read past the closing event: a stream without its last chunk is truncated as well.
+        # Read beyond the closing event: without the last chunk, the stream is truncated as well.
         for data in parse_events(iter(self)):
             is_done = is_done or data == END_OF_STREAM
             if not is_done:
@@ -98,7 +98,7 @@
     def _iterate_framed(self) -> Iterator[bytes]:
         chunked = "chunked" in self.headers.get("transfer-encoding", "")
         if not chunked and "content-length" not in self.headers:
-            # Without framing, a lost connection can't be told from the end of the answer.
+            # Without framing, a lost connection looks like the end of the answer.
             raise self._make_truncated_error(
                 "the answer has neither Content-Length nor chunked framing, so its end is unknown"
             )
@@ -137,7 +137,7 @@
 def read_problem(
     problem: Mapping[str, Any], status: int, headers: Mapping[str, str], key: str, host: str
 ) -> CallError:
-    """Convert problem+json to an exception; a missing or unreadable `ran` counts as unknown."""
+    """Convert problem+json to an exception; a missing or invalid `ran` counts as unknown."""
     kinds = {str(kind): kind for kind in Kind}
     outcomes = {str(ran): ran for ran in Ran}
     kind = kinds.get(str(problem.get("kind")), Kind.INTERNAL)
@@ -154,7 +154,7 @@
 
 
 def parse_events(pieces: Iterator[bytes]) -> Iterator[str]:
-    """Yield the data of each server-sent event; skip an event without its closing blank line."""
+    """Yield the data of each server-sent event; ignore a last one without its blank line."""
     buffer = b""
     for piece in pieces:
         buffer = (buffer + piece).replace(b"\r\n", b"\n")
--- a/cloverway/client.py
+++ b/cloverway/client.py
@@ -1,7 +1,7 @@
 """The callers' client: look up the entry hosts, call one, and detect truncated answers.
 
-Every call has a connection of its own. A pooled connection may be dead or already closed by the
-other end, and then the client can't know whether a request was sent.
+Each call uses a new connection. A pooled one may be dead or already closed by the host, and then
+the client can't know whether its request was received.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 CONNECT_TIMEOUT_S = 2.0
 LOOKUP_TIMEOUT_S = 3.0
 ANSWER_TIMEOUT_S = 600.0
-"""Maximum wait for the next byte of an answer to a call without a deadline."""
+"""Maximum wait in seconds for the next byte of an answer to a call without a deadline."""
 DEADLINE_GRACE_S = 2.0
-"""Time allowed for the host's final answer to arrive after the deadline of a call."""
+"""Seconds allowed for the host's answer to arrive after the deadline of a call."""
 MIN_WAIT_S = 0.1
 KEEPALIVE = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -37,7 +37,7 @@
 )
 """Keepalive probes that close a dead connection within 35 s, however long an answer takes."""
 NEXT_HOST_KINDS = (Kind.LEAVING, Kind.STARTING)
-"""Errors that concern one host only: the next host is tried at once."""
+"""Errors of one host only: the next host is tried at once."""
 RETRY_LATER_KINDS = (Kind.OVERLOADED, Kind.TEAM_LIMIT, Kind.NO_CAPACITY, Kind.ENDPOINT_REFUSED)
 """Temporary errors: the call is retried after Retry-After."""
 
@@ -200,7 +200,7 @@
                 Kind.INTERNAL, f"{path} is not JSON", ran=Ran.NO, host=address
             ) from error
         except CallError as error:
-            # A lookup runs nothing at an endpoint, so even if it fails, the call was not sent.
+            # This request runs nothing at an endpoint, and the call itself was not sent yet.
             raise CallError(
                 error.kind,
                 error.detail,
@@ -224,7 +224,7 @@
 def decide_wait(error: CallError, others: bool, now: float, give_up_at: float) -> float | None:
     """Return the seconds to wait before the next attempt, or None to give up.
 
-    `others` tells whether there is a host that was not tried yet.
+    `others` is whether there is a host that was not tried yet.
     """
     if error.ran is not Ran.NO:
         return None
--- a/cloverway/errors.py
+++ b/cloverway/errors.py
@@ -1,4 +1,4 @@
-"""Error kinds, the answer that each kind gives to a caller, and the exception hierarchy."""
+"""Error kinds, the answer that a caller gets for each kind, and the exception hierarchy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple, TypedDict
 
 DEFAULT_RETRY_AFTER_S = 1.0
-"""Seconds for Retry-After where no better time is known."""
+"""Retry-After in seconds if no better value is known."""
 
 
 class Ran(StrEnum):
@@ -21,12 +21,12 @@
 
 
 def combine_ran(first: Ran, second: Ran) -> Ran:
-    """Return the statement that is true of both attempts: yes over unknown over no."""
+    """Return the claim that covers two attempts: YES if either ran, else UNKNOWN over NO."""
     return max(first, second, key=RAN_ORDER.index)
 
 
 class Kind(StrEnum):
-    """All the ways in which a request can fail; the list is closed."""
+    """All ways in which a request can fail; callers can rely on the list being complete."""
 
     MALFORMED = "malformed"
     UNAUTHENTICATED = "unauthenticated"
@@ -161,9 +161,9 @@
         self.detail = detail
         self.ran = ran if ran is not None else ERROR_ANSWERS[kind].ran
         # Callers that get a refusal without Retry-After retry at once or never. The default is set
-        # here so that no code that raises the error can omit it. Where the outcome is unknown, the
-        # omission may be intended: an issuer that was replaced never learns more, so a later retry
-        # makes no difference.
+        # here, so that no code that raises the error can omit it. If the outcome is unknown, the
+        # omission may be intended: a replaced issuer of a key never learns the outcome, so that a
+        # later retry makes no difference.
         if retry_after is None and self.ran is Ran.NO and ERROR_ANSWERS[kind].has_retry_after:
             retry_after = DEFAULT_RETRY_AFTER_S
         self.retry_after = retry_after
@@ -192,7 +192,7 @@
 
 
 class EndpointLostError(RequestError):
-    """The connection to an endpoint broke while it ran a request, as in a crash of the endpoint."""
+    """The connection to an endpoint was lost while it ran a request, as when it crashes."""
 
 
 class CallError(RequestError):
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -1,7 +1,7 @@
 """Open-loop load generator for one or more targets, with latency histograms per target.
 
-Arrivals don't wait for answers, so a slow target does not reduce its own load. Arrivals go to the
-targets in turn, so that a disturbance affects all targets alike.
+Arrivals don't wait for answers, so a slow target does not reduce its own load. The targets get
+arrivals in turn, so that a disturbance of the machine affects all of them alike.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class LoadPlan(NamedTuple):
-    """The size of a load, limited in concurrency and in time."""
+    """The size and duration of a load."""
 
     streams: int
     """Concurrent streams on each target, if each takes the expected time."""
@@ -95,7 +95,7 @@
 
 
 def run_load(targets: Sequence[Target], plan: LoadPlan, random: Random) -> list[LoadStats]:
-    """Run a load to its end and return the measurements of each target."""
+    """Run a load to its end and return the statistics of each target."""
     return asyncio.run(_run_all(targets, plan, random))
 
 
--- a/cloverway/logs.py
+++ b/cloverway/logs.py
@@ -1,4 +1,4 @@
-"""Logging configuration: one JSON object a line on standard error."""
+"""Logging configuration: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ) -> None:
     """Log as JSON, with the host and its incarnation in each line.
 
-    Library loggers that would write addresses and paths of each call log only warnings and above.
+    Loggers of libraries that log the address and path of each call are set to warnings and above.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(make_formatter(host, incarnation))
