--- a/cloverway/tests/caller_harness.py
+++ b/cloverway/tests/caller_harness.py
@@ -1,4 +1,4 @@
-"""Test support for the server for callers: a published configuration, a fake gateway, callers."""
+"""Test support for the server for callers: a configuration, a fake gateway and callers."""
 
 from __future__ import annotations
 
@@ -202,7 +202,7 @@
 
 
 def read_until(sock: socket.socket, delimiter: bytes) -> bytes:
-    """Read until a mark arrives, or the peer closes."""
+    """Read until the delimiter arrives, or the peer closes."""
     text = b""
     while delimiter not in text and (piece := sock.recv(4096)):
         text += piece
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -101,7 +101,7 @@
 
 
 def test_admin_api_answers_while_all_caller_threads_are_busy(admin):
-    """All threads for callers wait for endpoints that don't answer.
+    """The admin API answers while all threads for callers wait for endpoints.
 
     With one thread pool for both, requests of operators would wait too, and health checks of the
     host would fail.
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -74,7 +74,7 @@
 def test_a_stream_cut_midway_never_looks_complete(harness, error):
     """The connection closes without the last chunk if the stream fails midway.
 
-    The endpoint sends some pieces and fails. If the last chunk were sent, the caller would treat a
+    The endpoint sends two events and fails. If the last chunk were sent, the caller would treat a
     truncated answer as complete.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"], error)
--- a/cloverway/tests/test_client.py
+++ b/cloverway/tests/test_client.py
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("ran", ["unknown", "yes", "", "nonsense"])
 def test_a_call_is_not_retried_unless_it_did_not_run(host: FakeHost, ran: str) -> None:
-    """The endpoint failed after the first byte had been sent, so the request may have run.
+    """The endpoint failed after the first byte was sent, so the request may have run.
 
     A second attempt could run an allocation twice. Only an explicit `ran: no` allows one; a
     missing or unreadable value counts as unknown.
@@ -196,7 +196,7 @@
 
 
 def test_call_is_retried_after_a_failed_key_lookup(host: FakeHost, other: FakeHost) -> None:
-    """The host crashes while it is asked for a key, so the call itself was not sent."""
+    """The host crashes during the request for a key, so the call itself was not sent."""
     name_hosts(host, other)
     other.answer_json(KEYS, {"keys": ["K2"], "lifetime_s": 60})
     other.answer(CHAT, make_stream("there"))
--- a/cloverway/tests/test_configuration.py
+++ b/cloverway/tests/test_configuration.py
@@ -73,8 +73,8 @@
 
 
 def test_peer_behind_the_oldest_tombstone_gets_a_snapshot() -> None:
-    """Tombstones are bounded: with a delta, a peer that was cut off for long would keep withdrawn
-    documents."""
+    """Tombstones are bounded: after a long partition, a peer that got only a delta would keep
+    withdrawn documents."""
     reader, peer = make_store(team("a", 3)), make_store(team("a", 3))
     reader._revisions.documents._max_tombstones = 2
     for revision in range(4, 8):
@@ -89,8 +89,8 @@
 def test_invalid_revision_is_rejected_as_a_unit_and_corrected_by_a_later_one() -> None:
     """An operator publishes a team without its region, then the region.
 
-    The valid change in the same revision must not come into force by itself. The team must not be
-    lost when the region is published, although the platform sends it only once.
+    The valid change in the first revision must not come into force by itself. When the region is
+    published, the team must come into force too, although the platform sent it only once.
     """
     store = make_store()
     batch = (team("a", 3, home="rodrigues"), region("port-louis", 3))
@@ -127,14 +127,14 @@
 
 
 def test_region_that_is_in_use_can_not_be_deleted() -> None:
-    """The delta has only the region, but the team becomes invalid."""
+    """The delta contains only the region, but a team that refers to it would become invalid."""
     store = make_store(team("a", 3))
     rejection = store.apply(Changes(4, 3, (deleted("regions/curepipe", 4),)), PLATFORM, 1.0)
     assert isinstance(rejection, Rejected) and "teams.a.home" in rejection.findings[0]
 
 
 def test_delta_with_a_gap_is_not_applied() -> None:
-    """A lost delta would never be fetched again once a later revision is in force."""
+    """A lost delta would never be fetched again if a later revision came into force."""
     store = make_store()
     assert store.apply(Changes(9, 8, (region("rodrigues", 9),)), PEER, 1.0) == Gap(2, 8)
     assert store.apply(Changes(9, 8, (region("rodrigues", 9),)), PLATFORM, 1.0) == Gap(2, 8)
@@ -161,9 +161,9 @@
 
 
 def test_restored_platform_that_reuses_revisions_is_rejected() -> None:
-    """The platform restarts with older data, and an operator publishes other content under
-    revisions that are already in force. The content that was accepted first stays until the other
-    one is published with a later revision."""
+    """The platform is restored from older data, and an operator publishes other content under
+    revisions that are already in force. The content that was accepted first stays in force until
+    the other one is published with a later revision."""
     store = make_store(region("rodrigues", 3, "first"))
     store.apply(Changes(2, 3, ()), PLATFORM, 1.0)
     other = Changes(3, 0, (*BASE, region("rodrigues", 3, "second")))
@@ -182,8 +182,8 @@
 
 
 def test_platform_restored_while_unreachable_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A domain that was cut off reads the platform after an hour. The platform has a higher
-    revision but was restored in the meantime: applying a delta would mix two histories."""
+    """A domain reads the platform after a partition of an hour. The platform has a higher revision
+    but was restored in the meantime: applying a delta would mix two histories."""
     monkeypatch.setattr(documents, "RECHECKED_CHANGES", 1)
     store = make_store(region("rodrigues", 3, "first"))
     mixed = Changes(4, 3, (team("a", 4),))
@@ -196,8 +196,8 @@
 
 
 def test_deletion_lost_by_a_restored_platform_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The latest change withdrew a team. The restored platform has the team again, with a revision
-    older than those that are read from it."""
+    """The latest change withdrew a team. The restored platform has the team again, under a revision
+    lower than those that are read from it."""
     monkeypatch.setattr(documents, "RECHECKED_CHANGES", 1)
     store = make_store(team("a", 3))
     store.apply(Changes(4, 3, (deleted("teams/a", 4),)), PLATFORM, 1.0)
@@ -209,8 +209,7 @@
 
 def test_platform_must_deliver_what_peers_delivered_already() -> None:
     """A host that reads a restored platform gets the lost revisions from a peer. The platform then
-    publishes others under the same numbers: a delta after the revision in force would appear to
-    fit."""
+    reuses these revisions: a delta after the revision in force would appear to fit."""
     store = make_store()
     store.apply(Changes(4, 2, (region("rodrigues", 3), team("a", 4))), PEER, 1.0)
     assert store.read_after == 2, "the last revision that the platform delivered"
@@ -221,7 +220,7 @@
 
 
 def test_platform_that_was_only_unreachable_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After an outage without a restoration, the next read has the latest document again."""
+    """After an outage without a restore, the next read returns the latest change again."""
     monkeypatch.setattr(documents, "RECHECKED_CHANGES", 1)
     store = make_store(region("rodrigues", 3))
     assert store.apply(Changes(3, 3, ()), PLATFORM, 3600.0) == Gap(2, 3)
@@ -232,8 +231,8 @@
 
 
 def test_first_accepted_content_stays_when_operators_race() -> None:
-    """Two operators publish revision 3 with different content, and two hosts received one each.
-    Neither accepts the other's; revision 4 makes both equal."""
+    """Two operators publish different content as revision 3, and each of two hosts accepted one.
+    Neither accepts the other one; revision 4 makes both equal."""
     left, right = make_store(region("rodrigues", 3, "left")), make_store(
         region("rodrigues", 3, "right")
     )
@@ -246,8 +245,8 @@
 
 
 def test_peer_with_another_history_is_rejected() -> None:
-    """A peer continued from another revision 3. Its delta alone fits, and only the digest shows the
-    difference; then a snapshot is fetched and rejected."""
+    """A peer has another revision 3 and a later one. Its delta fits by revision; only the digest
+    shows the difference. Then a snapshot is fetched and rejected."""
     left, right = make_store(region("rodrigues", 3, "left")), make_store(
         region("rodrigues", 3, "right")
     )
@@ -273,8 +272,8 @@
 
 
 def test_start_with_nothing_while_the_platform_is_stale() -> None:
-    """A new host reads a stale platform first, and hears from a peer later. It must not serve the
-    old configuration in the meantime, and ends up with the peer's."""
+    """A new host reads a stale platform first and hears from a peer later. It must not serve the
+    old configuration in the meantime, and then serves that of the peer."""
     peer = make_store(region("rodrigues", 3))
     store = make_store(serving=False)
     gate = ReadinessGate(0.0, timeout_s=3.0)
@@ -288,8 +287,8 @@
 
 
 def test_start_with_a_restored_platform_follows_the_peers() -> None:
-    """The restored platform has a higher revision of another history, which no host has in force. A
-    new host that accepted it would differ from all others."""
+    """The restored platform has a higher revision of a history that no host has in force. A new
+    host that accepted it would differ from all others."""
     peer = make_store(region("rodrigues", 3, "first"))
     other = Changes(4, 0, (*BASE, region("rodrigues", 3, "second"), team("a", 4)))
     store = ConfigurationStore()
@@ -343,7 +342,7 @@
 
 
 def test_table_of_a_later_release_is_forwarded() -> None:
-    """During an upgrade, hosts with the old release forward documents of unknown tables."""
+    """During an upgrade, hosts with the old release send on documents of tables unknown to them."""
     store = make_store()
     change = Changes(3, 2, (Document("adapters/legal", 3, {"rank": 8}),))
     accepted = store.apply(change, PLATFORM, 1.0)
--- a/cloverway/tests/test_configuration_machine.py
+++ b/cloverway/tests/test_configuration_machine.py
@@ -1,5 +1,5 @@
-"""Random runs of several configuration stores with a platform that is stale, restored or written
-concurrently."""
+"""Random runs of several configuration stores, with a platform that may be stale or restored from
+older data, and messages that are late, repeated or out of order."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FakePlatform:
-    """Keeps a log of revisions; may serve an old one, or lose the latest and reuse them."""
+    """Keeps a log of revisions; may serve an old one, or lose the latest ones and reuse them."""
 
     def __init__(self) -> None:
         self.log: list[Document] = []
@@ -66,7 +66,7 @@
             valid = True
         except ConfigurationError:
             valid = False
-        # The store checks only the changes and the loader checks everything; both must agree.
+        # The store checks only changes, and the loader checks all documents; both must agree.
         assert (store.revision == self.revision) == valid
         self.published_sets[self.revision, digest_of(self.answer(0))] = valid
         self.served = served
@@ -104,7 +104,7 @@
             self.read_platform(i)
             self.stores[i].start_serving()
 
-    # Operators. Most of what they publish is valid, so that runs make progress.
+    # Operators: most of what they publish is valid, so that the stores make progress.
 
     @rule(name=st.sampled_from(REGIONS), then=st.integers(0, 2), readers=readers)
     def publish_region(self, name: str, then: int, readers: set[int]) -> None:
--- a/cloverway/tests/test_demo.py
+++ b/cloverway/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo reports answers that are not as expected; its processes are not started here."""
+"""The demo reports unexpected answers; its processes are not started here."""
 
 from __future__ import annotations
 
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_directory.py
@@ -64,7 +64,7 @@
 
 
 def test_hosts_of_other_domains_are_listed_while_summaries_of_their_domain_arrive():
-    """Hosts of other domains need no heartbeats of their own; a partitioned domain is omitted."""
+    """Hosts of other domains are listed without heartbeats; a partitioned domain is omitted."""
     never = {"heard_at": float("-inf")}
     view = make_view(**{"pl-1-b": never, "pl-2-a": never, "cu-1-a": never})
     assert list_names(view) == ["pl-1-a", "pl-1-c"]
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -143,7 +143,7 @@
     ],
 )
 def test_incomplete_answers_are_errors(answer: bytes) -> None:
-    """The caller gets an error with an unknown outcome, never a part of an answer.
+    """The caller gets an error with an unknown outcome, never an incomplete answer.
 
     The endpoint reads the request, sends an incomplete answer and closes; it may have run.
     """
@@ -244,7 +244,8 @@
 def test_slow_answer_is_aborted_at_its_deadline(client: EndpointClient, head: bytes) -> None:
     """The request fails at its deadline although bytes keep arriving.
 
-    Each byte arrives within any timeout of a single read, so only a deadline for all reads helps.
+    Each byte arrives within the timeout of a single read, so that only a deadline for all reads
+    ends the request.
     """
 
     def drip(connection: EndpointSideConnection) -> None:
--- a/cloverway/tests/test_errors.py
+++ b/cloverway/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each kind of error gives the answer that the table defines for it."""
+"""Each kind of error has an answer, with Retry-After where the table requires it."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 def test_refusal_has_retry_after_where_its_kind_requires_it(kind):
     """Guards against refusals without Retry-After.
 
-    The code that found the port of an endpoint closed raised the error without a time, so the
-    caller got a 503 without Retry-After. The error itself now has a default.
+    Code that raises the error without a time, such as for a closed port of an endpoint, would give
+    the caller a 503 without Retry-After. The error therefore has a default.
     """
     error = RequestError(kind, ran=Ran.NO)
     assert (error.retry_after is not None) is ERROR_ANSWERS[kind].has_retry_after
--- a/cloverway/tests/test_examples.py
+++ b/cloverway/tests/test_examples.py
@@ -41,7 +41,7 @@
 
 
 def test_every_region_can_serve_every_profile_by_itself(published: Published) -> None:
-    """A region that is cut off must still serve its callers, so it needs each model and service."""
+    """A partitioned region must still serve its callers, so it needs each model and service."""
     for region in published.regions:
         served = {
             target
--- a/cloverway/tests/test_file_platform.py
+++ b/cloverway/tests/test_file_platform.py
@@ -66,8 +66,8 @@
 def test_partly_written_file_is_not_accepted(
     tmp_path: Path, platform: FilePlatform, clock: Clock
 ) -> None:
-    """An editor writes the new revision first and the rest half a second later. The first part is
-    valid TOML without the teams; accepting it would withdraw all of them."""
+    """An editor writes the start of a file first and the rest half a second later. The first part
+    is valid TOML without the teams; if it were accepted, all teams would be withdrawn."""
     base = tmp_path / "base.toml"
     base.write_text(BASE.format(5) + '[teams.a]\nhome = "curepipe"\n')
     platform.read(0, 2.0)
@@ -80,8 +80,8 @@
 def test_two_polls_at_the_same_time_count_as_one(
     tmp_path: Path, platform: FilePlatform, clock: Clock
 ) -> None:
-    """One call ends with a poll and the next starts with one. Both find the same contents in a file
-    that is partly written at that time."""
+    """One call ends with a poll and the next one starts with a poll. Both find the same contents,
+    even if the file is only partly written at that time."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(6))
     for _ in range(3):
@@ -104,7 +104,7 @@
 def test_change_without_a_higher_revision_is_rejected(
     tmp_path: Path, platform: FilePlatform
 ) -> None:
-    """Hosts that read the old content under this revision would keep it, and others would not."""
+    """Hosts that have the old content under this revision would keep it, and others would not."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(5) + 'title = "new"\n')
     with pytest.raises(PlatformError, match=r"still 5 but regions/curepipe changed; raise it"):
@@ -128,15 +128,15 @@
 def test_all_documents_are_new_after_a_skipped_revision(
     tmp_path: Path, platform: FilePlatform
 ) -> None:
-    """Another host read revision 6, which changed a region that revision 7 changed back. The region
-    is unchanged here, but must not have a revision older than on the other host."""
+    """Another host has read revision 6, which changed a region, and revision 7 changed it back. The
+    region is unchanged here, but must not have a lower revision than on the other host."""
     platform.read(0, 2.0)
     (tmp_path / "base.toml").write_text(BASE.format(7))
     assert {d.revision for d in platform.read(5, 2.0).documents} == {7}
 
 
 def test_directory_replaced_with_a_symbolic_link(tmp_path: Path, clock: Clock) -> None:
-    """Operators who publish from version control replace a link to the directory."""
+    """Operators may publish by replacing a symbolic link to the directory."""
     for revision in (1, 2):
         (tmp_path / str(revision)).mkdir()
         (tmp_path / str(revision) / "base.toml").write_text(BASE.format(revision))
--- a/cloverway/tests/test_http_platform.py
+++ b/cloverway/tests/test_http_platform.py
@@ -38,7 +38,7 @@
 
 
 def test_watch_ends_with_the_change(service: Platform, platform: HttpPlatform) -> None:
-    """A change during a call must end the wait of the call."""
+    """A change during a call ends the wait of the call."""
     publisher = threading.Timer(0.05, service.publish, ("regions/b", {}))
     publisher.start()
     changes = platform.read(2, 30.0)
@@ -56,7 +56,7 @@
 def test_silent_connection_is_closed(
     service: Platform, platform: HttpPlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection becomes silent; the next read uses a new one."""
+    """A connection on which the service falls silent is closed; the next read uses a new one."""
     monkeypatch.setattr(http, "RESPONSE_TIMEOUT_S", 0.1)
     service.faults.silent = True
     with pytest.raises(PlatformError, match="can't be read"):
@@ -72,7 +72,7 @@
 
 
 def test_late_response_is_not_read_as_a_snapshot(service: Platform, platform: HttpPlatform) -> None:
-    """A response is sent twice on one connection. The next read of a snapshot must not get the
+    """A response is sent twice on one connection. The next read, of a snapshot, must not get the
     second copy, which is a delta: all documents that it lacks would be withdrawn."""
     service.publish("regions/b", {})
     service.faults.duplicate = True
@@ -127,8 +127,8 @@
 
 
 def test_rate_limiter_spreads_readers_after_an_outage() -> None:
-    """216 readers lose the service at the same time. They must not return at the same time, nor
-    later than a change may take."""
+    """216 readers lose the service at the same time. They must not retry at the same time, nor wait
+    longer than MAX_DELAY_S."""
     delays = []
     for seed in range(216):
         limiter = RateLimiter(0.25, random.Random(seed))
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Failures between callers and the listener, over real sockets."""
+"""Slow, malformed and disconnecting callers at the listener, over real sockets."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 def test_a_slow_body_is_rejected_after_one_timeout_for_all_of_it(harness, head):
     """A caller that sends its body byte by byte is rejected as too slow.
 
-    Each byte arrives long before the timeout of a single read. If only single reads had a timeout,
+    Each byte arrives well within the timeout of a single read. If only single reads had a timeout,
     four such callers could occupy all four threads for hours.
     """
     with harness.connect() as sock:
@@ -102,7 +102,7 @@
 
 
 def test_a_slow_head_is_rejected(harness):
-    """The same for a caller that never ends its headers."""
+    """A caller that sends headers without end is rejected as too slow."""
     with harness.connect() as sock:
         sock.sendall(HEAD.encode())
         stop_event, thread = trickle(sock, b"X: y\r\n")
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_the_caller_can_read_the_rejection_of_a_large_body(harness, chunked):
-    """A caller sends all of a body that is too large before it reads the answer.
+    """A caller sends a body that is too large, and reads the answer only afterwards.
 
     The gateway answers and closes while bytes still arrive. If it did not read them, the
     connection would be reset, and the caller's system could drop the answer.
@@ -255,10 +255,10 @@
 
 
 def test_idle_connections_are_limited_and_lock_nobody_out():
-    """Far more connections are opened than the limit allows, and none sends a request.
+    """Many more connections are opened than the limit allows, and none sends a request.
 
-    The oldest ones are closed. If new ones were rejected instead, whoever opens connections first
-    could lock out all callers.
+    The oldest ones are closed. If new ones were rejected instead, a client that opens connections
+    first could lock out all callers.
     """
     with (
         CallerServerHarness(listener_limits=LIMITS._replace(idle_timeout_s=30)) as harness,
@@ -292,8 +292,8 @@
 def test_a_disconnect_during_a_stream_closes_the_stream(harness):
     """A caller closes its connection after the first piece of a stream.
 
-    Its thread must be released and the stream closed, which cancels the work of the endpoint.
-    Otherwise callers that disconnect would exhaust both.
+    Its thread is released, and the stream is closed, which cancels the work of the endpoint.
+    Otherwise callers that disconnect would exhaust threads and endpoints.
     """
     stream = FakeStream([b"data: 1\n\n"] + [b"x" * 60_000] * 400)
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
@@ -335,10 +335,10 @@
 
 
 def test_a_disconnect_of_a_waiting_caller_is_detected():
-    """A caller closes while its request waits for an endpoint, and no thread reads its socket.
+    """A caller closes while its request waits for an endpoint and no thread reads its socket.
 
-    If its request stayed in the queue until the deadline, callers that time out and retry would
-    fill the queue with requests that nobody waits for.
+    If the request stayed in the queue until its deadline, callers that time out and retry would
+    fill the queue with abandoned requests.
     """
     with make_harness() as harness:
         harness.gateway.resume.clear()
--- a/cloverway/tests/test_load.py
+++ b/cloverway/tests/test_load.py
@@ -13,7 +13,7 @@
 PLAN = LoadPlan(streams=8, seconds=0.4, tokens=4, token_s=0.01, timeout_s=5.0, model="m")
 
 FINAL_EVENTS = 1
-"""Events of the stand-in without text: the last one, which holds the finish reason."""
+"""Events of the stand-in without text: one, which holds the finish reason."""
 
 
 def test_arrivals_keep_the_rate_and_alternate_between_targets() -> None:
@@ -26,7 +26,7 @@
 def test_complete_and_truncated_streams_are_distinguished() -> None:
     """One of two engines truncates its streams after the second token.
 
-    A load generator that counts only what arrives would report both as served, and the truncating
+    A load generator that counted only what arrives would report both as served, and the truncating
     engine as the faster one.
     """
     engines = [Engine(models=("m",), timing=Timing(token_s=0.002)) for _ in range(2)]
--- a/cloverway/tests/test_logs.py
+++ b/cloverway/tests/test_logs.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def lines():
-    """All lines that any logger writes, at every level."""
+    """Return a function that lists all lines of all loggers, at every level."""
     text = io.StringIO()
     handler = logging.StreamHandler(text)
     handler.setFormatter(make_formatter("pl-1-a", "i-1"))
@@ -41,7 +41,7 @@
 
 
 def test_no_body_and_no_key_is_ever_logged(lines):
-    """Guards against patients' data and keys in logs, which have other residency rules.
+    """Guards against personal data and keys in logs, which have other residency rules.
 
     Requests end in every way: answered, refused before the gateway, truncated, and failed by an
     error in the gateway itself.
@@ -62,7 +62,7 @@
             try:
                 harness.call("POST", "/v1/chat/completions", body, headers)
             except Exception:
-                logging.getLogger(__name__).debug("cut, as it should be")
+                logging.getLogger(__name__).debug("the answer was truncated, as expected")
         harness.call("POST", "/v1/chat/completions", body + "}", headers)
         harness.call(
             "POST", "/v1/chat/completions", body, {**headers, "Authorization": "Bearer no"}
--- a/cloverway/tests/test_main.py
+++ b/cloverway/tests/test_main.py
@@ -168,7 +168,7 @@
 
 
 def test_status_of_several_hosts_names_what_needs_attention(host: FakeHost) -> None:
-    """One host is outdated and one is gone: the command names both and exits with code 1."""
+    """One host is outdated and one is unreachable: the command names both and exits with 1."""
     with FakeHost() as gone:
         pass
     with FakeHost() as newer:
@@ -254,7 +254,7 @@
 
 
 def test_call_reports_a_truncated_answer_by_its_exit_code(host: FakeHost) -> None:
-    """The part of the text that arrived is printed, then an error; the exit code is 3."""
+    """The text that arrived is printed, then an error; the exit code is 3."""
     host.answer(CHAT, make_stream("Yes, ", done=False))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
--- a/cloverway/tests/test_platform_entries.py
+++ b/cloverway/tests/test_platform_entries.py
@@ -79,9 +79,10 @@
     ],
 )
 def test_malformed_bytes_are_an_unreadable_entry(value):
-    """Such a value, left by another writer, raised in the task that reads the store.
+    """No value in the store raises an exception in the task that reads it.
 
-    The task restarted and failed at the same entry, so that hosts received no further updates.
+    Otherwise the task would restart and fail at the same entry, and the host would receive no
+    further updates.
     """
     assert is_unreadable(value)
 
@@ -89,9 +90,10 @@
 @pytest.mark.parametrize("name", list(ENTRY))
 @pytest.mark.parametrize("value", [None, [], {}, True, "", "x", 1.5, -1])
 def test_entry_with_a_missing_or_mistyped_field_is_unreadable(name, value):
-    """A dict as the service raised in the grouping by service; other fields were not checked.
+    """Each field is checked before the entry is used.
 
-    Requests were sent to invalid addresses, or to endpoints with an unknown state.
+    Otherwise a dict as the service would raise an exception when endpoints are grouped by service,
+    and requests would be sent to invalid addresses, or to endpoints with an unknown state.
     """
     assert is_unreadable(without(name))
     allowed = {"service": ("x",), "zone": ("x",), "version": ("", "x"), "coldRemainingMs": (1.5,)}
@@ -107,7 +109,7 @@
     ],
 )
 def test_entry_with_an_invalid_address_is_unreadable(address):
-    """With a port over 65,535, opening a connection raised for each request to the endpoint."""
+    """A port over 65,535 would raise an exception for each connection to the endpoint."""
     assert is_unreadable(encode(address=address))
 
 
@@ -125,7 +127,7 @@
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nX-Evil: 1", "é", "☃", "a" * 200])
 def test_entry_with_an_id_that_cannot_be_sent_in_a_header_is_unreadable(name):
-    """The id is sent in a header of each request: it would raise there, or terminate the header."""
+    """The id is sent in a header: it would raise an exception there, or end the header early."""
     assert is_unreadable(encode(), name)
 
 
@@ -191,7 +193,8 @@
 def test_an_entry_that_becomes_malformed_is_reported_once_until_the_next_valid_one():
     """Another writer overwrites the entry ten times a second, and the endpoint writes it again.
 
-    Treated as a removal, the endpoint was used for two more seconds and then forgotten.
+    If this were treated as a removal, the endpoint would be used for two more seconds and then
+    forgotten.
     """
     table, directory = make_directory()
     endpoint = directory.endpoints["e1"]
@@ -212,7 +215,10 @@
 
 
 def test_a_follower_learns_which_entries_became_malformed():
-    """It gets documents from a host that reads the store, and would keep using the endpoint."""
+    """A follower gets documents from a host that reads the store.
+
+    Without this, it would keep using an endpoint whose entry became malformed.
+    """
     reader, directory = make_directory()
     follower = DocumentTable(decode_documents)
     follower.apply(reader.export_since(-1))
@@ -225,8 +231,7 @@
 
 
 def test_a_malformed_configuration_never_replaces_a_valid_one():
-    """A host that starts later requests the configuration from this one, and must get the valid
-    one."""
+    """A host that starts later gets the valid configuration from this host."""
     table = DocumentTable(decode_documents)
     valid = json.dumps({"version": 3, "routes": [], "services": []}).encode()
     table.apply(Snapshot(1, (Document("op/config", 1, valid),), True))
@@ -248,7 +253,7 @@
 
 
 def test_an_item_whose_value_is_not_base64_leaves_the_others_in_force():
-    """One such item made each response of the store fail."""
+    """One item without valid base64 must not make the complete response fail."""
     valid = {"key": "servers/a", "revision": 2, "value": base64.b64encode(encode()).decode()}
     malformed = [
         {"key": "servers/b", "revision": 3, "value": "***"},
@@ -262,7 +267,7 @@
 
 
 def test_documents_of_other_writers_use_bounded_memory():
-    """A writer leaves more keys than fit into memory; endpoints that are known stay in use."""
+    """A writer adds more keys than fit into memory; known endpoints stay in use."""
     table, directory = make_directory()
     garbage = tuple(Document(f"servers/j{n}", 2, b"x" * 9_000) for n in range(2 * MAX_UNREADABLE))
     directory.apply(table.apply(Snapshot(2, garbage, False)), 1.0)
@@ -276,7 +281,7 @@
 
 
 def test_a_read_of_a_full_store_keeps_the_valid_entries(monkeypatch):
-    """With a million keys of another writer in memory, the operating system killed the host."""
+    """Memory stays bounded: a million keys of another writer would get the host killed."""
     monkeypatch.setattr(store, "UNREADABLE_CUTOFF", 500)
     kept = []
     for number in range(100):
@@ -305,5 +310,5 @@
     ],
 )
 def test_start_time_in_a_state_report_is_an_integer_or_none(body, started_ms):
-    """Any program may listen at an address, and respond to the state query with any bytes."""
+    """Any program may listen at an endpoint's address and answer the state query with any bytes."""
     assert decode_start_time(body) == started_ms
--- a/cloverway/tests/test_platform_names.py
+++ b/cloverway/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Names of the platform's protocol appear only in the adapter, which translates only."""
+"""Names of the platform's protocol appear only in the adapter, which stays small."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
 def test_no_log_field_has_a_name_reserved_by_log_records():
     """A log field with a reserved name raises an exception in the task that logs it.
 
-    This stopped heartbeats whenever a host was heard from for the first time or became silent.
+    In the task that sends heartbeats, it would stop them when a host is first heard from or becomes
+    silent.
     """
     reserved = {"name", "msg", "args", "module", "message", "filename", "lineno", "process"}
     calls = re.compile(r"\blog_event\((.*?)\n?\s*\)", re.DOTALL)
--- a/cloverway/tests/test_published.py
+++ b/cloverway/tests/test_published.py
@@ -70,7 +70,7 @@
 def test_unknown_name_is_compared_with_the_names_of_its_table(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """`slot` resembles a field of endpoints, but no field of teams."""
+    """A suggestion comes from the same table: `slot` is close to a field of endpoints only."""
     team = {"home": "curepipe", "slot": 3, "profile": []}
     Published.from_documents(VALID | {"teams": {"t": team}}, "here")
     assert caplog.messages == [
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -137,7 +137,7 @@
 
 
 def test_a_stalled_caller_does_not_count_as_a_silent_endpoint() -> None:
-    """The time of a stalled caller does not count as silence of the endpoint.
+    """The time during which the caller is stalled does not count as silence of the endpoint.
 
     The endpoint is not read while bytes wait for the caller. Its silence is measured from the
     moment when the caller has accepted them.
@@ -193,8 +193,8 @@
     """Streams are not aborted as silent under load while their tokens arrive in time.
 
     Serving the streams of one poll takes longer than the inter-token timeout, because workers hold
-    the GIL. With the start of the batch as the time of each read, a stream that is read late in
-    the batch would look silent for as long as the batch took.
+    the GIL. If the start of the batch were the time of each read, a stream that is read late in
+    the batch would look silent for the duration of the batch.
     """
     now = [100.0]
     slow, slow_peer = socket.socketpair()
--- a/cloverway/tests/test_table_checks.py
+++ b/cloverway/tests/test_table_checks.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("wait_s", [float("nan"), float("inf"), True, "1", None, [1]])
 def test_an_invalid_number_is_rejected(wait_s):
-    """TOML allows nan and inf: if accepted, a draining host would wait for ever, or not at all."""
+    """TOML allows nan and inf, with which a draining host would wait forever or not at all."""
     assert check(VALID | {"wait_s": wait_s})[0] is None
 
 
--- a/cloverway/tests/test_updates.py
+++ b/cloverway/tests/test_updates.py
@@ -61,8 +61,7 @@
 
 @pytest.mark.parametrize(("kind", "expected"), [("file", 0.25), ("http", 7.0)])
 def test_read_wait_depends_on_the_kind_of_platform(kind, expected):
-    """With the poll interval of a directory as the wait of a call, the platform's service got at
-    least twice the calls needed, from the readers of all regions; the deployment planned for in two
-    years has 216 of them."""
+    """With the poll interval of a directory as the wait of a call, the platform's service would get
+    at least twice the calls needed. The largest planned deployment has 216 readers."""
     platform = PlatformSettings(kind=kind, poll_s=0.25, watch_s=7.0)
     assert asyncio.run(get_read_wait(platform)) == expected
