--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -24,7 +24,7 @@
 from cloverway.entry.authentication import Caller, KeyIndexCache, authenticate, choose_deadline_s
 from cloverway.entry.caller_connection import EarlyRejection
 from cloverway.entry.departures import DisconnectWatcher
-from cloverway.entry.directory import HostList, MaxAges, list_hosts
+from cloverway.entry.host_list import HostList, MaxAges, list_hosts
 from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.membership.view import ViewHolder
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -14,7 +14,7 @@
 from cloverway.config.settings import Settings
 from cloverway.entry import bodies
 from cloverway.entry.application import Call, Responder, make_json_reply, require_method
-from cloverway.entry.directory import HostList
+from cloverway.entry.host_list import HostList
 from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, RequestError
 from cloverway.membership.view import View, ViewHolder
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverway.entry.directory import HostList
+from cloverway.entry.host_list import HostList
 from cloverway.membership.view import EndpointState, HostState, Summary, ViewHolder
 from cloverway.operations.admin import AdminServer, Operations
 from cloverway.tests.caller_harness import (
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_host_list.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
 from cloverway.config.published import Published
-from cloverway.entry.directory import MAX_HOSTS, MaxAges, list_hosts
+from cloverway.entry.host_list import MAX_HOSTS, MaxAges, list_hosts
 from cloverway.membership.view import HostState, Summary, View
 from cloverway.tests.caller_harness import DOCUMENTS
 
