--- a/cloverway/answers.py
+++ b/cloverway/answers.py
@@ -79,14 +79,14 @@
         Raises CallError if a stream ends without its closing event.
         """
         if not self.is_stream:
-            yield self._read_event(self.read().decode("utf-8", "replace"))
+            yield self._extract_event_text(self.read().decode("utf-8", "replace"))
             return
         is_done = False
         # Read beyond the closing event: without the last chunk, the stream is truncated as well.
         for data in parse_events(iter(self)):
             is_done = is_done or data == END_OF_STREAM
             if not is_done:
-                yield self._read_event(data)
+                yield self._extract_event_text(data)
         if not is_done:
             raise self._make_truncated_error("the stream ended without its closing event")
 
@@ -107,14 +107,14 @@
         else:
             yield from self._response.stream(64 * 1024)
 
-    def _read_event(self, data: str) -> str:
+    def _extract_event_text(self, data: str) -> str:
         try:
             event = json.loads(data)
         except ValueError as error:
             raise self._make_truncated_error("the answer is not JSON") from error
         problem = event.get("error") if isinstance(event, dict) else None
         if isinstance(problem, dict):
-            raise read_problem(problem, 0, self.headers, self.key, self.host)
+            raise parse_problem(problem, 0, self.headers, self.key, self.host)
         return extract_text(event)
 
     def _make_truncated_error(self, detail: str) -> CallError:
@@ -131,10 +131,10 @@
         problem = {}
     if not isinstance(problem, dict):
         problem = {}
-    return read_problem(problem, answer.status, answer.headers, answer.key, answer.host)
+    return parse_problem(problem, answer.status, answer.headers, answer.key, answer.host)
 
 
-def read_problem(
+def parse_problem(
     problem: Mapping[str, Any], status: int, headers: Mapping[str, str], key: str, host: str
 ) -> CallError:
     """Convert problem+json to an exception; a missing or invalid `ran` counts as unknown."""
@@ -146,7 +146,7 @@
         kind,
         str(detail),
         ran=outcomes.get(str(problem.get("ran")), Ran.UNKNOWN),
-        retry_after=_read_seconds(problem.get("retry_after_s", headers.get("retry-after"))),
+        retry_after=_parse_seconds(problem.get("retry_after_s", headers.get("retry-after"))),
         key=key,
         request_id=str(problem.get("request_id", headers.get(REQUEST_ID, ""))),
         host=host,
@@ -184,7 +184,7 @@
     return f"{connection.host}:{connection.port}"
 
 
-def _read_seconds(value: Any) -> float | None:
+def _parse_seconds(value: Any) -> float | None:
     try:
         return max(0.0, float(value))
     except (TypeError, ValueError):
--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -85,7 +85,7 @@
 def collect_warnings() -> Iterator[list[str]]:
     """Collect the warnings of validation in a list instead of logging them."""
     texts: list[str] = []
-    handler = _Collector(texts)
+    handler = _WarningCollector(texts)
     logger = logging.getLogger("cloverway.config")
     propagate = logger.propagate
     logger.addHandler(handler)
@@ -97,7 +97,7 @@
         logger.propagate = propagate
 
 
-class _Collector(logging.Handler):
+class _WarningCollector(logging.Handler):
     def __init__(self, texts: list[str]) -> None:
         super().__init__(logging.WARNING)
         self._texts = texts
--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -244,30 +244,32 @@
 
     def __init__(self, started_at: float, timeout_s: float = 3.0) -> None:
         self._deadline = started_at + timeout_s
-        self._peers: dict[str, int] = {}
+        self._peer_revisions: dict[str, int] = {}
         self._last_heard_at: dict[str, float] = {}
         self._newly_heard: set[str] = set()
-        self._platform: int | None = None
+        self._platform_revision: int | None = None
 
     def record_platform(self, revision: int) -> None:
         """Record the revision of a response of the platform."""
-        self._platform = revision
+        self._platform_revision = revision
 
     def record_peer(self, host: str, revision: int) -> None:
         """Record the revision that a peer has in force; 0 for a peer that is starting too."""
-        self._peers[host] = max(revision, self._peers.get(host, 0))
+        self._peer_revisions[host] = max(revision, self._peer_revisions.get(host, 0))
         self._newly_heard.add(host)
 
-    def check(self, current: int, expected: Iterable[str], now: float) -> Readiness:
-        """Return the readiness, given the revision in force here and the expected peers."""
+    def check(self, own_revision: int, expected_peers: Iterable[str], now: float) -> Readiness:
+        """Return the readiness, given the own revision and the peers that are expected to respond."""
         self._drop_silent_peers(now)
-        if current < 1:
+        if own_revision < 1:
             return Readiness(False, "no configuration was accepted yet")
-        highest = max(self._peers.values(), default=0)
-        if current < highest:
+        highest = max(self._peer_revisions.values(), default=0)
+        if own_revision < highest:
             return Readiness(False, "a peer has a later configuration")
-        all_responded = self._platform is not None and set(expected) <= set(self._peers)
-        if all_responded and current >= (self._platform or 0):
+        all_responded = self._platform_revision is not None and set(expected_peers) <= set(
+            self._peer_revisions
+        )
+        if all_responded and own_revision >= (self._platform_revision or 0):
             return Readiness(True, "the platform and all peers responded", confirmed=True)
         if now < self._deadline:
             return Readiness(False, "waiting for the platform and peers")
@@ -282,7 +284,7 @@
         self._last_heard_at |= {host: now for host in self._newly_heard}
         self._newly_heard.clear()
         for host in [host for host, at in self._last_heard_at.items() if now - at > PEER_TIMEOUT_S]:
-            del self._last_heard_at[host], self._peers[host]
+            del self._last_heard_at[host], self._peer_revisions[host]
 
 
 def choose_readers(
--- a/cloverway/config/documents.py
+++ b/cloverway/config/documents.py
@@ -95,7 +95,7 @@
                 self._tombstones[key] = entry
                 continue
             self._entries[key] = entry
-            self._digest_sum += _hash(key, entry.text)
+            self._digest_sum += _compute_document_hash(key, entry.text)
         self._prune()
 
     def get_changes_after(self, after: int, revision: int) -> Changes:
@@ -133,7 +133,8 @@
     def compute_digest_with(self, changes: Mapping[str, DocumentEntry]) -> str:
         """Return the digest that applying changes would give."""
         difference = sum(
-            _hash(key, entry.text) - _hash(key, self.get_text(key))
+            _compute_document_hash(key, entry.text)
+            - _compute_document_hash(key, self.get_text(key))
             for key, entry in changes.items()
         )
         return _format_digest(self._digest_sum + difference)
@@ -150,7 +151,7 @@
         self._tombstones.pop(key, None)
         old = self._entries.pop(key, None)
         if old is not None:
-            self._digest_sum -= _hash(key, old.text)
+            self._digest_sum -= _compute_document_hash(key, old.text)
 
     def _prune(self) -> None:
         while len(self._tombstones) > self._max_tombstones:
@@ -168,7 +169,7 @@
     return ((key, entries[key]) for key in keys)
 
 
-def _hash(key: str, text: bytes | None) -> int:
+def _compute_document_hash(key: str, text: bytes | None) -> int:
     """Return what one document adds to the digest; 0 for a deleted document."""
     if text is None:
         return 0
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -28,7 +28,7 @@
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
 from cloverway.once.claims import Claims, LedgerTask
-from cloverway.operations.admin import AdminServer, Operations
+from cloverway.operations.admin import AdminOperations, AdminServer
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
 from cloverway.peers.channel import Identity
@@ -191,7 +191,7 @@
             on_rejection=reporter.report_rejection,
             on_disconnect=self._cancel_request,
         )
-        operations = Operations(
+        operations = AdminOperations(
             list_hosts=self.callers.list_hosts,
             count_in_progress=self.count_in_progress,
             count_queued=self.dispatcher.queued,
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -30,7 +30,7 @@
 KEY_HEADER = "Idempotency-Key"
 
 
-class Call(NamedTuple):
+class IncomingCall(NamedTuple):
     """One request as received from the listener."""
 
     id: str
@@ -74,7 +74,7 @@
         return body
 
 
-Handler = Callable[[Call], Reply]
+Handler = Callable[[IncomingCall], Reply]
 
 
 class CherryPyLog:
@@ -145,7 +145,7 @@
             log.exception("a request failed", extra={"request_id": call.id})
             return self._make_problem(call, RequestError(Kind.INTERNAL))
 
-    def _make_body(self, call: Call, reply: Reply) -> Iterable[bytes]:
+    def _make_body(self, call: IncomingCall, reply: Reply) -> Iterable[bytes]:
         """Set the head of a reply and return its body, as a list or as an iterator of chunks."""
         if reply.stream is None:
             _set_head(reply)
@@ -175,7 +175,7 @@
                 )
         return bytes(body)
 
-    def _make_problem(self, call: Call, error: RequestError) -> Iterable[bytes]:
+    def _make_problem(self, call: IncomingCall, error: RequestError) -> Iterable[bytes]:
         """Set the head of a problem and return its body."""
         response = cherrypy.serving.response
         response.status = error.status
@@ -209,17 +209,17 @@
     return Reply(status, JSON_TYPE, json.dumps(document).encode())
 
 
-def require_method(call: Call, *methods: str) -> None:
+def require_method(call: IncomingCall, *methods: str) -> None:
     """Raise RequestError METHOD_NOT_ALLOWED unless the call uses one of the methods."""
     if call.method not in methods:
         raise RequestError(Kind.METHOD_NOT_ALLOWED, f"use {' or '.join(methods)}")
 
 
-def _read_call() -> Call:
+def _read_call() -> IncomingCall:
     request = cherrypy.serving.request
     environ = request.wsgi_environ
     http_request = environ[REQUEST_KEY]
-    return Call(
+    return IncomingCall(
         id=make_request_id(),
         method=request.method,
         path=environ["PATH_INFO"],
@@ -250,7 +250,7 @@
     return name.lower() not in FRAMING_HEADERS and name.isascii() and text.isprintable()
 
 
-def _is_body_read(call: Call) -> bool:
+def _is_body_read(call: IncomingCall) -> bool:
     """Return whether the body was read, so that the next request starts after it."""
     if call.http_request.body_is_read:
         return True
@@ -258,7 +258,7 @@
 
 
 def _relay_stream(
-    call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream
+    call: IncomingCall, first: bytes, pieces: Iterator[bytes], stream: Stream
 ) -> Iterator[bytes]:
     """Yield the first piece to the server, then relay the rest to the caller's socket.
 
@@ -275,7 +275,7 @@
     del pieces
 
 
-def _abort_response(call: Call, error: Exception) -> None:
+def _abort_response(call: IncomingCall, error: Exception) -> None:
     """Close the connection without the last chunk, so that the caller detects the truncation."""
     call.http_request.chunked_write = False
     call.http_request.close_connection = True
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -16,7 +16,7 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import (
     KEY_HEADER,
-    Call,
+    IncomingCall,
     Responder,
     make_json_reply,
     require_method,
@@ -169,7 +169,7 @@
             self._holder.current, self._clock(), self._max_ages, next(self._rotation), overloaded
         )
 
-    def _handle(self, call: Call) -> Reply:
+    def _handle(self, call: IncomingCall) -> Reply:
         if call.path == HOSTS_PATH:
             require_method(call, "GET")
             return make_json_reply(self.list_hosts())
@@ -184,7 +184,7 @@
         with self._disconnects.watch(call.connection.socket, call.id):
             return self._gateway.run(request)
 
-    def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
+    def _build_request(self, call: IncomingCall, arrived_at: float) -> Request | Reply:
         """Check a call, cheapest checks first; return its request or an immediate reply."""
         check_path(call)
         published = self._holder.current.published
@@ -220,7 +220,7 @@
             revision=published.revision,
         )
 
-    def _read_body(self, call: Call, team: str) -> bytes:
+    def _read_body(self, call: IncomingCall, team: str) -> bytes:
         with contextlib.ExitStack() as stack:
 
             def count_slow() -> None:
@@ -228,7 +228,7 @@
 
             return call.read_body(self._limits.body_bytes, self._limits.body_timeout_s, count_slow)
 
-    def _issue_keys(self, call: Call, team: str) -> Reply:
+    def _issue_keys(self, call: IncomingCall, team: str) -> Reply:
         body = self._read_body(call, team)
         key_count: Any = 1
         if body:
@@ -243,7 +243,7 @@
         ran = Ran.UNKNOWN if rejection.kind is Kind.INTERNAL else Ran.NO
         self._on_rejection(Rejection(rejection.request_id, "", "", "", rejection.kind, ran, 0.0))
 
-    def _report_rejection(self, call: Call, error: RequestError, arrived_at: float) -> None:
+    def _report_rejection(self, call: IncomingCall, error: RequestError, arrived_at: float) -> None:
         # `ran` in the log is about this request; in the answer it is also about the key.
         ran = error.ran
         if call.get_header(KEY_HEADER) and error.kind is not Kind.KEY_INVALID:
@@ -254,7 +254,7 @@
         total_s = self._clock() - arrived_at
         self._on_rejection(Rejection(call.id, call.method, team, profile, error.kind, ran, total_s))
 
-    def _identify(self, call: Call) -> tuple[str, str]:
+    def _identify(self, call: IncomingCall) -> tuple[str, str]:
         """Return the team and the profile of a rejected call, each empty if unknown."""
         published = self._holder.current.published
         if published is None:
@@ -268,7 +268,7 @@
         return team, profile if profile in published.profiles else ""
 
 
-def check_path(call: Call) -> None:
+def check_path(call: IncomingCall) -> None:
     """Raise RequestError NOT_FOUND or METHOD_NOT_ALLOWED for an unknown path or method."""
     if call.path in COMPLETION_FIELDS or call.path == KEYS_PATH:
         require_method(call, "POST")
@@ -278,7 +278,7 @@
     require_method(call, *SERVICE_METHODS)
 
 
-def check_target(call: Call, caller: Caller) -> None:
+def check_target(call: IncomingCall, caller: Caller) -> None:
     """Raise RequestError unless the profile allows the target.
 
     The target is forwarded to the endpoint verbatim, so it must stay below the path of its service.
@@ -300,7 +300,7 @@
         raise RequestError(Kind.NOT_FOUND, "the profile does not serve this service")
 
 
-def read_key(call: Call, caller: Caller) -> str:
+def read_key(call: IncomingCall, caller: Caller) -> str:
     """Return the idempotency key; raise RequestError if it is required or invalid."""
     key = call.get_header(KEY_HEADER).strip()
     if not key and not caller.profile.idempotent:
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -107,14 +107,14 @@
     for at, target_index in schedule_arrivals(plan, len(targets), random):
         await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
         call = _Call(next(addresses[target_index]), targets[target_index].headers)
-        running.append(asyncio.create_task(_run_one(call, plan, stats[target_index])))
+        running.append(asyncio.create_task(_run_call(call, plan, stats[target_index])))
     await asyncio.gather(*running)
     return stats
 
 
-async def _run_one(call: _Call, plan: LoadPlan, stats: LoadStats) -> None:
+async def _run_call(call: _Call, plan: LoadPlan, stats: LoadStats) -> None:
     try:
-        outcome = await asyncio.wait_for(_stream(call, plan, stats), plan.timeout_s)
+        outcome = await asyncio.wait_for(_run_stream(call, plan, stats), plan.timeout_s)
     except TimeoutError:
         outcome = TIMED_OUT
     except (OSError, asyncio.IncompleteReadError):
@@ -124,7 +124,7 @@
     stats.outcomes[outcome] += 1
 
 
-async def _stream(call: _Call, plan: LoadPlan, stats: LoadStats) -> str:
+async def _run_stream(call: _Call, plan: LoadPlan, stats: LoadStats) -> str:
     started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(*split_address(call.address))
     try:
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -13,7 +13,7 @@
 
 from cloverway.config.settings import Settings
 from cloverway.entry import bodies
-from cloverway.entry.application import Call, Responder, make_json_reply, require_method
+from cloverway.entry.application import IncomingCall, Responder, make_json_reply, require_method
 from cloverway.entry.host_list import HostList
 from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, RequestError
@@ -29,7 +29,7 @@
 MAX_IDLE_CONNECTIONS = 64
 
 
-class Operations(NamedTuple):
+class AdminOperations(NamedTuple):
     """The functions of the daemon that the admin API calls."""
 
     list_hosts: Callable[[], HostList]
@@ -49,13 +49,13 @@
         self,
         settings: Settings,
         holder: ViewHolder,
-        operations: Operations,
+        operations: AdminOperations,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._holder = holder
         self._operations = operations
         self._clock = clock
-        self._paths: Mapping[str, tuple[str, Callable[[Call], Reply]]] = {
+        self._paths: Mapping[str, tuple[str, Callable[[IncomingCall], Reply]]] = {
             "/healthz": ("GET", self._answer_health),
             "/readyz": ("GET", self._answer_readiness),
             "/metrics": ("GET", self._answer_metrics),
@@ -88,17 +88,17 @@
         """Close the listener."""
         self._listener.stop()
 
-    def _handle(self, call: Call) -> Reply:
+    def _handle(self, call: IncomingCall) -> Reply:
         if call.path not in self._paths:
             raise RequestError(Kind.NOT_FOUND, f"use one of {', '.join(self._paths)}")
         method, answer = self._paths[call.path]
         require_method(call, method)
         return answer(call)
 
-    def _answer_health(self, call: Call) -> Reply:
+    def _answer_health(self, call: IncomingCall) -> Reply:
         return make_json_reply({"healthy": True})
 
-    def _answer_readiness(self, call: Call) -> Reply:
+    def _answer_readiness(self, call: IncomingCall) -> Reply:
         view = self._holder.current
         if view.leaving:
             raise RequestError(Kind.LEAVING)
@@ -106,14 +106,14 @@
             raise RequestError(Kind.STARTING, retry_after=RETRY_AFTER_S)
         return make_json_reply({"ready": True})
 
-    def _answer_metrics(self, call: Call) -> Reply:
+    def _answer_metrics(self, call: IncomingCall) -> Reply:
         gauges = list(make_gauges(self._holder.current, self._operations.count_in_progress()))
         return Reply(200, METRICS_CONTENT_TYPE, self._operations.render_metrics(gauges))
 
-    def _answer_hosts(self, call: Call) -> Reply:
+    def _answer_hosts(self, call: IncomingCall) -> Reply:
         return make_json_reply(self._operations.list_hosts())
 
-    def _answer_status(self, call: Call) -> Reply:
+    def _answer_status(self, call: IncomingCall) -> Reply:
         view, now = self._holder.current, self._clock()
         operations = self._operations
         status = describe_status(
@@ -121,21 +121,21 @@
         )
         return make_json_reply(status)
 
-    def _explain(self, call: Call) -> Reply:
+    def _explain(self, call: IncomingCall) -> Reply:
         query = bodies.parse_json(self._read_body(call), call.get_header("Content-Type"))
         team, profile = query.get("team"), query.get("profile")
         if not isinstance(team, str) or not isinstance(profile, str):
             raise RequestError(Kind.MALFORMED, 'send {"team": NAME, "profile": NAME}')
         return make_json_reply(self._operations.explain(team, profile))
 
-    def _drain(self, call: Call) -> Reply:
+    def _drain(self, call: IncomingCall) -> Reply:
         self._read_body(call)
         self._operations.begin_leaving()
         return make_json_reply(
             {"leaving": True, "in_progress": self._operations.count_in_progress()}, 202
         )
 
-    def _read_body(self, call: Call) -> bytes:
+    def _read_body(self, call: IncomingCall) -> bytes:
         return call.read_body(MAX_BODY_BYTES, BODY_TIMEOUT_S)
 
 
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -51,7 +51,7 @@
     team: str
     urgency: str
     tokens: int
-    gaps: Sequence[int]
+    gap_counts: Sequence[int]
     """A count for each bound of the gaps, and one for the gaps above the last bound."""
     gap_sum_s: float
 
@@ -224,7 +224,7 @@
         urgency = observation.urgency or UNKNOWN_CLASS
         self._tokens.add({"class": urgency}, observation.tokens)
         tenant = self._tenant_labels.get(observation.team)
-        self._token_gaps.merge(urgency, tenant, observation.gaps, observation.gap_sum_s)
+        self._token_gaps.merge(urgency, tenant, observation.gap_counts, observation.gap_sum_s)
 
     def _label_endpoint(self, endpoint: str) -> str:
         """Return the label of a local endpoint, or of a remote endpoint's failure domain."""
--- a/cloverway/operations/reporting.py
+++ b/cloverway/operations/reporting.py
@@ -47,7 +47,7 @@
     @property
     def tokens(self) -> int: ...  # noqa: D102
     @property
-    def gaps(self) -> Sequence[int]: ...  # noqa: D102
+    def gap_counts(self) -> Sequence[int]: ...  # noqa: D102
     @property
     def gap_sum_s(self) -> float: ...  # noqa: D102
 
@@ -125,7 +125,7 @@
         """Report the tokens of a stream that has ended."""
         urgency = self._find_urgency(request.profile)
         self._metrics.record(
-            StreamEnded(request.team, urgency, stream.tokens, stream.gaps, stream.gap_sum_s)
+            StreamEnded(request.team, urgency, stream.tokens, stream.gap_counts, stream.gap_sum_s)
         )
 
     def _find_urgency(self, profile: str) -> str:
--- a/cloverway/sources/file.py
+++ b/cloverway/sources/file.py
@@ -125,9 +125,9 @@
         is_stable = now - self._contents_changed_at >= MIN_STABLE_FRACTION * self._poll_s
         if is_stable and contents != self._checked_contents:
             self._checked_contents = contents
-            self._check(contents, findings)
+            self._check_contents(contents, findings)
 
-    def _check(self, contents: Mapping[Path, bytes], findings: Findings) -> None:
+    def _check_contents(self, contents: Mapping[Path, bytes], findings: Findings) -> None:
         merged = merge_files(contents, findings)
         findings.source = str(self._directory)
         findings.origins = merged.origins
@@ -136,10 +136,10 @@
             findings.add("revision", "must be a whole number over 0, in one file")
         if not findings.errors:
             assert isinstance(revision, int)
-            self._accept(merged, revision, findings)
+            self._accept_contents(merged, revision, findings)
         self._error = "\n".join(findings.errors)
 
-    def _accept(self, merged: MergedFiles, revision: int, findings: Findings) -> None:
+    def _accept_contents(self, merged: MergedFiles, revision: int, findings: Findings) -> None:
         """Accept contents unless one of the documents or the revision is invalid."""
         accepted = self._entries
         entries = {
--- a/cloverway/tests/test_admin.py
+++ b/cloverway/tests/test_admin.py
@@ -8,7 +8,7 @@
 
 from cloverway.entry.host_list import HostList
 from cloverway.membership.view import EndpointState, HostState, Summary, ViewHolder
-from cloverway.operations.admin import AdminServer, Operations
+from cloverway.operations.admin import AdminOperations, AdminServer
 from cloverway.tests.caller_harness import (
     CHAT,
     CHAT_BODY,
@@ -26,7 +26,7 @@
         self.server = AdminServer(
             make_settings(),
             self.holder,
-            Operations(
+            AdminOperations(
                 list_hosts=lambda: HostList(hosts=[], lifetime_s=5.0, revision=3),
                 count_in_progress=lambda: 2,
                 count_queued=lambda: 1,
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from cloverway.entry import bodies
-from cloverway.entry.application import Call
+from cloverway.entry.application import IncomingCall
 from cloverway.entry.listener import ListenerLimits
 from cloverway.errors import ERROR_ANSWERS, RequestError
 from cloverway.replies import Reply
@@ -106,7 +106,7 @@
     http = SimpleNamespace(
         chunked_read=chunked, rfile=SimpleNamespace(remaining=0), body_is_read=False
     )
-    return Call("id", method, query, path, sent_headers, connection, http)
+    return IncomingCall("id", method, query, path, sent_headers, connection, http)
 
 
 LOOKUP = {**CHAT, "Cloverway-Profile": "lookup"}
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -60,7 +60,7 @@
     return shared
 
 
-def read_problem(sock):
+def parse_problem(sock):
     """Read until the connection closes, and return the problem document of the answer."""
     head, _, body = read_all(sock).partition(b"\r\n\r\n")
     assert b"application/problem+json" in head
@@ -94,7 +94,7 @@
     with harness.connect() as sock:
         sock.sendall(head.encode())
         stop_event, thread = trickle(sock, b"a")
-        problem = read_problem(sock)
+        problem = parse_problem(sock)
         stop_event.set()
         thread.join()
     assert (problem["kind"], problem["ran"]) == ("too_slow", "no")
@@ -106,7 +106,7 @@
     with harness.connect() as sock:
         sock.sendall(HEAD.encode())
         stop_event, thread = trickle(sock, b"X: y\r\n")
-        problem = read_problem(sock)
+        problem = parse_problem(sock)
         stop_event.set()
         thread.join()
     assert problem["kind"] == "too_slow"
@@ -140,7 +140,7 @@
 def test_invalid_chunks_are_rejected_before_they_are_buffered(harness, chunks, kind):
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
-        assert read_problem(sock)["kind"] == kind
+        assert parse_problem(sock)["kind"] == kind
     assert not harness.gateway.requests
 
 
@@ -161,7 +161,7 @@
 def test_an_invalid_head_is_answered_with_a_problem(harness, text, kind):
     with harness.connect() as sock:
         sock.sendall(text)
-        assert read_problem(sock)["kind"] == kind
+        assert parse_problem(sock)["kind"] == kind
 
 
 def test_an_unread_body_is_never_parsed_as_the_next_request(harness):
@@ -178,7 +178,7 @@
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Content-Length: 500\r\n\r\n" + CHAT_BODY)
         sock.shutdown(socket.SHUT_WR)
-        assert read_problem(sock)["kind"] == "malformed"
+        assert parse_problem(sock)["kind"] == "malformed"
     assert not harness.gateway.requests
 
 
@@ -367,7 +367,7 @@
             assert wait_until(lambda: harness.server.count_in_progress() == 8)
             for sock in callers[8:]:
                 sock.sendall(request)
-                problem = read_problem(sock)
+                problem = parse_problem(sock)
                 assert (problem["kind"], problem["ran"]) == ("overloaded", "no")
             assert [rejection.kind for rejection in harness.rejections] == ["overloaded"] * 4
             harness.gateway.resume.set()
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -151,17 +151,17 @@
         )
         stream.begin(b"x" * 4_000_000, now=100.0)
         assert stream.has_unsent
-        stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S - 0.1)
+        stream.check_limits(now=100.0 + relay.CALLER_STALL_TIMEOUT_S - 0.1)
         with pytest.raises(RequestError) as failure:
-            stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
+            stream.check_limits(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
         assert failure.value.kind is Kind.CALLER_LEFT
         while stream.has_unsent:
             caller_peer.recv(1 << 20)
             stream.write(now=120.0)
-        stream.check(now=129.9)
+        stream.check_limits(now=129.9)
         for now, kind in ((130.0, Kind.TIMED_OUT), (1000.0, Kind.TIMED_OUT)):
             with pytest.raises(RequestError) as failure:
-                stream.check(now)
+                stream.check_limits(now)
             assert failure.value.kind is kind
 
 
--- a/cloverway/tests/test_stream_stats.py
+++ b/cloverway/tests/test_stream_stats.py
@@ -9,5 +9,5 @@
         meter.record_tokens(tokens, now)
     stats = meter.get_stats(100.0)
     assert (stats.tokens, stats.first_token_at, stats.gap_sum_s) == (5, 2.0, 97.0)
-    buckets = [index for index, count in enumerate(stats.gaps) for _ in range(count)]
+    buckets = [index for index, count in enumerate(stats.gap_counts) for _ in range(count)]
     assert buckets == [4, 4, len(GAP_BOUNDS_S)]
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 READ_BYTES = 16 * 1024
-SWEEP_INTERVAL_S = 0.1
+LIMIT_CHECK_INTERVAL_S = 0.1
 """Interval between checks of the stream limits, in seconds, and so their precision."""
 CALLER_STALL_TIMEOUT_S = 30.0
 """A caller that accepts no byte of its stream for this many seconds is disconnected."""
@@ -121,7 +121,7 @@
         if not self._unsent:
             self._last_read_at = now
 
-    def check(self, now: float) -> None:
+    def check_limits(self, now: float) -> None:
         """Raise RequestError if a limit is exceeded.
 
         While bytes wait for the caller, the endpoint is not read and its gap is not measured.
@@ -158,7 +158,7 @@
         self._wake_sender.setblocking(False)
         self._wake_receiver.setblocking(False)
         self._stopping = False
-        self._last_sweep_at = float("-inf")
+        self._limits_checked_at = float("-inf")
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
 
     @classmethod
@@ -203,15 +203,15 @@
         batch would count as silence of each of its streams.
         """
         before = self._clock()
-        for descriptor, mask in self._poll.poll(SWEEP_INTERVAL_S):
+        for descriptor, mask in self._poll.poll(LIMIT_CHECK_INTERVAL_S):
             handler = self._handlers.get(descriptor)
             if handler is not None:
                 handler(mask, self._clock())
         # After the batch, because a new stream may reuse a descriptor that has an event in it.
         self._add_new()
-        if before - self._last_sweep_at >= SWEEP_INTERVAL_S:
-            self._last_sweep_at = before
-            self._sweep(before)
+        if before - self._limits_checked_at >= LIMIT_CHECK_INTERVAL_S:
+            self._limits_checked_at = before
+            self._check_all_limits(before)
 
     def _run(self) -> None:
         while not self._stopping:
@@ -272,9 +272,9 @@
             self._poll.modify(stream.caller, select.EPOLLRDHUP)
             self._register(stream.endpoint, select.EPOLLIN, self._make_endpoint_handler(stream))
 
-    def _sweep(self, now: float) -> None:
+    def _check_all_limits(self, now: float) -> None:
         for stream in list(self._streams):
-            self._run_guarded(stream, partial(stream.check, now))
+            self._run_guarded(stream, partial(stream.check_limits, now))
 
     def _run_guarded(self, stream: RelayedStream, step: Callable[[], None]) -> None:
         try:
--- a/cloverway/upstream/stream_stats.py
+++ b/cloverway/upstream/stream_stats.py
@@ -15,7 +15,7 @@
     tokens: int
     first_token_at: float | None
     ended_at: float
-    gaps: tuple[int, ...]
+    gap_counts: tuple[int, ...]
     """Number of gaps per bucket of GAP_BOUNDS_S; the last entry counts all longer gaps."""
     gap_sum_s: float
 
@@ -27,7 +27,7 @@
         self._tokens = 0
         self._first_token_at: float | None = None
         self._last_token_at = 0.0
-        self._gaps = [0] * (len(GAP_BOUNDS_S) + 1)
+        self._gap_counts = [0] * (len(GAP_BOUNDS_S) + 1)
 
     def record_tokens(self, tokens: int, now: float) -> None:
         """Record the token count so far; tokens that arrived together count as one gap."""
@@ -37,11 +37,11 @@
         if self._first_token_at is None:
             self._first_token_at = now
         else:
-            self._gaps[bisect_left(GAP_BOUNDS_S, now - self._last_token_at)] += 1
+            self._gap_counts[bisect_left(GAP_BOUNDS_S, now - self._last_token_at)] += 1
         self._last_token_at = now
 
     def get_stats(self, now: float) -> StreamStats:
         """Return the statistics of the stream, which ends at `now`."""
         first_token_at = self._first_token_at
         gap_sum_s = self._last_token_at - first_token_at if first_token_at is not None else 0.0
-        return StreamStats(self._tokens, first_token_at, now, tuple(self._gaps), gap_sum_s)
+        return StreamStats(self._tokens, first_token_at, now, tuple(self._gap_counts), gap_sum_s)
