--- a/cloverway/tests/fleet/__init__.py
+++ b/cloverway/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform that hosts of a fleet run on, and tests over them."""
+"""Fakes of the platform on which the hosts of a fleet run, and the soak that uses them."""
--- a/cloverway/tests/fleet/demo.py
+++ b/cloverway/tests/fleet/demo.py
@@ -1,4 +1,4 @@
-"""One call over the platform's protocol: store, endpoint and host in this process."""
+"""The demo's call over the platform's protocol: store, endpoint and host in this process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run_platform_call(write_line: Callable[[str], Any]) -> list[str]:
-    """Show a stream over the platform's protocol; give what was not as expected."""
+    """Stream a response over the platform's protocol, print the result and return mismatches."""
     logging.getLogger("asyncio").setLevel(logging.WARNING)
     reply = asyncio.run(_call())
     events = reply.body.count(b"data:")
--- a/cloverway/tests/fleet/deployment.py
+++ b/cloverway/tests/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""A small fleet in one event loop: the store, endpoints, hosts, and a caller."""
+"""A small fleet in one event loop: the store, endpoints, hosts and a caller."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def run_scenario(scenario) -> None:
-    """Play a scenario of hosts, endpoints and callers in one event loop."""
+    """Run a scenario of hosts, endpoints and callers in an event loop."""
     asyncio.run(scenario())
 
 
@@ -45,7 +45,7 @@
 
 
 class Fleet:
-    """All parts of the small fleet; tests change what they need."""
+    """The components of the fleet, which tests modify as they need."""
 
     def __init__(self) -> None:
         self.store = Store()
@@ -99,7 +99,7 @@
         return host
 
     async def call(self, path: str, host: Host | None = None, **options: Any) -> Reply:
-        """Send one request as a caller does, and read its whole answer."""
+        """Send a request as a caller does, and read its response to the end."""
         exchange = await self.begin_call(path, host, **options)
         return await read_reply(exchange)
 
@@ -128,7 +128,7 @@
         return exchange
 
     async def stop(self, host: Host) -> None:
-        """End a host at once, as a kill does."""
+        """Stop a host abruptly, as a kill does."""
         self.hosts.remove(host)
         _end(host)
         await asyncio.sleep(0)
@@ -164,12 +164,12 @@
 
 
 def count_runs(fleet: Fleet, prefix: str) -> int:
-    """Count the requests that reached endpoints whose names begin so."""
+    """Count the requests that reached the endpoints whose names have a prefix."""
     return sum(len(e.requests) for name, e in fleet.endpoints.items() if name.startswith(prefix))
 
 
 async def wait_for(condition, timeout_s: float = 5.0) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; raise TimeoutError after `timeout_s`."""
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.01)
@@ -177,7 +177,7 @@
 
 @asynccontextmanager
 async def run_fleet(hosts: int = 1, endpoints: int = 2):
-    """Run a fleet with one service of each kind in the domain d1."""
+    """Run a fleet with a plain service and a model service in the domain d1."""
     fleet = Fleet()
     await fleet.store.start()
     routes = [
--- a/cloverway/tests/fleet/invariants.py
+++ b/cloverway/tests/fleet/invariants.py
@@ -1,4 +1,4 @@
-"""What the soak holds against the promises: what callers saw, and what endpoints ran."""
+"""Invariants of the soak: compares what callers saw with what endpoints ran."""
 
 from __future__ import annotations
 
@@ -12,67 +12,68 @@
 RETRIED_ROUTES = ("safe", "stream")
 ID = re.compile(rb"for ([a-z0-9-]+)")
 NUMBER = re.compile(rb"id: (\d+)")
-PLANNED = {"replace", "reload", "configure", "drain_endpoint", "compact", "spoil_entry"}
+PLANNED_FAULTS = {"replace", "reload", "configure", "drain_endpoint", "compact", "spoil_entry"}
 FAULT_EFFECT_S = 3.0
-"""How long after its end a fault may still be felt."""
+"""How long a fault may have an effect after its end."""
 MAX_CRASHES = 3
-"""Endpoints that one request may end before it is known for what it is, and sends of it that may
-cross the news."""
+"""Endpoints that a request may crash before the hosts block it, and attempts that may still be sent
+while the update about these crashes is on its way."""
 UPDATE_DELAY_S = 2.0
-"""Time that the news of the last of these ends may take: hosts tell it at once, again each second,
-and to a host that was away when it is heard."""
+"""Time that the update about the last of these crashes may take: hosts broadcast it at once and
+again each second, and send it to a host that was unreachable when they hear from it again."""
 
 
 def find_violations(
-    seen: Iterable[CallRecord], endpoints: Iterable[CountingEndpoint], faults: Sequence[Fault]
+    records: Iterable[CallRecord], endpoints: Iterable[CountingEndpoint], faults: Sequence[Fault]
 ) -> Iterator[str]:
-    """Give each promise that was broken to a caller."""
+    """Yield each violation of a guarantee to a caller."""
     runs: dict[str, list[CountingEndpoint]] = defaultdict(list)
     for endpoint in endpoints:
         for call in endpoint.runs:
             runs[call].append(endpoint)
-    for each in seen:
-        for what in check_response(each, runs[each.id], faults):
-            yield f"{what}: {each} ran at {[endpoint.name for endpoint in runs[each.id]]}"
+    for record in records:
+        for violation in check_response(record, runs[record.id], faults):
+            yield f"{violation}: {record} ran at {[endpoint.name for endpoint in runs[record.id]]}"
 
 
 def check_response(
-    seen: CallRecord, ran: Sequence[CountingEndpoint], faults: Sequence[Fault]
+    record: CallRecord, endpoints: Sequence[CountingEndpoint], faults: Sequence[Fault]
 ) -> Iterator[str]:
-    """Give the promises that the answer to one request breaks."""
-    if seen.route not in RETRIED_ROUTES and len(ran) > 1:
+    """Yield the violations in the response to one request."""
+    if record.route not in RETRIED_ROUTES and len(endpoints) > 1:
         yield "ran twice"
-    if seen.status in NOT_RUN_STATUSES and seen.route not in RETRIED_ROUTES and ran:
+    if record.status in NOT_RUN_STATUSES and record.route not in RETRIED_ROUTES and endpoints:
         yield "told that it did not run"
-    if seen.status == 404:
-        yield "refused though its route is there"
-    if b'"quarantined"' in seen.body and not seen.crashes_endpoints:
-        yield "refused as if it had ended endpoints"
-    if seen.route == "bound" and any(DOMAINS[e.domain] != "north" for e in ran):
-        yield "ran outside its home"
-    if seen.status == 200 and seen.complete:
-        if set(ID.findall(seen.body)) != {seen.id.encode()}:
-            yield "another's answer"
-        numbers = [int(number) for number in NUMBER.findall(seen.body)]
-        if seen.route in ("stream", "cut") and numbers != list(range(1, EVENTS + 1)):
-            yield "a piece is missing or doubled in a whole stream"
-    if ran and not seen.status and _is_only_planned(seen, faults):
-        yield "cut off by planned work alone"
+    if record.status == 404:
+        yield "refused although its route exists"
+    if b'"quarantined"' in record.body and not record.crashes_endpoints:
+        yield "refused as if it had crashed endpoints"
+    if record.route == "bound" and any(DOMAINS[e.domain] != "north" for e in endpoints):
+        yield "ran outside its home region"
+    if record.status == 200 and record.complete:
+        if set(ID.findall(record.body)) != {record.id.encode()}:
+            yield "response to another request"
+        numbers = [int(number) for number in NUMBER.findall(record.body)]
+        if record.route in ("stream", "cut") and numbers != list(range(1, EVENTS + 1)):
+            yield "an event is missing or duplicated in a complete stream"
+    if endpoints and not record.status and _is_only_planned(record, faults):
+        yield "interrupted by planned operations alone"
 
 
 def check_crashes(request: str, crashed_at: Sequence[float]) -> Iterator[str]:
-    """Tell whether a request went on to end endpoints after it had to be known for it."""
+    """Yield a violation if a request crashed more endpoints after the hosts had to block it."""
     known_at = sorted(crashed_at)[:MAX_CRASHES][-1] + UPDATE_DELAY_S
     late = [at for at in crashed_at if at > known_at]
     if len(crashed_at) >= MAX_CRASHES and len(late) > MAX_CRASHES:
-        yield f"{request} ended {len(crashed_at)} endpoints, {len(late)} of them late"
+        yield f"{request} crashed {len(crashed_at)} endpoints, {len(late)} of them late"
 
 
-def _is_only_planned(seen: CallRecord, faults: Sequence[Fault]) -> bool:
-    """Tell whether nothing but planned work went on near a request."""
+def _is_only_planned(record: CallRecord, faults: Sequence[Fault]) -> bool:
+    """Return whether all faults around the time of a request were planned operations."""
     ongoing = {
         fault.name
         for fault in faults
-        if fault.started_at < seen.ended_at and fault.ended_at > seen.started_at - FAULT_EFFECT_S
+        if fault.started_at < record.ended_at
+        and fault.ended_at > record.started_at - FAULT_EFFECT_S
     }
-    return ongoing <= PLANNED
+    return ongoing <= PLANNED_FAULTS
--- a/cloverway/tests/fleet/soak.py
+++ b/cloverway/tests/fleet/soak.py
@@ -1,8 +1,10 @@
-"""A random run of real hosts on the platform: python -m cloverway.tests.fleet.soak SECONDS SEED...
+"""A randomized run of real hosts on the platform.
 
-Hosts are processes of their own; the store and the endpoints live here, each behind links that are
-cut, slowed down and silenced. Processes are stopped, paused, killed and reloaded by signals. Faults
-come in series and overlap. What callers and endpoints saw is held against the promises.
+    python -m cloverway.tests.fleet.soak SECONDS SEED...
+
+Each host is a process; the store and the endpoints run in this process behind links that are cut,
+delayed or drop data. Signals stop, pause, kill and reload the hosts. Several series of faults run
+concurrently. What callers and endpoints observed is then checked against the invariants.
 """
 
 from __future__ import annotations
@@ -51,15 +53,15 @@
 
 CALLERS = 10
 CRASHING_CALLER_S = 4.0
-"""How long the caller of a deadly request repeats it."""
+"""How long a caller repeats a request that crashes endpoints."""
 RESTART_S = 1.0
-"""Time until an endpoint that a request has ended is back."""
+"""Time until a crashed endpoint accepts requests again."""
 MAX_ENTRY_DELAY_S = 1.5
-"""The longest time from then until its entry tells so."""
+"""The longest time from then until its entry shows the new start time."""
 
 
 class Soak:
-    """One run: its fleet, what callers saw, and its faults."""
+    """One run: its fleet, its faults, and the records of its callers."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.random = Random(seed)
@@ -68,11 +70,11 @@
         self.hosts: list[Host] = []
         self.endpoints: list[CountingEndpoint] = []
         self.links: dict[str, Link] = {}
-        self.seen: list[CallRecord] = []
+        self.records: list[CallRecord] = []
         self.faults: list[Fault] = []
         self.violations: list[str] = []
         self.crash_times: defaultdict[bytes, list[float]] = defaultdict(list)
-        """When deadly requests ended an endpoint, by their bodies."""
+        """Times at which a request crashed an endpoint, by the body of the request."""
         self.version = 0
         self._restarts: set[asyncio.Task[None]] = set()
         self._pool = ConnectionPool()
@@ -80,7 +82,7 @@
         self._numbers = iter(range(1, 1 << 60))
 
     async def run(self, seconds: float) -> list[str]:
-        """Run for some seconds and give what was violated."""
+        """Run for some seconds and return the violations."""
         async with self._running():
             until = time.monotonic() + seconds
             callers = [self._call(number, until) for number in range(CALLERS)]
@@ -88,12 +90,12 @@
             await asyncio.gather(*callers, *series)
             await self._check_recovered()
         crash_violations = [
-            what
-            for body, at in self.crash_times.items()
-            for what in check_crashes(body.decode(), at)
+            violation
+            for body, crashed_at in self.crash_times.items()
+            for violation in check_crashes(body.decode(), crashed_at)
         ]
-        seen = find_violations(self.seen, self.endpoints, self.faults)
-        return [*self.violations, *crash_violations, *seen]
+        response_violations = find_violations(self.records, self.endpoints, self.faults)
+        return [*self.violations, *crash_violations, *response_violations]
 
     @contextlib.asynccontextmanager
     async def _running(self) -> AsyncIterator[None]:
@@ -142,7 +144,7 @@
         return endpoint
 
     def _describe(self, endpoint: CountingEndpoint, **fields: Any) -> None:
-        """Write the entry of an endpoint."""
+        """Write the entry of an endpoint to the store."""
         address = self.links[endpoint.name].address
         entry = endpoint.make_entry(address=address, born=endpoint.start_time_ms, **fields)
         self.store.put(f"servers/{endpoint.name}", entry)
@@ -158,10 +160,10 @@
         host = await self._look_up(domain, random)
         while time.monotonic() < until:
             for _ in range(random.randint(1, 15)):
-                # A caller stays with its host and its open connections until the host is gone.
-                seen = await self._send(host, random.choice(list(ROUTES)), self._pool)
-                self.seen.append(seen)
-                if not seen.status:
+                # A caller keeps its host and its open connections until the host is unreachable.
+                record = await self._send(host, random.choice(list(ROUTES)), self._pool)
+                self.records.append(record)
+                if not record.status:
                     break
                 await asyncio.sleep(random.uniform(0.0, 0.1))
             host = await self._look_up(domain, random)
@@ -204,7 +206,7 @@
 
     @contextlib.contextmanager
     def _reserve_host(self) -> Iterator[Host | None]:
-        """Give a host whose process no other fault has, while another one of its domain is up."""
+        """Reserve a host that no other fault uses, if another free host of its domain is left."""
         free = [host for host in self.hosts if not host.is_busy]
         counts = Counter(host.domain for host in free)
         free = [host for host in free if counts[host.domain] > 1]
@@ -302,7 +304,7 @@
         endpoint.abort_probability = 0.0
 
     async def _drain_endpoint(self) -> None:
-        """Let an endpoint leave, and another one come in its place."""
+        """Drain an endpoint and add another one in its place."""
         leaving = self.random.choice(self._list_live())
         await self._add_endpoint(leaving.service, leaving.domain)
         self._describe(leaving, state="draining")
@@ -310,7 +312,7 @@
         self.store.delete(f"servers/{leaving.name}")
 
     async def _spoil_entry(self) -> None:
-        """Let another writer overwrite an entry, and junk lie beside it."""
+        """Overwrite an entry with invalid data, and add an invalid entry beside it."""
         spoilt = self.random.choice(self._list_live())
         junk = self.random.choice([b"", b"{" * 50_000, b'{"service": []}', b"\xff", b"1e999"])
         self.store.put_bytes(f"servers/{spoilt.name}", junk)
@@ -319,7 +321,7 @@
         self._describe(spoilt)
 
     async def _restart_endpoint(self) -> None:
-        """Let an endpoint drain, end and start again under its id and at its address."""
+        """Drain an endpoint, stop it, and start it again with its id and address."""
         endpoint = self.random.choice(self._list_live())
         self._describe(endpoint, state="draining")
         await self._wait_fault_duration()
@@ -330,17 +332,17 @@
         self._describe(endpoint, coldRemainingMs=500)
 
     async def _repeat_deadly(self) -> None:
-        """Send one request that ends each endpoint which runs it, again and again."""
+        """Send a request repeatedly that crashes each endpoint that runs it."""
         body = CRASHING_BODY + b" %d" % next(self._numbers)
         route = self.random.choice(["safe", "once", "stream", "cut"])
         until = time.monotonic() + CRASHING_CALLER_S
         while time.monotonic() < until:
             host = self.random.choice(self.hosts)
-            self.seen.append(await self._send(host.callers, route, ConnectionPool(), body))
+            self.records.append(await self._send(host.callers, route, ConnectionPool(), body))
             await asyncio.sleep(self.random.uniform(0.02, 0.4))
 
     def _crash(self, endpoint: CountingEndpoint, body: bytes) -> None:
-        """End an endpoint under a request; it comes back, born again."""
+        """Crash an endpoint while it runs a request; it restarts as a new incarnation."""
         self.crash_times[body].append(time.monotonic())
         link = self.links[endpoint.name]
         link.cut()
@@ -352,7 +354,7 @@
         await asyncio.sleep(RESTART_S)
         self.links[endpoint.name].restore()
         endpoint.start_time_ms += 1_000
-        # What it has published names the life before until its next heartbeat.
+        # Its published entry names the previous incarnation until its next heartbeat.
         await asyncio.sleep(self.random.uniform(0.0, MAX_ENTRY_DELAY_S))
         if f"servers/{endpoint.name}" in self.store.items:
             self._describe(endpoint)
@@ -360,14 +362,14 @@
     # Checks
 
     async def _wait_ready(self, host: Host) -> None:
-        """Wait until a host that was started serves; one that can't yet is seen in the end."""
+        """Wait until a started host serves; one that never does is found by the final check."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(5.0):
                 while not (await self._send(host.callers, "safe", ConnectionPool())).complete:
                     await asyncio.sleep(0.1)
 
     async def _wait_until_served(self, seconds: float) -> list[str]:
-        """Give the hosts that don't serve the newest route within some seconds."""
+        """Return the hosts that don't serve the newest route within some seconds."""
         unserved = list(self.hosts)
         until = time.monotonic() + seconds
         while unserved and time.monotonic() < until:
@@ -375,27 +377,29 @@
                 await self._send(h.callers, f"v{self.version}", ConnectionPool()) for h in unserved
             ]
             unserved = [
-                host for host, seen in zip(unserved, replies, strict=True) if seen.status != 200
+                host for host, record in zip(unserved, replies, strict=True) if record.status != 200
             ]
             await asyncio.sleep(0.1)
         return [host.name for host in unserved]
 
     async def _check_recovered(self) -> None:
-        """All faults are over: within the bound for changes all hosts serve the newest route."""
+        """Check that after all faults each host serves the newest route within the time limit."""
         unserved = await self._wait_until_served(8.0)
         self.violations += [f"{name}: does not serve the newest route" for name in unserved]
 
 
 def main(seconds: float, seeds: list[int]) -> int:
-    """Run each seed; give 1 when a promise was broken."""
+    """Run each seed; return 1 if there was a violation."""
     failed_seeds = 0
     for seed in seeds:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         soak = Soak(seed, folder)
         violations = asyncio.run(soak.run(seconds))
-        outcomes = Counter(f"{seen.status}{'' if seen.complete else ' cut'}" for seen in soak.seen)
+        outcomes = Counter(
+            f"{record.status}{'' if record.complete else ' cut'}" for record in soak.records
+        )
         kinds = Counter(fault.name for fault in soak.faults)
-        print(f"seed {seed}: {len(soak.seen)} requests {dict(outcomes)}; faults {dict(kinds)}")
+        print(f"seed {seed}: {len(soak.records)} requests {dict(outcomes)}; faults {dict(kinds)}")
         for violation in violations[:10]:
             print(f"VIOLATION {violation}; logs in {folder}")
         print(f"seed {seed}: {len(violations)} violations", flush=True)
--- a/cloverway/tests/fleet/soak_parts.py
+++ b/cloverway/tests/fleet/soak_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the soak: endpoints that note what they ran, and hosts that are processes."""
+"""Components of the soak: endpoints that record what they ran, and host processes."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 
 CRASHING_BODY = b"deadly"
-"""How the bodies of requests begin that end the endpoint which runs them."""
+"""Prefix of the bodies of requests that crash the endpoint that runs them."""
 
 
 class CallRecord(NamedTuple):
-    """What a caller saw of one request; status 0 when there was no answer."""
+    """What a caller saw of a request; status 0 if there was no response."""
 
     id: str
     route: str
@@ -52,11 +52,11 @@
     body: bytes
     error: str = ""
     crashes_endpoints: bool = False
-    """Whether it ends the endpoints that run it."""
+    """Whether the request crashes the endpoints that run it."""
 
 
 class Fault(NamedTuple):
-    """When a fault was there, and what it was."""
+    """An injected fault and its time."""
 
     name: str
     started_at: float
@@ -64,7 +64,7 @@
 
 
 class CountingEndpoint(Endpoint):
-    """An endpoint that notes what it ran, and answers so that each answer names its request."""
+    """An endpoint that records what it ran and names the request in each response."""
 
     def __init__(self, name: str, service: str, domain: str) -> None:
         super().__init__(name, service, domain)
@@ -74,15 +74,15 @@
         self.random = Random(name)
         self.answer = self.answer_by_route
         self.on_crash: Callable[[CountingEndpoint, bytes], None] = lambda endpoint, body: None
-        """Called when a request has ended it."""
+        """Called when a request has crashed the endpoint."""
 
     async def answer_by_route(self, exchange: Any) -> None:
         fields = dict(exchange.headers)
-        call = fields[b"x-cloverway-request-id"].decode()
+        request_id = fields[b"x-cloverway-request-id"].decode()
         if fields.get(b"x-cloverway-target-instance") != self.name.encode():
             await exchange.answer(421, [], b"")
             return
-        self.runs.append(call)
+        self.runs.append(request_id)
         if exchange.body.startswith(CRASHING_BODY):
             await asyncio.sleep(0.02)
             self.on_crash(self, exchange.body)
@@ -93,12 +93,12 @@
             if aborts:
                 exchange.connection.abort()
                 return
-            await exchange.answer(200, self.make_head(exchange), f"ran for {call}".encode())
+            await exchange.answer(200, self.make_head(exchange), f"ran for {request_id}".encode())
             return
         first = int(fields.get(b"last-event-id", b"0")) + 1
         exchange.start(200, [*self.make_head(exchange), (b"Content-Type", b"text/event-stream")])
         for number in range(first, EVENTS + 1):
-            await exchange.send(b"id: %d\ndata: for %s\n\n" % (number, call.encode()))
+            await exchange.send(b"id: %d\ndata: for %s\n\n" % (number, request_id.encode()))
             await asyncio.sleep(0.05)
             if aborts:
                 exchange.connection.abort()
@@ -107,7 +107,7 @@
 
 
 class Host:
-    """One host's process with its own way to the store."""
+    """The process of a host, with its own link to the store."""
 
     def __init__(self, name: str, domain: str, ports: list[int], store: Store, folder: Path):
         self.name = name
@@ -121,7 +121,7 @@
         variables = {"CLOVERWAY_BOOT": str(self.path)}
         self.process = Process(name, "cloverway.platform", [], folder, variables)
         self.is_busy = False
-        """Whether a fault of its process is going on."""
+        """Whether a fault of its process is in progress."""
 
     def write_settings(self, seeds: list[str]) -> None:
         regions = "\n".join(f'"{name}" = "{region}"' for name, region in DOMAINS.items())
@@ -149,12 +149,12 @@
 
 
 async def send(
-    call: str, host: str, route: str, pool: ConnectionPool, content: bytes
+    request_id: str, host: str, route: str, pool: ConnectionPool, content: bytes
 ) -> CallRecord:
-    """Send one request as a caller does; give what that saw."""
+    """Send a request as a caller does and return what the caller saw."""
     fields = [
         (b"Host", b"shop.example"),
-        (b"X-Cloverway-Request-Id", call.encode()),
+        (b"X-Cloverway-Request-Id", request_id.encode()),
         (b"X-Cloverway-Deadline-Ms", b"3000"),
     ]
     request = make_request("POST", f"/{route}/a", fields, content)
@@ -175,5 +175,14 @@
     crashes_endpoints = content.startswith(CRASHING_BODY)
     ended_at = time.monotonic()
     return CallRecord(
-        call, route, host, started_at, ended_at, status, complete, body, error, crashes_endpoints
+        request_id,
+        route,
+        host,
+        started_at,
+        ended_at,
+        status,
+        complete,
+        body,
+        error,
+        crashes_endpoints,
     )
--- a/cloverway/tests/fleet/standins.py
+++ b/cloverway/tests/fleet/standins.py
@@ -1,4 +1,4 @@
-"""The platform's store and its endpoints, small, on loopback, in the test's own event loop."""
+"""Fakes of the platform's store and endpoints, on loopback in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 RESERVED_SOCKETS: list[socket.socket] = []
 PORT_RANGE = (3_000, 12_000)
-"""Below those of the tests with processes, and below those that the system gives away."""
+"""Below the ports of tests with processes, and below the range of ephemeral ports."""
 
 
 def take_ports(count: int) -> list[int]:
     """Reserve ports for servers that are started later.
 
-    The reserving sockets stay bound for the life of the process; a server binds beside them, since
-    neither of the two listens yet. They are below the range that the system gives away by itself:
-    a host's UDP socket has the number of its TCP port, and another test process, which had been
-    given that number for UDP, made a host fail to start.
+    The reserving sockets stay bound until the process exits; a server can bind to the same port,
+    since the reserving socket doesn't listen. The ports are below the range of ephemeral ports: a
+    host binds a UDP socket to the number of its TCP port, and failed to start when the system had
+    assigned that number to a UDP socket of another test process.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -55,7 +55,7 @@
 
 
 class Store:
-    """A store that can only be read; operators and endpoints write in process."""
+    """A store that is read-only over HTTP; operators and endpoints write in process."""
 
     def __init__(self) -> None:
         self.port = take_ports(1)[0]
@@ -66,7 +66,7 @@
         self.status = 200
         self.silent = False
         self.delay_s = 0.0
-        """Time before each answer."""
+        """Delay of each response."""
         self.page_size = 3
         self.calls: list[str] = []
         self.server = make_server(self._handle)
@@ -83,7 +83,7 @@
         return self.put_bytes(key, json.dumps(value).encode())
 
     def put_bytes(self, key: str, data: bytes) -> int:
-        """Write what another writer may leave there."""
+        """Write any data, as another writer of the store may do."""
         self.revision += 1
         self.items[key] = (self.revision, data)
         self._record(key, data)
@@ -95,7 +95,7 @@
         self._record(key, None)
 
     def compact(self) -> None:
-        """Forget the history, which cuts the watches."""
+        """Discard the history, so that watches from an older revision fail."""
         self.compacted = self.revision
         self.history.clear()
         self._wake()
@@ -149,7 +149,7 @@
 
 
 class Endpoint:
-    """An endpoint that answers as its test says."""
+    """An endpoint whose responses the test chooses."""
 
     def __init__(self, name: str, service: str, domain: str) -> None:
         self.name = name
@@ -161,9 +161,9 @@
         self.cancelled = 0
         self.is_down = False
         self.start_time_ms = 1
-        """The start of the life that runs, which an entry may be late to tell."""
+        """Start time of the running incarnation; its entry may show it late."""
         self.state_requests = 0
-        """How often it was asked how it is."""
+        """How often its state was requested."""
         self.server = make_server(self._handle)
 
     @property
@@ -202,7 +202,7 @@
         exchange.connection.abort()
 
     def stream(self, first: int, last: int, *, aborts: bool = False, gap_s: float = 0.0):
-        """Answer with the events of some ids; broken off in the middle of the next event."""
+        """Return a handler that streams events; `aborts` cuts it off within the next event."""
 
         async def answer(exchange: Exchange) -> None:
             kind = (b"Content-Type", b"text/event-stream")
@@ -220,14 +220,14 @@
         return answer
 
     def crash(self) -> None:
-        """End like a process that crashes: all connections break, and nobody listens any more."""
+        """Simulate a crash of the process: abort all connections and stop listening."""
         self.is_down = True
         self.server.stop_accepting()
         for exchange in self.requests:
             exchange.connection.abort()
 
     async def restart(self) -> None:
-        """Listen again at the address after a crash, as another process does."""
+        """Listen again on the address after a crash, as a new incarnation."""
         self.requests.clear()
         self.start_time_ms += 1
         self.server = make_server(self._handle)
@@ -235,7 +235,7 @@
         self.is_down = False
 
     async def answer_state(self, exchange: Exchange) -> None:
-        """Say how it is, as endpoints do beside the requests that they run."""
+        """Respond to a request for the endpoint's state."""
         self.state_requests += 1
         state = {"stage": "combined", "waiting": 0, "running": 0, "born": self.start_time_ms}
         await exchange.answer(200, [], json.dumps(state).encode())
@@ -253,7 +253,7 @@
 
 
 def make_shared_prefix_headers(own: int, tokens: int) -> tuple[Header, ...]:
-    """Give the headers of a request whose prompt has one part in common with others."""
+    """Return the headers of a request whose prompt has a shared prefix and a private segment."""
     return (
         (b"X-Cloverway-Token-Usage", b"%d,30" % (6_000 + tokens)),
         (b"X-Cloverway-Prompt-Prefix", b"a1:6000,%x:%d" % (own, tokens)),
