--- a/cloverway/tests/__init__.py
+++ b/cloverway/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package, one module for each module tested."""
+"""Tests of the package, with one test module for each module under test."""
--- a/cloverway/tests/builders.py
+++ b/cloverway/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small published configurations, views and requests for the tests of decisions."""
+"""Builders of published configurations, views and requests for the tests of decisions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     *, endpoints=2, hosts=2, slots=4, trip_ms=40.0, objective=None, revision=1, **teams
 ):
     address = iter(range(10_000, 60_000))
-    every = list(PROFILES)
+    all_profiles = list(PROFILES)
     return Published.from_documents(
         {
             "revision": revision,
@@ -62,9 +62,9 @@
             },
             "profiles": PROFILES,
             "teams": {
-                "desk": {"home": "curepipe", "profiles": every},
-                "bound": {"home": "rodrigues", "bound": True, "profiles": every},
-                "branch": {"home": "curepipe", "profiles": every},
+                "desk": {"home": "curepipe", "profiles": all_profiles},
+                "bound": {"home": "rodrigues", "bound": True, "profiles": all_profiles},
+                "branch": {"home": "curepipe", "profiles": all_profiles},
                 **teams,
             },
         }
@@ -85,7 +85,7 @@
 
 
 def make_view(published, domain="cu-1", *, now=0.0, free=None, host="cu-1-h0", siblings=()):
-    """Make the view of one host: all endpoints idle, `free` slots in each other domain."""
+    """Return the view of a host: all endpoints idle, `free` slots in each other domain."""
     endpoints = {
         name: EndpointState(
             name,
--- a/cloverway/tests/conftest.py
+++ b/cloverway/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them; --known-red runs just these."""
+"""Deselects and prints the tests that KNOWN-RED.txt lists; --known-red runs only these."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def pytest_addoption(parser):
-    parser.addoption("--known-red", action="store_true", help="run what KNOWN-RED.txt lists")
+    parser.addoption("--known-red", action="store_true", help="run only the tests in KNOWN-RED.txt")
 
 
 def pytest_report_header():
--- a/cloverway/tests/demo.py
+++ b/cloverway/tests/demo.py
@@ -1,8 +1,8 @@
-"""Run the two example deployments, one after the other, and send real calls through them.
+"""Run the two example deployments in sequence and send calls through them.
 
-Each has three regions on this machine: a daemon for every host, a stand-in for every endpoint. The
-answers, and where they ran, are printed; everything that was started is stopped. The exit code is 1
-if an answer is not as expected.
+Each deployment has three regions on this machine, a daemon for each host and a stand-in for each
+endpoint. The answers are printed with the endpoints that gave them, and all processes are stopped at
+the end. The exit code is 1 if an answer is not as expected.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 
 
 class Step(NamedTuple):
-    """One call, and what is expected of it."""
+    """A call and its expected outcome."""
 
     title: str
     team: str
     at: str
-    """The region whose hosts the caller knows."""
+    """The region whose hosts the caller uses."""
     call: Call
     once: bool = False
     regions: tuple[str, ...] = ()
-    """Where it may run; empty where that does not matter."""
+    """Regions in which it may run; empty if any region is allowed."""
     refusal: Kind | None = None
 
 
 class Outcome(NamedTuple):
-    """What came of a call."""
+    """The outcome of a call."""
 
     text: str = ""
     region: str = ""
@@ -57,18 +57,18 @@
 
 
 class Plan(NamedTuple):
-    """The calls of one deployment."""
+    """The calls that are sent to a deployment."""
 
     name: str
     steps: tuple[Step, ...]
     once: Step
-    """A call that must run once; it is repeated with the same key."""
+    """A call that must run at most once; it is repeated with the same key."""
     stop: Step
-    """A stream whose host is told to leave while it runs."""
+    """A stream whose host is stopped by SIGTERM while it runs."""
 
 
 def chat(profile: str, question: str, user: str, tokens: int = TOKENS) -> Call:
-    """Make a streamed question."""
+    """Return a streaming chat call."""
     messages = [{"role": "user", "content": question}]
     return Call.for_chat(profile, messages, stream=True, user=user, max_tokens=tokens)
 
@@ -181,7 +181,7 @@
 ) -> Outcome:
     """Send the call of a step and read its answer to the end.
 
-    `at_first` is called when its first piece has come.
+    `on_first_chunk` is called when the first chunk of the answer has arrived.
     """
     addresses = deployment.list_caller_addresses(step.at)
     client = Client(addresses, f"cw_example-only-{step.team}", patience_s=RETRY_TIMEOUT_S)
@@ -194,7 +194,7 @@
 
 
 def find_mismatches(step: Step, outcome: Outcome) -> Iterator[str]:
-    """Yield what is not as expected of a call."""
+    """Yield the differences between a call's outcome and its expected outcome."""
     if step.refusal is not None:
         if outcome.refusal is None or outcome.refusal.kind is not step.refusal:
             yield f"expected the refusal {step.refusal}, got {describe(outcome)}"
@@ -212,7 +212,7 @@
 def find_repeat_mismatches(
     deployment: Deployment, step: Step, first: Outcome, again: Outcome
 ) -> Iterator[str]:
-    """Yield what is not as expected of a call that was sent twice with one key."""
+    """Yield the mismatches of a call that was sent twice with the same key."""
     runs = deployment.count_runs(step.call.body)
     if runs != 1:
         yield f"expected one run at all services together, they counted {runs}"
@@ -221,7 +221,7 @@
 
 
 def find_stop_mismatches(during: Outcome, after: Outcome, status: int | None) -> Iterator[str]:
-    """Yield what is not as expected of a stream whose host was told to leave."""
+    """Yield the mismatches of a stream whose host was stopped."""
     tokens = len(during.text.split())
     if tokens != LONG_TOKENS:
         yield f"expected {LONG_TOKENS} tokens from the host that left, got {tokens}"
@@ -232,7 +232,7 @@
 
 
 def describe(outcome: Outcome) -> str:
-    """Give an outcome as a short text."""
+    """Describe an outcome in one line."""
     if outcome.refusal is not None:
         error = outcome.refusal
         return f"{error.kind} (ran: {error.ran}): {error.detail}"
@@ -241,7 +241,7 @@
 
 
 def run_plan(plan: Plan, write_line: Callable[[str], Any]) -> list[str]:
-    """Start a deployment, send its calls and stop it; give all faults."""
+    """Start a deployment, send its calls and stop it; return all mismatches."""
     started_at = time.monotonic()
     with Deployment(EXAMPLES / plan.name) as deployment:
         published = deployment.published
@@ -267,7 +267,7 @@
 
 
 def main() -> int:
-    """Run both deployments; give the exit code."""
+    """Run both deployments and the platform call; return the exit code."""
     started_at = time.monotonic()
     mismatches = [
         mismatch for plan in (RIVIERE, CARONI) for mismatch in run_plan(plan, _write_line)
@@ -344,7 +344,7 @@
 
 
 def _extract(text: str, call: Call) -> str:
-    """Give the part of a stand-in's answer that is the same for each repeat."""
+    """Return the part of a stand-in's answer that is equal for each repeat."""
     if "/services/" not in call.path:
         return text
     answer = json.loads(text)
--- a/cloverway/tests/soak.py
+++ b/cloverway/tests/soak.py
@@ -1,7 +1,7 @@
-"""A long random run over real processes: python -m cloverway.tests.soak SECONDS SEED.
+"""A long randomized run with real processes: python -m cloverway.tests.soak SECONDS SEED.
 
 Callers in all regions send lookups, chats and allocations, with repeats at other hosts, while
-faults come and go. In the end the history of all calls is held against what the endpoints counted.
+faults are injected. At the end the history of all calls is compared with the endpoints' run counts.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class CallRecord(NamedTuple):
-    """One attempt of one piece of work, and what its caller saw."""
+    """One attempt of a call, and what its caller saw."""
 
     work_id: str
     kind: str
@@ -39,7 +39,7 @@
 
 
 class Soak:
-    """One run: its fleet, its callers' histories and its faults."""
+    """One run: its fleet, the histories of its callers and its faults."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet = fleet
@@ -50,14 +50,14 @@
         self.timer = threading.Event()
 
     def run(self, seconds: float) -> list[str]:
-        """Run for some seconds and give what was violated."""
+        """Run for some seconds and return the violations."""
         threads = [self._start_caller(number) for number in range(CALLERS)]
         self.timer.wait(WARM_UP_S)
         self._make_faults(time.monotonic() + seconds, Random(self.seed))
         self.stopping.set()
         for thread in threads:
             thread.join(60.0)
-        assert not any(thread.is_alive() for thread in threads), "a caller was never answered"
+        assert not any(thread.is_alive() for thread in threads), "a caller got no answer"
         return list(self._find_violations())
 
     def _start_caller(self, number: int) -> threading.Thread:
@@ -92,7 +92,7 @@
         yield CallRecord(work_id, "chat", team, order[0], result)
 
     def _allocate(self, work_id, team, order, callers, random) -> Iterator[CallRecord]:
-        """Send one allocation one to three times, at one host or at several."""
+        """Send an allocation one to three times, to one or several hosts."""
         issued = callers[order[0], team].request("POST", "/v1/idempotency-keys", json={})
         if issued.status not in (200, 201) or issued.error:
             return
@@ -128,25 +128,25 @@
         return lambda: self.fleet.resume(host)
 
     def _replace(self, random: Random) -> Callable[[], None]:
-        """Stop a host as planned, and start a new one at its address."""
+        """Stop a host in a planned way, and start a new one with its address."""
         host = self._choose_host(random)
         self.fleet.terminate(host)
 
         def start_again() -> None:
             status = self.fleet.processes[host].wait(30.0)
-            assert status == 0, f"a planned stop of {host} ended with {status}"
+            assert status == 0, f"a planned stop of {host} exited with status {status}"
             self.fleet.restart(host)
 
         return start_again
 
     def _cut(self, random: Random) -> Callable[[], None]:
-        """Cut the hosts of a region off from every peer."""
+        """Cut the links of a region's hosts."""
         for link in self._find_links(random):
             link.cut()
         return self.fleet.heal
 
     def _silence(self, random: Random) -> Callable[[], None]:
-        """Keep connections to the hosts of a region open, but pass nothing, or nothing one way."""
+        """Keep connections to a region's hosts open, but drop data in one or both directions."""
         directions = random.choice([(), (TO_TARGET,), (TO_CALLER,)])
         for link in self._find_links(random):
             link.blackhole(*directions)
@@ -170,7 +170,7 @@
         return self.fleet.remotes[name].clear_faults
 
     def _drain_endpoint(self, random: Random) -> Callable[[], None]:
-        """Let a service leave, and come back as a new incarnation."""
+        """Let a service leave and return as a new incarnation."""
         name = random.choice(self.fleet.topology.list_names("services"))
         self.fleet.remotes[name].set_state(leaving=True)
 
@@ -184,16 +184,16 @@
         return lambda: self.fleet.resume("platform")
 
     def _find_violations(self) -> Iterator[str]:
-        entries = [entry for history in self.histories for entry in history]
+        records = [record for history in self.histories for record in history]
         runs, regions = self._count_runs()
         attempts: dict[str, list[CallRecord]] = defaultdict(list)
-        for entry in entries:
-            attempts[entry.work_id].append(entry)
-            result = entry.result
+        for record in records:
+            attempts[record.work_id].append(record)
+            result = record.result
             if result.status == 200 and not result.error and not result.complete:
-                yield f"{entry}: a part or another's answer was given as whole"
+                yield f"{record}: a truncated answer or another call's answer was taken as complete"
             if result.status not in (200, 0) and not result.problem and not result.error:
-                yield f"{entry}: no problem document"
+                yield f"{record}: no problem document"
         for work_id, tries in attempts.items():
             yield from self._check_work(work_id, tries, runs[work_id], regions[work_id])
 
@@ -201,15 +201,15 @@
         first = tries[0]
         if first.kind == "allocate" and runs > 1:
             yield f"{work_id}: ran {runs} times: {tries}"
-        if runs and all(entry.result.ran == "no" for entry in tries):
-            yield f"{work_id}: ran though each caller was told it did not: {tries}"
-        if not runs and any(entry.result.complete for entry in tries):
-            yield f"{work_id}: answered though it never ran: {tries}"
+        if runs and all(record.result.ran == "no" for record in tries):
+            yield f"{work_id}: ran although each caller was told that it did not: {tries}"
+        if not runs and any(record.result.complete for record in tries):
+            yield f"{work_id}: answered although it never ran: {tries}"
         if first.team.startswith("bound-") and regions - {first.team.removeprefix("bound-")}:
             yield f"{work_id}: data of {first.team} was served in {regions}"
-        bodies = {entry.result.body for entry in tries if entry.result.complete}
+        bodies = {record.result.body for record in tries if record.result.complete}
         if first.kind == "allocate" and len(bodies) > 1:
-            yield f"{work_id}: two answers to one allocation: {bodies}"
+            yield f"{work_id}: different answers to one allocation: {bodies}"
 
     def _count_runs(self) -> tuple[Counter[str], dict[str, set[str]]]:
         runs: Counter[str] = Counter()
@@ -224,24 +224,27 @@
 
 
 def check_recovered(fleet: Fleet) -> list[str]:
-    """Give the hosts that serve nobody some time after the last fault."""
+    """Return the hosts that don't serve callers some time after the last fault."""
     unserved = set(fleet.hosts)
     give_up_at = time.monotonic() + RECOVERY_S
     while unserved and time.monotonic() < give_up_at:
         unserved = {host for host in unserved if not Caller(fleet.url(host)).chat("after").complete}
-    return [f"{host}: serves nobody after the faults" for host in sorted(unserved)]
+    return [f"{host}: does not serve callers after the faults" for host in sorted(unserved)]
 
 
 def main(seconds: float, seed: int) -> int:
     with Fleet(Topology(), platform="http", links=True) as fleet:
         soak = Soak(fleet, seed)
         violations = soak.run(seconds) + check_recovered(fleet)
-    entries = [entry for history in soak.histories for entry in history]
+    records = [record for history in soak.histories for record in history]
     outcomes = Counter(
-        (entry.kind, entry.result.kind or ("whole" if entry.result.complete else "no whole answer"))
-        for entry in entries
+        (
+            record.kind,
+            record.result.kind or ("whole" if record.result.complete else "no whole answer"),
+        )
+        for record in records
     )
-    print(f"seed {seed}: {len(entries)} requests, {sum(soak.faults.values())} faults")
+    print(f"seed {seed}: {len(records)} requests, {sum(soak.faults.values())} faults")
     print("faults: " + ", ".join(f"{count} {name}" for name, count in sorted(soak.faults.items())))
     for (kind, outcome), count in sorted(outcomes.items()):
         print(f"  {kind}: {outcome}: {count}")
--- a/cloverway/tests/test_days.py
+++ b/cloverway/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The days of our own in deploy/days: each can be read and names its reason."""
+"""The days in deploy/days: each is valid TOML and starts with a comment that states its reason."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 DAYS = Path(__file__).parents[2] / "deploy" / "days"
 PLACEHOLDERS = ("@c0", "@s0", "@z0")
 SITE_SPECIFIC = {"deadly": {"dossier-review"}}
-"""Days that the users gave word by word; their hunts leave them out on other sites."""
+"""Days that the users specified literally; they are skipped on other sites."""
 FIELDS = {
     *("at", "kind", "for_s", "share", "count", "x", "gap_s", "how", "on"),
     *("zone", "to_zone", "region", "service", "class"),
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("path", sorted(DAYS.glob("*.toml")), ids=lambda path: path.stem)
-def test_a_day_can_be_read_and_names_its_reason(path):
+def test_a_day_is_valid_and_states_its_reason(path):
     text = path.read_text(encoding="utf-8")
     day = tomllib.loads(text)
     assert text.startswith("# ")
@@ -29,7 +29,7 @@
     for entry in entries:
         assert entry.keys() <= FIELDS
         assert entry["at"] >= 0
-        # A site's own names would leave the day out on every other site.
+        # A day that names parts of one site would be skipped on every other site.
         named = [entry[key] for key in ("zone", "service", "class") if key in entry]
         assert set(named) <= SITE_SPECIFIC.get(path.stem, set(PLACEHOLDERS))
 
--- a/cloverway/tests/test_standins.py
+++ b/cloverway/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins keep to the protocols that the tests of the system rely on."""
+"""The stand-ins follow the protocols on which the system tests rely."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
     return "".join(delta.get("content", "") for delta in deltas)
 
 
-def test_engine_answers_whole_and_by_stream():
+def test_engine_answers_at_once_and_by_stream():
     with Engine() as engine:
-        whole = ask(engine).json()
+        answer = ask(engine).json()
         stream = ask(engine, stream=True).data
-    wanted = expected_text("hello", "ann", 4)
-    assert whole["choices"][0]["message"]["content"] == wanted
-    assert text_of(stream) == wanted
+    expected = expected_text("hello", "ann", 4)
+    assert answer["choices"][0]["message"]["content"] == expected
+    assert text_of(stream) == expected
     assert engine.counts()["total"] == 2
 
 
@@ -72,7 +72,7 @@
     assert start + answer["choices"][0]["message"]["content"] == expected_text("hello", "ann", 4)
 
 
-def test_engine_cancels_a_run_whose_caller_left():
+def test_engine_cancels_a_run_whose_caller_disconnected():
     with Engine(timing=Timing(token_s=0.02)) as engine:
         with pytest.raises(urllib3.exceptions.TimeoutError):
             ask(engine, tokens=10_000, timeout=0.1, headers={"X-Request-Id": "r1"})
@@ -120,7 +120,7 @@
     assert service.by_body == {"x": 2}
 
 
-def test_faults_of_a_whole_answer():
+def test_faults_of_an_unstreamed_answer():
     with Service() as service:
         for switches in ({"short_body": True}, {"cut_after": 10}, {"close_at_once": True}):
             service.faults.set(times=1, **switches)
@@ -133,7 +133,7 @@
     assert service.total == 4
 
 
-def test_platform_watches_freezes_and_goes_back():
+def test_platform_can_be_watched_frozen_and_restarted_with_older_data():
     with Platform(documents={"organisation": {"name": "riviere"}}) as platform:
         first = HTTP.request("GET", f"{platform.url}/v1/config?after=0").json()
         assert first["revision"] == 1
@@ -149,7 +149,7 @@
         assert HTTP.request("POST", f"{platform.url}/v1/config", body=b"{}").status == 405
 
 
-def test_platform_list_lags():
+def test_platform_delays_its_host_list():
     with Platform(list_lag_s=3600.0) as platform:
         platform.set_listed(hosts={"pl-1": "leaving"})
         assert HTTP.request("GET", f"{platform.url}/v1/hosts").json()["hosts"] == {}
@@ -165,7 +165,7 @@
     assert 429 in statuses
 
 
-def test_link_cuts_silences_and_restores():
+def test_link_cuts_drops_data_and_restores():
     with Service() as service, Link(service.address) as link:
         url = f"{link.url}/x"
         assert HTTP.request("POST", url, body=b"a").status == 200
@@ -181,7 +181,7 @@
     assert service.by_body["c"] == 0
 
 
-def test_link_passes_datagrams():
+def test_link_forwards_datagrams():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as target:
         target.bind(("127.0.0.1", 0))
         target.settimeout(5)
@@ -191,7 +191,7 @@
             assert target.recv(16) == b"one"
 
 
-def test_fleet_starts_and_ends_its_processes():
+def test_fleet_starts_and_stops_its_processes():
     topology = Topology(regions=("pl",), hosts=1)
     with Fleet(topology, platform="http", links=True, daemons=False) as fleet:
         assert ask(fleet.remotes["pl-a-engine-1"]).status == 200
@@ -213,7 +213,7 @@
     assert published.revision == 1
 
 
-def test_link_tells_its_callers_apart():
+def test_link_distinguishes_its_clients():
     with Service() as service, socket.create_connection(("127.0.0.1", service.port)) as known:
         port = known.getsockname()[1]
         assert find_owner("tcp", port, {"other": 1, "own": os.getpid()}) == "own"
@@ -226,7 +226,7 @@
     assert service.by_body["b"] == 0
 
 
-def test_engine_holds_a_stream_until_let_go():
+def test_engine_holds_a_stream_until_the_switch_is_off():
     with Engine() as engine, ThreadPoolExecutor(1) as pool:
         engine.faults.set(hold_after=2)
         answer = pool.submit(ask, engine, stream=True)
--- a/cloverway/tests/test_variants.py
+++ b/cloverway/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Deployments made from a published one: each figure lands where it is read, and a seed decides."""
+"""Variants of a published deployment: each factor is applied to its parameter, seeds repeat."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 }
 
 
-def test_a_deployment_that_is_written_reads_back_the_same() -> None:
-    """Also one whose names hold quotes and backslashes."""
+def test_a_formatted_deployment_parses_to_the_same_value() -> None:
+    """This includes names with quotes and backslashes."""
     assert tomllib.loads(format_site(SITE)) == SITE
 
 
-def test_each_figure_is_multiplied_where_it_stands() -> None:
-    """Only what the variant names is changed, in the days as in the whole."""
+def test_each_factor_is_applied_to_its_parameter() -> None:
+    """Only these parameters change, in the deployment and in its days."""
     variant = Variant(
         prefill=0.5,
         step=2.0,
@@ -67,16 +67,16 @@
     assert site["net"] == {"cross_region_ms": 90.0}
 
 
-def test_a_seed_gives_the_same_deployment_each_time_and_another_for_others() -> None:
-    """What one sitting saw on a seed, the next can play again."""
+def test_a_seed_always_gives_the_same_variant_and_seeds_differ() -> None:
+    """A result that was seen with a seed can be reproduced."""
     drawn = [draw_variant(seed) for seed in range(40)]
     assert drawn == [draw_variant(seed) for seed in range(40)]
     assert len(set(drawn)) > 35
 
 
 @pytest.mark.parametrize("name", [*NAMED_VARIANTS, "7"])
-def test_a_deployment_is_written_beside_the_files_that_it_needs(name: str, tmp_path: Path) -> None:
-    """By name and by seed; what stands beside the published one comes along."""
+def test_a_deployment_is_written_with_the_files_that_it_needs(name: str, tmp_path: Path) -> None:
+    """The files beside the published deployment are copied, for names and for seeds."""
     source = tmp_path / "from" / "site.toml"
     source.parent.mkdir()
     source.write_text(format_site(SITE), encoding="utf-8")
--- a/cloverway/tests/variants.py
+++ b/cloverway/tests/variants.py
@@ -1,10 +1,10 @@
-"""Deployments of our own, made from a published one, by name or by seed.
+"""Create variants of a published deployment, by name or by seed.
 
     python -m cloverway.tests.variants SITE FOLDER NAME-OR-SEED...
 
-What is decided must not hang on the figures of the deployments that are known. Each seed draws
-other engines, loads, trips and wanted pauses; the same seed gives the same deployment. The files
-that are made, and the one that they are made from, stay out of the repository.
+Variants show whether decisions depend on the parameters of the known deployments. Each seed draws
+other engines, loads, latencies and token gaps; a seed always gives the same deployment. Neither the
+source file nor the created files belong into the repository.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 
 class Variant(NamedTuple):
-    """By what each figure of the deployment is multiplied."""
+    """Factors by which the parameters of the deployment are multiplied."""
 
     prefill: float = 1.0
-    """Prompt tokens that an engine reads in a second."""
+    """Prefill speed of an engine, in tokens a second."""
     step: float = 1.0
-    """Time of an engine's step."""
+    """Duration of a decode step of an engine."""
     kv_memory: float = 1.0
-    """Tokens of an engine's memory."""
+    """Size of an engine's KV cache, in tokens."""
     load: float = 1.0
-    """Requests a second."""
+    """Request rate."""
     token_gap: float = 1.0
-    """The longest wanted pause between two events."""
+    """Objective for the longest inter-token gap."""
     latency: float = 1.0
-    """Time of the way between regions."""
+    """Network latency between regions."""
     private_prompt: float = 1.0
-    """Tokens of prompts that no other request shares."""
+    """Prompt tokens that no other request shares."""
     service_work: float = 1.0
-    """Work of a request to a plain service."""
+    """Service time of a request to a plain service."""
 
 
 NAMED_VARIANTS = {
@@ -51,11 +51,11 @@
     "large-prompts": Variant(private_prompt=1.8, load=0.9),
     "long-trips": Variant(latency=2.5, load=1.2),
 }
-"""Some by name: the curve over the load, and one for each thing that may bind."""
+"""Named variants: a series of loads, and one variant for each possible bottleneck."""
 
 
 def draw_variant(seed: int) -> Variant:
-    """Draw a deployment; most have more to do than their engines bear at the peaks."""
+    """Draw a variant; most overload their engines at the peaks."""
     random = Random(seed)
     return Variant(
         prefill=random.choice([0.5, 0.66, 0.8, 1.0, 1.25]),
@@ -70,7 +70,7 @@
 
 
 def change_site(site: Table, name: str, variant: Variant) -> Table:
-    """Give the deployment with its figures multiplied."""
+    """Apply the factors of a variant to a deployment and return it."""
     site["name"] = name
     for service in site["services"]:
         if "llm" in service:
@@ -95,7 +95,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Give a value as TOML, tables inline."""
+    """Format a value as TOML, with inline tables."""
     if isinstance(value, dict):
         return (
             "{ " + ", ".join(f"{key} = {format_value(item)}" for key, item in value.items()) + " }"
@@ -111,7 +111,7 @@
 
 
 def format_site(site: Table) -> str:
-    """Give a deployment as TOML."""
+    """Format a deployment as TOML."""
     service_work = {key: value for key, value in site.items() if not isinstance(value, dict)}
     tables = {key: value for key, value in site.items() if isinstance(value, dict)}
     days = service_work.pop("day", [])
@@ -122,7 +122,7 @@
 
 
 def make_variants(source: Path, folder: Path, names: list[str]) -> list[Path]:
-    """Write a deployment for each name or seed; give the files."""
+    """Write a deployment for each name or seed, and return the paths of the files."""
     folder.mkdir(parents=True, exist_ok=True)
     made = []
     for name in names:
