--- a/cloverway/tests/demo.py
+++ b/cloverway/tests/demo.py
@@ -1,8 +1,8 @@
 """Run the two example deployments in sequence and send calls through them.
 
 Each deployment has three regions on this machine, a daemon for each host and a stand-in for each
-endpoint. The answers are printed with the endpoints that gave them, and all processes are stopped at
-the end. The exit code is 1 if an answer is not as expected.
+endpoint. The answers are printed with the endpoints that gave them, and all processes are stopped
+at the end. The exit code is 1 if an answer is not as expected.
 """
 
 from __future__ import annotations
