--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -1,4 +1,7 @@
-"""Measure what control costs a host of a fleet: python -m cloverway.tests.bench_fleet."""
+"""Measure the control costs of a host of a fleet: python -m cloverway.tests.bench_fleet.
+
+The printed times are the best of three runs.
+"""
 
 from __future__ import annotations
 
@@ -72,7 +75,7 @@
 
 
 def measure_documents() -> None:
-    """Measure what a reader spends on each write of an endpoint, and a follower on a change."""
+    """Measure what an endpoint's write costs a store reader, and what a change costs a follower."""
 
     def make(number: int, revision: int, state: str) -> Document:
         name = f"servers/i-{number:08d}"
--- a/cloverway/tests/bench_gateway.py
+++ b/cloverway/tests/bench_gateway.py
@@ -1,7 +1,7 @@
-"""Measure what the gateway adds to a direct call: `python -m cloverway.tests.bench_gateway`.
+"""Measure the overhead of the gateway over direct calls: `python -m cloverway.tests.bench_gateway`.
 
-One daemon and a few engine stand-ins run as processes of their own. Calls go through the daemon
-and straight to the engines in turn, in one run.
+One daemon and several stand-in engines run as separate processes. In one run, calls alternate
+between the daemon and the engines themselves.
 """
 
 from __future__ import annotations
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -1,4 +1,4 @@
-"""Measure idempotency keys: the claim's hop, the ledger's memory, and what a lost host costs.
+"""Measure idempotency keys: latency of a claim, memory of the ledger, effect of a lost host.
 
 python -m cloverway.tests.bench_keys [hop] [memory] [loss]
 """
@@ -43,17 +43,17 @@
 LIMITS = Bounds(1_000_000, 3_600.0, 64 * 1024 * 1024, 256 * 1024)
 
 
-def store_anywhere(*_: str) -> bool:
+def allow_storing(*_: str) -> bool:
     return True
 
 
 def make_ledger_task(host: str) -> LedgerTask:
     ledger = Ledger(host, "i1", secrets.token_bytes(32), LIMITS, time.monotonic())
-    return LedgerTask(ledger, store_anywhere)
+    return LedgerTask(ledger, allow_storing)
 
 
 def serve_issuer(pipe) -> None:
-    """Be the issuing host, in a process of its own, until told to stop."""
+    """Run the issuing host in a child process until it receives "stop"."""
     keys = make_ledger_task("h1")
     keys.start()
     handler = FakeHandler()
@@ -66,16 +66,16 @@
 
 
 def measure_hop() -> None:
-    """Time claims and settlements at the own ledger, on open and on new connections."""
+    """Time claims in the local ledger, and claims and settlements at another host."""
     context = multiprocessing.get_context("spawn")
-    ours, theirs = context.Pipe()
-    process = context.Process(target=serve_issuer, args=(theirs,))
+    parent_pipe, child_pipe = context.Pipe()
+    process = context.Process(target=serve_issuer, args=(child_pipe,))
     process.start()
-    address, keys = ours.recv()
+    address, keys = parent_pipe.recv()
     local = make_ledger_task("h2")
     local.start()
     client = PeerClient(Identity("h2", "i1"), SECRET, PeerLimits())
-    claims = Claims(local, client, {"h1": address}.get, store_anywhere)
+    claims = Claims(local, client, {"h1": address}.get, allow_storing)
     local_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
     remote_keys = iter(keys)
     settle = SettleCall(keys[0], "t", "p", "nobody", Settlement.NOT_RUN)
@@ -93,8 +93,8 @@
     print("| step | p50 ms | p95 ms | p99 ms | CPU here us | CPU at issuer us |")
     print("| --- | ---: | ---: | ---: | ---: | ---: |")
     for name, step in steps.items():
-        print(f"| {name} | {' | '.join(time_step(step, ours))} |")
-    ours.send("stop")
+        print(f"| {name} | {' | '.join(time_step(step, parent_pipe))} |")
+    parent_pipe.send("stop")
     local.stop()
     process.join()
 
@@ -106,23 +106,23 @@
     local_cpu_s, issuer_cpu_s = time.process_time(), issuer.recv()
     times = []
     for _ in range(CLAIMS):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         step()
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
     issuer.send("time")
     local_cpu_s, issuer_cpu_s = time.process_time() - local_cpu_s, issuer.recv() - issuer_cpu_s
-    cuts = statistics.quantiles(times, n=100)
-    figures = [f"{cuts[at] * 1e3:.2f}" for at in (49, 94, 98)]
-    return figures + [f"{spent / CLAIMS * 1e6:.0f}" for spent in (local_cpu_s, issuer_cpu_s)]
+    percentiles = statistics.quantiles(times, n=100)
+    columns = [f"{percentiles[at] * 1e3:.2f}" for at in (49, 94, 98)]
+    return columns + [f"{cpu_s / CLAIMS * 1e6:.0f}" for cpu_s in (local_cpu_s, issuer_cpu_s)]
 
 
 def measure_memory() -> None:
-    """Count the bytes of a ledger for each used key, and time its calls."""
+    """Measure the ledger's memory for each used key, and the time of its calls."""
     ledger = Ledger("h1", "i1", SECRET, LIMITS, 0.0)
     keys = ledger.issue((secrets.token_bytes(NONCE_BYTES) for _ in range(KEYS)), 0.0)
-    began = time.process_time()
+    started_at = time.process_time()
     names = [ParsedKey.parse(key) for key in keys]
-    parse_s = time.process_time() - began
+    parse_s = time.process_time() - started_at
     del names
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -130,9 +130,9 @@
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     ledger = Ledger("h1", "i1", SECRET, LIMITS, 0.0)
-    began = time.process_time()
+    started_at = time.process_time()
     use_keys(ledger, keys)
-    spent_s = time.process_time() - began
+    spent_s = time.process_time() - started_at
     print(f"bytes for each used key: {(used - before) / KEYS:.0f}")
     print(f"parse a key: {parse_s / KEYS * 1e6:.1f} us")
     print(f"claim and settle in the ledger: {spent_s / KEYS * 1e6:.1f} us")
@@ -146,14 +146,14 @@
 
 
 class Scenario(NamedTuple):
-    """One deployment at the moment when one of its hosts is lost."""
+    """A deployment in which one host is lost or stopped."""
 
     rate: float
-    """Requests a second with keys of each host."""
+    """Requests with keys a second, for each host."""
     key_age_s: float
-    """Mean time from getting a key to the first send."""
+    """Mean time from the issue of a key to the first send."""
     drain_s: float | None
-    """How long a host that leaves answers claims, or None for one that is lost."""
+    """How long a leaving host answers claims; None for a host that is lost suddenly."""
     answer_loss_probability: float = 0.01
     hosts: int = 8
     execution_s: float = 2.0
@@ -161,7 +161,7 @@
 
 
 class HostLossSimulation:
-    """Real ledgers on virtual time; host 0 is replaced at time 0, before which all is in order."""
+    """Real ledgers in virtual time; host 0 is replaced at time 0, and nothing fails before that."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -179,7 +179,7 @@
         heapq.heappush(self.events, (time_s, next(self.numbers), step))
 
     def run(self) -> Counter[str]:
-        """Give the count of requests by outcome, for those that were open at the loss."""
+        """Run all events and return the number of requests by outcome."""
         at = self.start
         while at < 60.0:
             at += self.random.expovariate(self.scenario.rate * self.scenario.hosts)
@@ -194,7 +194,7 @@
         self.ledgers[0] = self.make_ledger(0, "i2")
 
     def begin(self, now: float) -> None:
-        # A host that leaves issues no keys while it drains.
+        # A leaving host issues no keys while it drains.
         leaving = -(self.scenario.drain_s or 0) <= now < 0
         issuer = self.random.randrange(1 if leaving else 0, self.scenario.hosts)
         (key,) = self.ledgers[issuer].issue([next(self.numbers).to_bytes(NONCE_BYTES, "big")], now)
@@ -235,21 +235,21 @@
 
 
 def measure_loss() -> None:
-    """Count the requests whose outcome a caller can't learn when one of eight hosts is lost."""
+    """Count the requests whose outcome stays unknown to callers when one of eight hosts is lost."""
     print("| rate a host | key held | stop | unknown, first send | unknown, repeat | of a minute |")
     print("| ---: | ---: | --- | ---: | ---: | ---: |")
-    stops = {None: "sudden", 2.0: "planned, stays 2 s", 30.0: "planned, stays 30 s"}
-    for drain_s, rate, key_age_s in itertools.product(stops, (1.0, 10.0), (0.05, 5.0, 60.0)):
+    stop_kinds = {None: "sudden", 2.0: "planned, stays 2 s", 30.0: "planned, stays 30 s"}
+    for drain_s, rate, key_age_s in itertools.product(stop_kinds, (1.0, 10.0), (0.05, 5.0, 60.0)):
         scenario = Scenario(rate, key_age_s, drain_s)
         runs = [HostLossSimulation(scenario, seed).run() for seed in range(5)]
         first = [run["unknown, first send"] for run in runs]
         repeat = [run["unknown, repeat"] for run in runs]
-        share = statistics.mean(map(sum, zip(first, repeat, strict=True)))
-        share /= rate * scenario.hosts * 60
+        fraction = statistics.mean(map(sum, zip(first, repeat, strict=True)))
+        fraction /= rate * scenario.hosts * 60
         print(
-            f"| {rate:g}/s | {key_age_s:g} s | {stops[drain_s]} "
+            f"| {rate:g}/s | {key_age_s:g} s | {stop_kinds[drain_s]} "
             f"| {statistics.mean(first):.1f} ({min(first)} to {max(first)}) "
-            f"| {statistics.mean(repeat):.1f} ({min(repeat)} to {max(repeat)}) | {share:.2%} |"
+            f"| {statistics.mean(repeat):.1f} ({min(repeat)} to {max(repeat)}) | {fraction:.2%} |"
         )
 
 
--- a/cloverway/tests/bench_model.py
+++ b/cloverway/tests/bench_model.py
@@ -1,7 +1,7 @@
-"""A small model of engines, hosts and callers in virtual time, around the real core.
+"""A simulation of engines, hosts and callers in virtual time, around the real dispatch core.
 
-An engine has slots, reads cold prompt bytes one request after the other, honours priorities and
-keeps few prefixes. Each host runs its own core and sees reports and summaries late.
+An engine has slots, prefills uncached prompt bytes one request at a time, observes priorities and
+caches a few prefixes. Each host runs its own core and receives reports and summaries with a delay.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class Scenario(NamedTuple):
-    """One scenario, but for its policy and seed.
+    """A scenario without its policy and seed.
 
-    `endpoints` counts them in each region, `rates` gives requests a second and region by profile,
-    `objective` weighs tail latency and being sent away.
+    `endpoints` has the number of endpoints in each region, `rates` the requests a second and region
+    by profile, and `objective` the weights of tail latency and of requests sent to other regions.
     """
 
     endpoints: tuple[int, ...] = (8,)
@@ -62,7 +62,7 @@
 
 
 class Engine:
-    """Model one replica."""
+    """A replica of the model."""
 
     def __init__(self, scenario, clock):
         self.scenario, self.clock = scenario, clock
@@ -112,7 +112,7 @@
 
 
 class Clock:
-    """Run events in order of virtual time."""
+    """A virtual clock that runs events in order of time."""
 
     def __init__(self):
         self.now, self.order, self.events = 0.0, itertools.count(), []
@@ -127,7 +127,7 @@
 
 
 class Call:
-    """One caller's request, and what became of it."""
+    """A caller's request and its outcome."""
 
     def __init__(self, request, decode_s, prefix):
         self.request, self.decode_s, self.prefix = request, decode_s, prefix
@@ -136,7 +136,7 @@
 
 
 class Attempt:
-    """One try to run a call: from a host to an engine, or to a host of another domain."""
+    """An attempt to run a call, sent from a host to an engine or to a host of another domain."""
 
     def __init__(self, simulation, host, call, request, origin=None):
         self.simulation, self.host, self.call = simulation, host, call
@@ -190,7 +190,7 @@
 
 
 class Host:
-    """Run one core, with its late view."""
+    """A host with its dispatch core and its delayed view."""
 
     def __init__(self, simulation, name, region, settings):
         self.simulation, self.name, self.region = simulation, name, region
@@ -227,7 +227,7 @@
 
 
 class Simulation:
-    """All regions of one run."""
+    """One run with all regions."""
 
     def __init__(self, scenario, policy, seed):
         self.scenario, self.seed, self.clock = scenario, seed, Clock()
--- a/cloverway/tests/bench_policy.py
+++ b/cloverway/tests/bench_policy.py
@@ -1,4 +1,4 @@
-"""Measure the decisions: the real core in virtual time, against small models of engines.
+"""Measure dispatch policies: the real core in virtual time, with simulated engines.
 
 python -m cloverway.tests.bench_policy [shared peaks overload faults refusals]
 """
@@ -18,61 +18,66 @@
 from cloverway.tests.bench_model import Scenario, Simulation, make_settings
 
 
-def quantile(values, fraction):
+def compute_quantile(values, fraction):
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else float("inf")
 
 
 def measure(scenario, policy, seed):
-    """Run once and give the figures of the calls that came after the warm-up."""
-    every = Simulation(scenario, policy, seed).run()
-    calls = [call for call in every if scenario.warm_up_s <= call.request.arrived_at]
+    """Run a scenario once and return the metrics of the calls that arrived after the warm-up."""
+    all_calls = Simulation(scenario, policy, seed).run()
+    calls = [call for call in all_calls if scenario.warm_up_s <= call.request.arrived_at]
     done = [call for call in calls if call.done_at and call.done_at <= call.request.deadline]
     urgent = [call for call in done if call.request.profile == "urgent"]
-    span = scenario.seconds - 15 - scenario.warm_up_s
+    duration_s = scenario.seconds - 15 - scenario.warm_up_s
     slots = scenario.slots * sum(scenario.endpoints)
     return {
-        "p50": quantile([first_token_s(call) for call in done], 0.5),
-        "p99": quantile([first_token_s(call) for call in done], 0.99),
-        "whole p99": quantile([call.done_at - call.request.arrived_at for call in done], 0.99),
-        "urgent p99": quantile([call.done_at - call.request.arrived_at for call in urgent], 0.99),
+        "p50": compute_quantile([compute_first_token_time(call) for call in done], 0.5),
+        "p99": compute_quantile([compute_first_token_time(call) for call in done], 0.99),
+        "whole p99": compute_quantile(
+            [call.done_at - call.request.arrived_at for call in done], 0.99
+        ),
+        "urgent p99": compute_quantile(
+            [call.done_at - call.request.arrived_at for call in urgent], 0.99
+        ),
         "hits": sum(call.hit for call in done) / max(1, len(done)),
         "away": sum(call.away for call in done) / max(1, len(done)),
         "in time": len(done) / len(calls),
-        "goodput": sum(slot_time_s(scenario, call) for call in every) / (span * slots),
+        "goodput": sum(compute_slot_time(scenario, call) for call in all_calls)
+        / (duration_s * slots),
         "late": sum(call.done_at is not None for call in calls) - len(done),
-        "batch in time": completed_fraction(calls, "dossier"),
+        "batch in time": compute_completed_fraction(calls, "dossier"),
         "attempts": mean(call.attempts for call in calls if call.attempts or call.refused is None),
         "recover_s": find_recovery(calls),
     }
 
 
-def slot_time_s(scenario, call):
-    """Give the slot seconds of an answer that came in time, while requests arrived."""
+def compute_slot_time(scenario, call):
+    """Return the slot time of an answer within its deadline, while requests still arrived."""
     if not call.done_at or call.done_at > call.request.deadline:
         return 0.0
     end = min(call.done_at, scenario.seconds - 15)
     return max(0.0, end - max(call.started_at, scenario.warm_up_s))
 
 
-def first_token_s(call):
+def compute_first_token_time(call):
     return call.first_at - call.request.arrived_at
 
 
-def completed_fraction(calls, profile):
-    mine = [call for call in calls if call.request.profile == profile]
-    return sum(call.done_at is not None for call in mine) / max(1, len(mine))
+def compute_completed_fraction(calls, profile):
+    selected = [call for call in calls if call.request.profile == profile]
+    return sum(call.done_at is not None for call in selected) / max(1, len(selected))
 
 
 def find_recovery(calls, fault_at=30.0, fraction=0.99):
-    """Give the seconds after a fault from which on each second's calls are served again."""
+    """Return the seconds after a fault until the calls of each second are served again."""
     served, all_calls = Counter(), Counter()
     for call in calls:
         second = int(call.request.arrived_at - fault_at)
         all_calls[second] += 1
         served[second] += call.done_at is not None and call.done_at <= call.request.deadline
-    bad = [s for s, count in all_calls.items() if s >= 0 and served[s] < fraction * count]
-    return float(max(bad) + 1) if bad else 0.0
+    bad_seconds = [s for s, count in all_calls.items() if s >= 0 and served[s] < fraction * count]
+    return float(max(bad_seconds) + 1) if bad_seconds else 0.0
 
 
 URGENT_RATES = (("urgent", 8.0),)
@@ -141,8 +146,8 @@
     print("| --- | --- |" + " ---: |" * len(COLUMNS))
     for name, (scenario, policies) in SECTIONS[section].items():
         for policy in policies:
-            figures = list(pool.map(run_one, [(scenario, policy, seed) for seed in range(seeds)]))
-            cells = [format_cell([figure[column] for figure in figures]) for column in COLUMNS]
+            results = list(pool.map(run_one, [(scenario, policy, seed) for seed in range(seeds)]))
+            cells = [format_cell([result[column] for result in results]) for column in COLUMNS]
             print(f"| {name} | {policy} | " + " | ".join(cells) + " |", flush=True)
 
 
@@ -153,7 +158,7 @@
 
 
 def time_refusals(count=4000, threads=8):
-    """Time refusals of a real dispatcher whose slots and queue are full."""
+    """Measure how long a real dispatcher with full slots and queue takes to refuse a request."""
     simulation = Simulation(Scenario((4,), 1), "cloverway", 0)
     simulation.collect_reports()
     simulation.summarize_regions()
@@ -171,12 +176,13 @@
         return not isinstance(verdict, Admitted), time.monotonic() - begin
 
     with ThreadPoolExecutor(threads) as pool:
-        took = [seconds for refused, seconds in pool.map(submit, range(count)) if refused]
+        durations = [seconds for refused, seconds in pool.map(submit, range(count)) if refused]
     dispatcher.stop()
     parts = ", ".join(
-        f"p{fraction * 100:g} {quantile(took, fraction) * 1000:.2f} ms" for fraction in (0.5, 0.99)
+        f"p{fraction * 100:g} {compute_quantile(durations, fraction) * 1000:.2f} ms"
+        for fraction in (0.5, 0.99)
     )
-    print(f"refusals: {len(took)} of {count} from {threads} threads: {parts}")
+    print(f"refusals: {len(durations)} of {count} from {threads} threads: {parts}")
 
 
 COLUMNS = (
--- a/cloverway/tests/bench_requests.py
+++ b/cloverway/tests/bench_requests.py
@@ -1,7 +1,8 @@
-"""Measure the processor time of one whole request: `python -m cloverway.tests.bench_requests`.
+"""Measure the CPU time of a complete request: `python -m cloverway.tests.bench_requests`.
 
-Lookups go through one daemon to a plain service at three rates; the slope of processor time over
-requests is the cost of one. An idle run gives the cost of the control loop with so few members.
+Lookups go through a daemon to a plain service at three rates; the slope of CPU time over requests
+is the cost of one request. A run without requests gives the cost of the control loop in a fleet of
+this size.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def send(caller: Caller, rate: float, until: float) -> int:
-    """Send lookups at a rate, one after the other; give how many were whole."""
+    """Send lookups in sequence at a rate, and return how many were answered completely."""
     completed, period, due = 0, THREADS / rate, time.monotonic()
     pause = threading.Event()
     while due < until:
@@ -32,7 +33,7 @@
 
 
 def measure(fleet: Fleet, host: str, rate: int) -> tuple[int, float, float]:
-    """Give requests, cores and memory in MB of a daemon at a rate."""
+    """Return the requests, CPU cores and memory in MB of a daemon at a rate."""
     pid = fleet.processes[host].pid
     counts: list[int] = []
     before, begin = read_usage(pid), time.monotonic()
