--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -50,7 +50,7 @@
     return time.process_time() - started
 
 
-def make_heartbeat(others: int, offers: int) -> Heartbeat:
+def make_heartbeat(host_count: int, service_count: int) -> Heartbeat:
     host = HostState(
         "10.1.0.35:8146", 1 << 50, "pl-a", "north", "10.1.0.35:1", "10.1.0.35:2", True, False, 12
     )
@@ -59,8 +59,8 @@
         5,
         1000,
         200,
-        (host,) * others,
-        tuple(RegionOffer(f"service-{n}", 30, 12, 9_000) for n in range(offers)),
+        (host,) * host_count,
+        tuple(RegionOffer(f"service-{n}", 30, 12, 9_000) for n in range(service_count)),
     )
 
 
@@ -100,8 +100,10 @@
 
 def main() -> None:
     messages = {
-        f"heartbeat of {others} hosts, {offers} services": make_heartbeat(others, offers)
-        for others, offers in ((0, 0), (8, 0), (8, 17))
+        f"heartbeat of {host_count} hosts, {service_count} services": make_heartbeat(
+            host_count, service_count
+        )
+        for host_count, service_count in ((0, 0), (8, 0), (8, 17))
     }
     messages |= {f"uses of {count} endpoints": make_uses(count) for count in (1, 4, 90)}
     for name, message in messages.items():
--- a/cloverway/tests/matrix/faults.py
+++ b/cloverway/tests/matrix/faults.py
@@ -28,13 +28,13 @@
 
 def list_subjects(testbed: FaultTestbed, pending: PendingCall, subject: str) -> list[str]:
     """Return the processes that a subject names."""
-    endpoints = testbed.endpoints(pending.call)
+    endpoints = testbed.list_endpoints(pending.call)
     others = [host for host in testbed.fleet.hosts if host != ENTRY]
     return {
         "host": [ENTRY],
         "endpoint": endpoints,
         "one endpoint": endpoints[:1],
-        "far": testbed.hosts(REMOTE),
+        "far": testbed.list_hosts(REMOTE),
         "peers": others,
         "second": [SECOND_ENTRY],
     }[subject]
@@ -106,7 +106,7 @@
 
 def list_leaving_endpoint(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Make an endpoint leave while the platform's list shows it as live."""
-    first = testbed.endpoints(pending.call)[0]
+    first = testbed.list_endpoints(pending.call)[0]
     testbed.fleet.remotes["platform"].post("/test/list", endpoints={first: "live"})
     testbed.mark_leaving(first)
 
@@ -116,12 +116,12 @@
 
 
 def answer_twice(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
-    testbed.set_faults(testbed.endpoints(pending.call), duplicate=True)
+    testbed.set_faults(testbed.list_endpoints(pending.call), duplicate=True)
 
 
 def delay_settlement(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
     """Delay the traffic between the hosts of the home region."""
-    for name in testbed.hosts(HOME):
+    for name in testbed.list_hosts(HOME):
         testbed.fleet.links[name].slow(0.3)
 
 
@@ -129,8 +129,8 @@
     """Hold the answers of a region's endpoints and send calls until its hosts refuse them."""
     region = REMOTE if subject == "far" else HOME
     filler = Call("lookup", team=f"bound-{region}", deadline_ms=9000)
-    testbed.set_faults(testbed.endpoints(filler), hold=True)
-    for name in testbed.hosts(region) if subject == "far" else [ENTRY]:
+    testbed.set_faults(testbed.list_endpoints(filler), hold=True)
+    for name in testbed.list_hosts(region) if subject == "far" else [ENTRY]:
         testbed.fill_queue(name, filler)
 
 
@@ -138,7 +138,9 @@
     """Publish two versions of a document concurrently and wait until all hosts apply the last."""
     values = (4200, 4700)
     list(testbed.pool.map(testbed.publish_deadline, values))
-    wait_until(lambda: testbed.has_revision(testbed.platform_revision()), 5, "all hosts to agree")
+    wait_until(
+        lambda: testbed.has_revision(testbed.get_platform_revision()), 5, "all hosts to agree"
+    )
 
 
 def withdraw_profile(testbed: FaultTestbed, pending: PendingCall, subject: str) -> None:
--- a/cloverway/tests/matrix/runner.py
+++ b/cloverway/tests/matrix/runner.py
@@ -60,11 +60,11 @@
     result = _release(testbed, cell, pending)
     answer_s = time.monotonic() - released
     testbed.resume()
-    runs = testbed.runs(pending.tag)
+    runs = testbed.count_runs(pending.tag)
     testbed.fleet.heal()
     testbed.clear_faults()
     repeats = _repeat(testbed, pending)
-    observed = Observation(result, answer_s, runs, repeats, testbed.runs(pending.tag))
+    observed = Observation(result, answer_s, runs, repeats, testbed.count_runs(pending.tag))
     described = tuple(describe(repeat) for repeat in repeats)
     return Outcome(describe(result), runs, described, tuple(_judge(cell, observed)), answer_s)
 
--- a/cloverway/tests/matrix/steps.py
+++ b/cloverway/tests/matrix/steps.py
@@ -75,12 +75,12 @@
     headers |= {"Idempotency-Key": pending.key} if pending.key else {}
     for header, value in headers.items():
         connection.putheader(header, value)
-    before = testbed.in_progress(ENTRY)
+    before = testbed.count_in_progress(ENTRY)
     connection.endheaders(body[: len(body) // 2])
 
     def is_head_read() -> bool:
         readable = select.select([connection.sock], [], [], 0)[0]
-        return bool(readable) or testbed.in_progress(ENTRY) > before
+        return bool(readable) or testbed.count_in_progress(ENTRY) > before
 
     wait_until(is_head_read, 5, "the head to be read, or refused")
 
@@ -107,14 +107,16 @@
 
 def begin_queue(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
     """Fill every slot of the region with calls that are held, and queue one more call."""
-    endpoints = testbed.endpoints(call)
+    endpoints = testbed.list_endpoints(call)
     testbed.warm_up(ENTRY, call)
     testbed.set_faults(endpoints, hold=True)
     testbed.fill_slots(ENTRY, Call("lookup", team=call.team, deadline_ms=9000))
     pending = _make_pending(testbed, call, name)
-    before = testbed.queued(ENTRY)
+    before = testbed.count_queued(ENTRY)
     _send_in_background(testbed, pending)
-    wait_until(lambda: testbed.queued(ENTRY) > before or pending.result.done(), 5, "a queued call")
+    wait_until(
+        lambda: testbed.count_queued(ENTRY) > before or pending.result.done(), 5, "a queued call"
+    )
     assert not pending.result.done(), pending.result.result()
     pending.release = testbed.clear_faults  # type: ignore[method-assign]
     return pending
@@ -126,7 +128,7 @@
     Before that, wait until the host uses every endpoint of its region again after the fault of an
     earlier cell, and send calls that succeed, because the retry budget is a fraction of these.
     """
-    endpoints = set(testbed.endpoints(call))
+    endpoints = set(testbed.list_endpoints(call))
     wait_until(
         lambda: testbed.list_available_endpoints(ENTRY, call) >= endpoints,
         20,
@@ -140,7 +142,7 @@
 
 def begin_send(testbed: FaultTestbed, call: Call, name: str) -> PendingCall:
     """Let the links forward only a part of the body."""
-    links = [testbed.fleet.links[endpoint] for endpoint in testbed.endpoints(call)]
+    links = [testbed.fleet.links[endpoint] for endpoint in testbed.list_endpoints(call)]
     before = sum(link.held for link in links)
     for link in links:
         link.hold_large(1000)
@@ -188,14 +190,14 @@
 
 
 def _begin_held(testbed: FaultTestbed, call: Call, name: str, **hold: object) -> PendingCall:
-    testbed.set_faults(testbed.endpoints(call), **hold)
+    testbed.set_faults(testbed.list_endpoints(call), **hold)
     pending = _make_pending(testbed, call, name)
     _send_in_background(testbed, pending)
 
     def has_reached_endpoint() -> bool:
         # A refused call never reaches an endpoint; its result then shows the cause.
         assert not pending.result.done(), pending.result.result()
-        return testbed.runs(pending.tag) == 1
+        return testbed.count_runs(pending.tag) == 1
 
     wait_until(has_reached_endpoint, 5, "the request to reach an endpoint")
     pending.release = testbed.clear_faults  # type: ignore[method-assign]
--- a/cloverway/tests/matrix/testbed.py
+++ b/cloverway/tests/matrix/testbed.py
@@ -103,12 +103,12 @@
         """Return a unique tag under which the runs of one call are counted."""
         return f"{name}-{next(self._numbers)}"
 
-    def endpoints(self, call: Call) -> list[str]:
+    def list_endpoints(self, call: Call) -> list[str]:
         """Return the endpoints that may run a call in its own region."""
         names = self.fleet.topology.list_names(call.endpoint_kind)
         return [name for name in names if name.startswith(f"{call.region}-")]
 
-    def hosts(self, region: str) -> list[str]:
+    def list_hosts(self, region: str) -> list[str]:
         return [name for name in self.fleet.hosts if name.startswith(f"{region}-")]
 
     def send(self, host: str, pending: PendingCall, timeout_s: float = 9.0) -> Result:
@@ -126,15 +126,15 @@
     def request_key(self, call: Call, host: str = ENTRY) -> str:
         return Caller(self.fleet.url(host), call.team).request_key() if call.at_most_once else ""
 
-    def runs(self, tag: str) -> int:
+    def count_runs(self, tag: str) -> int:
         """Return how often calls with a tag ran at all endpoints together."""
-        return self._runs_of_killed[tag] + sum(self.runs_at(tag).values())
+        return self._runs_of_killed[tag] + sum(self.count_runs_by_endpoint(tag).values())
 
-    def runs_at(self, tag: str) -> dict[str, int]:
+    def count_runs_by_endpoint(self, tag: str) -> dict[str, int]:
         """Return the number of runs with a tag at each reachable endpoint that ran any."""
-        asked = [name for name in self.fleet.remotes if name != "platform"]
-        asked = [name for name in asked if name not in self._killed | self._paused]
-        counts = {name: self._count_at(name, tag) for name in asked}
+        reachable = [name for name in self.fleet.remotes if name != "platform"]
+        reachable = [name for name in reachable if name not in self._killed | self._paused]
+        counts = {name: self._count_at(name, tag) for name in reachable}
         return {name: count for name, count in counts.items() if count}
 
     def _count_at(self, name: str, tag: str) -> int:
@@ -242,7 +242,7 @@
 
     def fill_slots(self, host: str, call: Call) -> None:
         """Send calls, whose answers are held, until every slot of the region is taken."""
-        endpoints = self.endpoints(call)
+        endpoints = self.list_endpoints(call)
         waiting: list[Future[Result]] = []
 
         def send_filler_and_check() -> bool:
@@ -273,9 +273,9 @@
         call = Call(deadline_ms=1000)
         return all(
             self.send(
-                asked, PendingCall(call, self.make_tag("probe"), self.request_key(call, issuer))
+                runner, PendingCall(call, self.make_tag("probe"), self.request_key(call, issuer))
             ).complete
-            for asked, issuer in ((ENTRY, SECOND_ENTRY), (SECOND_ENTRY, ENTRY))
+            for runner, issuer in ((ENTRY, SECOND_ENTRY), (SECOND_ENTRY, ENTRY))
         )
 
     def are_slots_taken(self, names: list[str]) -> bool:
@@ -287,11 +287,11 @@
         answer = urllib3.request("GET", self.fleet.remotes[name].url + path, retries=False)
         return int(answer.json()["running"])
 
-    def in_progress(self, host: str) -> int:
+    def count_in_progress(self, host: str) -> int:
         """Return how many requests a host has accepted and not answered yet."""
         return self._read_count(host, "in_progress")
 
-    def queued(self, host: str) -> int:
+    def count_queued(self, host: str) -> int:
         """Return how many requests are queued at a host."""
         return self._read_count(host, "queued")
 
@@ -306,7 +306,7 @@
         answer = urllib3.request("POST", url, json=question, retries=False).json()
         return {place["place"] for place in answer["candidates"] if place["free"]}
 
-    def platform_revision(self) -> int:
+    def get_platform_revision(self) -> int:
         return int(self.fleet.remotes["platform"].set_state()["revision"])
 
     def has_revision(self, revision: int) -> bool:
--- a/cloverway/tests/standins/base.py
+++ b/cloverway/tests/standins/base.py
@@ -46,7 +46,7 @@
         self._task: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         self.requests = 0
         self.answered = False
 
@@ -55,7 +55,7 @@
         self._server.open_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone.set()
+        self.disconnected.set()
         self._writable.set()
         self._server.open_connections.discard(self)
 
@@ -70,7 +70,7 @@
         self._serve_next()
 
     def _serve_next(self) -> None:
-        if self._task is not None or self.gone.is_set():
+        if self._task is not None or self.disconnected.is_set():
             return
         request = self._parse()
         if request is not None:
@@ -127,9 +127,9 @@
         end = next((end for end in ends if end is not None), len(body))
         self.write(head + body[:end])
         if faults.stall_after is not None:
-            await self.gone.wait()
+            await self.disconnected.wait()
         if faults.hold_after is not None:
-            await self._server.faults.wait_released(self.gone)
+            await self._server.faults.wait_released(self.disconnected)
             self.write(body[end:])
         if faults.short_body or faults.cut_after is not None:
             self._transport.close()
@@ -154,7 +154,7 @@
         self.write(b"0\r\n\r\n")
 
     def write(self, data: bytes) -> None:
-        if self.gone.is_set():
+        if self.disconnected.is_set():
             raise ConnectionError("client disconnected")
         self.answered = True
         self._transport.write(data)
@@ -162,7 +162,7 @@
     def cut(self) -> None:
         """Reset the connection."""
         self._transport.abort()
-        self.gone.set()
+        self.disconnected.set()
         self.answered = True
 
     def close(self) -> None:
--- a/cloverway/tests/standins/completions.py
+++ b/cloverway/tests/standins/completions.py
@@ -46,7 +46,7 @@
     ) -> None:
         self._run = run
         self._form = form
-        self._channel = connection
+        self._connection = connection
         self._faults = faults
         self._live = live
 
@@ -54,9 +54,9 @@
         """Send the output as a stream or in one response."""
         if self._faults.close_at_once:
             await self._wait_for_tokens(1)
-            self._channel.cut()
+            self._connection.cut()
         elif self._faults.silent:
-            await self._channel.gone.wait()
+            await self._connection.disconnected.wait()
         elif stream:
             await self.stream(0)
         else:
@@ -66,53 +66,53 @@
         await self._wait_for_tokens(self._run.total)
         await self._delay_first_byte()
         if self._faults.error or self._run.state in ("lost", "cancelled"):
-            self._channel.send_json(self._faults.error or 500, {"error": {"type": "failed"}})
+            self._connection.send_json(self._faults.error or 500, {"error": {"type": "failed"}})
             return
         body = make_completion(self._run, self._form)
-        await self._channel.send_faulty(self._faults, "application/json", body)
+        await self._connection.send_faulty(self._faults, "application/json", body)
 
     async def stream(self, start: int) -> None:
         """Stream the tokens from number `start` on as they are generated, and the end."""
         await self._wait_for_tokens(start + 1)
         await self._delay_first_byte()
         if self._faults.error:
-            self._channel.send_json(self._faults.error, {"error": {"type": "failed"}})
+            self._connection.send_json(self._faults.error, {"error": {"type": "failed"}})
             return
-        self._channel.start_chunked("text/event-stream")
+        self._connection.start_chunked("text/event-stream")
         sent = start
         while sent < self._run.total:
             end = min(await self._wait_for_tokens(sent + 1), self._run.total)
             for number, token in enumerate(self._run.tokens(sent, end), sent):
                 if await self._apply_midstream_fault(number):
                     return
-                await self._channel.send_chunk(make_event(self._run, token, self._form))
+                await self._connection.send_chunk(make_event(self._run, token, self._form))
             if end <= sent:
-                self._channel.cut()
+                self._connection.cut()
                 return
             sent = end
         if await self._apply_midstream_fault(self._run.total):
             return
-        await self._channel.send_chunk(make_last_event(self._run))
-        await self._channel.send_chunk(DONE)
-        self._channel.end_chunked()
+        await self._connection.send_chunk(make_last_event(self._run))
+        await self._connection.send_chunk(DONE)
+        self._connection.end_chunked()
         if self._faults.duplicate:
-            self._channel.start_chunked("text/event-stream")
-            await self._channel.send_chunk(make_event(self._run, "late ", self._form))
-            self._channel.end_chunked()
+            self._connection.start_chunked("text/event-stream")
+            await self._connection.send_chunk(make_event(self._run, "late ", self._form))
+            self._connection.end_chunked()
 
     async def _delay_first_byte(self) -> None:
         await asyncio.sleep(self._faults.first_byte_s)
         if self._faults.hold:
-            await self._live.wait_released(self._channel.gone)
+            await self._live.wait_released(self._connection.disconnected)
 
     async def _apply_midstream_fault(self, sent: int) -> bool:
         if self._faults.hold_after == sent:
-            await self._live.wait_released(self._channel.gone)
+            await self._live.wait_released(self._connection.disconnected)
         if self._faults.stall_after == sent:
-            await self._channel.gone.wait()
+            await self._connection.disconnected.wait()
             return True
         if self._faults.cut_after == sent:
-            self._channel.close()
+            self._connection.close()
             return True
         return False
 
@@ -127,10 +127,10 @@
             and self._run.state != "interrupted"
         ):
             progress = asyncio.ensure_future(self._run.progress.wait())
-            gone = asyncio.ensure_future(self._channel.gone.wait())
-            await asyncio.wait((progress, gone), return_when=asyncio.FIRST_COMPLETED)
+            disconnected = asyncio.ensure_future(self._connection.disconnected.wait())
+            await asyncio.wait((progress, disconnected), return_when=asyncio.FIRST_COMPLETED)
             progress.cancel()
-            gone.cancel()
-            if self._channel.gone.is_set():
+            disconnected.cancel()
+            if self._connection.disconnected.is_set():
                 raise ConnectionError("client disconnected")
         return self._run.generated
--- a/cloverway/tests/standins/deployment.py
+++ b/cloverway/tests/standins/deployment.py
@@ -188,13 +188,13 @@
 
 def _make_command(endpoint: Endpoint) -> tuple[str, list[str]]:
     host, _, port = endpoint.url.removeprefix("http://").rpartition(":")
-    place = ["--host", host, "--port", port, "--slots", str(endpoint.slots)]
+    options = ["--host", host, "--port", port, "--slots", str(endpoint.slots)]
     if endpoint.kind is EndpointKind.SERVICE:
         return "cloverway.tests.standins.service", [
-            *place,
+            *options,
             "--services",
             ",".join(endpoint.services),
         ]
     models = ",".join(endpoint.models)
-    engine = [*place, "--models", models, "--token-s", TOKEN_S]
+    engine = [*options, "--models", models, "--token-s", TOKEN_S]
     return "cloverway.tests.standins.engine", engine
--- a/cloverway/tests/standins/engine.py
+++ b/cloverway/tests/standins/engine.py
@@ -179,7 +179,7 @@
             answer = Answer(run, COMPLETIONS[request.path], connection, faults, live=self.faults)
             await answer.send(stream=bool(body.get("stream")))
         finally:
-            if connection.gone.is_set() or run.state == "running":
+            if connection.disconnected.is_set() or run.state == "running":
                 self.batch.interrupt(run)
 
     def _make_run(self, request: Request, body: dict[str, Any]) -> Run:
@@ -207,7 +207,7 @@
             form = request.query.get("form", "chat")
             await Answer(run, form, connection, faults, live=self.faults).stream(start)
         finally:
-            if connection.gone.is_set():
+            if connection.disconnected.is_set():
                 self.batch.interrupt(run)
 
 
--- a/cloverway/tests/standins/faults.py
+++ b/cloverway/tests/standins/faults.py
@@ -39,9 +39,9 @@
     def clear(self) -> None:
         self.__dict__.update(self.DEFAULTS)
 
-    async def wait_released(self, gone: asyncio.Event) -> None:
+    async def wait_released(self, disconnected: asyncio.Event) -> None:
         """Wait until `hold` and `hold_after` are off or the client disconnected."""
-        while (self.hold or self.hold_after is not None) and not gone.is_set():
+        while (self.hold or self.hold_after is not None) and not disconnected.is_set():
             await asyncio.sleep(POLL_S)
 
     def take_for_request(self) -> Faults:
--- a/cloverway/tests/standins/fleet.py
+++ b/cloverway/tests/standins/fleet.py
@@ -274,9 +274,9 @@
             address = self.remotes["platform"].url.removeprefix("http://")
             platform = {"kind": "http", "url": "http://" + self._link("platform", address)}
         platform["poll_s"] = 0.2
-        for name, place in self.hosts.items():
+        for name, addresses in self.hosts.items():
             more = self.topology.settings
-            settings = make_settings(name, place, platform, str(secret), more)
+            settings = make_settings(name, addresses, platform, str(secret), more)
             path = self.folder / f"{name}.toml"
             path.write_text(to_toml(settings))
             arguments = ["--settings", str(path)]
--- a/cloverway/tests/standins/owners.py
+++ b/cloverway/tests/standins/owners.py
@@ -17,9 +17,9 @@
 
 
 def _find_inodes(kind: str, port: int) -> set[str]:
-    wanted = f":{port:04X}"
+    suffix = f":{port:04X}"
     rows = (line.split() for line in SOCKET_TABLES[kind].read_text().splitlines()[1:])
-    return {row[9] for row in rows if row[1].endswith(wanted)}
+    return {row[9] for row in rows if row[1].endswith(suffix)}
 
 
 def _list_sockets(pid: int) -> set[str]:
--- a/cloverway/tests/standins/platform.py
+++ b/cloverway/tests/standins/platform.py
@@ -94,9 +94,9 @@
         self.call(lambda: self._restart(revision))
 
     def _restart(self, revision: int) -> None:
-        kept = [entry for entry in self._history if entry[0] <= revision]
+        retained = [entry for entry in self._history if entry[0] <= revision]
         self.revision, self._history, self._documents = 0, [], {}
-        for _, key, value in kept:
+        for _, key, value in retained:
             self._put(key, value)
         for connection in list(self.open_connections):
             connection.cut()
@@ -135,7 +135,7 @@
             connection.send_json(429, {"error": "too many calls"}, {"Retry-After": "1"})
             return
         if self.faults.silent:
-            await connection.gone.wait()
+            await connection.disconnected.wait()
             return
         await asyncio.sleep(self.slow_s + self.faults.first_byte_s)
         if self.faults.error:
--- a/cloverway/tests/standins/service.py
+++ b/cloverway/tests/standins/service.py
@@ -107,7 +107,7 @@
             await self._finish_call(request, connection, faults)
         finally:
             self.running -= 1
-        self.cancelled += connection.gone.is_set()
+        self.cancelled += connection.disconnected.is_set()
 
     def _count(self, request: Request) -> None:
         self.by_path[request.path] += 1
@@ -120,11 +120,11 @@
             connection.cut()
             return
         if faults.silent:
-            await connection.gone.wait()
+            await connection.disconnected.wait()
             return
         await asyncio.sleep(self.work_s + faults.first_byte_s)
         if faults.hold:
-            await self.faults.wait_released(connection.gone)
+            await self.faults.wait_released(connection.disconnected)
         if faults.error:
             connection.send_json(faults.error, {"error": {"type": "failed"}})
             return
