--- a/cloverway/tests/bench_fleet.py
+++ b/cloverway/tests/bench_fleet.py
@@ -1,4 +1,7 @@
-"""Measure what control costs a host of a fleet: python -m cloverway.tests.bench_fleet."""
+"""Measure the control costs of a host of a fleet: python -m cloverway.tests.bench_fleet.
+
+The printed times are the best of three runs.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,7 @@
     return time.process_time() - started
 
 
-def make_heartbeat(others: int, offers: int) -> Heartbeat:
+def make_heartbeat(host_count: int, service_count: int) -> Heartbeat:
     host = HostState(
         "10.1.0.35:8146", 1 << 50, "pl-a", "north", "10.1.0.35:1", "10.1.0.35:2", True, False, 12
     )
@@ -56,8 +59,8 @@
         5,
         1000,
         200,
-        (host,) * others,
-        tuple(RegionOffer(f"service-{n}", 30, 12, 9_000) for n in range(offers)),
+        (host,) * host_count,
+        tuple(RegionOffer(f"service-{n}", 30, 12, 9_000) for n in range(service_count)),
     )
 
 
@@ -72,7 +75,7 @@
 
 
 def measure_documents() -> None:
-    """Measure what a reader spends on each write of an endpoint, and a follower on a change."""
+    """Measure what an endpoint's write costs a store reader, and what a change costs a follower."""
 
     def make(number: int, revision: int, state: str) -> Document:
         name = f"servers/i-{number:08d}"
@@ -97,8 +100,10 @@
 
 def main() -> None:
     messages = {
-        f"heartbeat of {others} hosts, {offers} services": make_heartbeat(others, offers)
-        for others, offers in ((0, 0), (8, 0), (8, 17))
+        f"heartbeat of {host_count} hosts, {service_count} services": make_heartbeat(
+            host_count, service_count
+        )
+        for host_count, service_count in ((0, 0), (8, 0), (8, 17))
     }
     messages |= {f"uses of {count} endpoints": make_uses(count) for count in (1, 4, 90)}
     for name, message in messages.items():
