--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -259,7 +259,7 @@
         self._newly_heard.add(host)
 
     def check(self, own_revision: int, expected_peers: Iterable[str], now: float) -> Readiness:
-        """Return the readiness, given the own revision and the peers that are expected to respond."""
+        """Return whether this host is ready, given its revision and the peers that must respond."""
         self._drop_silent_peers(now)
         if own_revision < 1:
             return Readiness(False, "no configuration was accepted yet")
