--- a/cloverway/config/revisions.py
+++ b/cloverway/config/revisions.py
@@ -25,7 +25,7 @@
 """Maximum findings in a rejection; one mistake in a region can affect thousands of teams."""
 
 MAX_REJECTED_REVISIONS = 100
-"""Rejected revisions that are remembered, so that they are not fetched from peers again."""
+"""Number of recently rejected revisions to keep, so that peers are not asked for them again."""
 
 
 class Accepted(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class Unchanged(NamedTuple):
-    """The changes hold nothing new."""
+    """The changes contain nothing new."""
 
     revision: int
 
--- a/cloverway/config/schema.py
+++ b/cloverway/config/schema.py
@@ -82,7 +82,7 @@
 
 
 class Domain(NamedTuple):
-    """A failure domain: its hosts and endpoints fail or are cut off together."""
+    """A failure domain: its hosts and endpoints fail, or lose their network, together."""
 
     region: Name
 
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -166,7 +166,10 @@
             registry, "request_seconds", "Time from arrival to the end", TIME_BOUNDS_S
         )
         self._queue_times = _HistogramPair(
-            registry, "queue_seconds", "Time from arrival to the first route", TIME_BOUNDS_S
+            registry,
+            "queue_seconds",
+            "Time from arrival to the first endpoint selection",
+            TIME_BOUNDS_S,
         )
 
     def _make_counters(self) -> None:
--- a/cloverway/upstream/framing.py
+++ b/cloverway/upstream/framing.py
@@ -165,8 +165,8 @@
 class EventStream:
     """Server-sent events in a framed body, forwarded event by event.
 
-    The `[DONE]` event is held back until the end of the body was parsed, so that a stream which is
-    truncated between the two does not look complete to a caller that checks only one of them.
+    The `[DONE]` event is not forwarded before the end of the body was parsed. Otherwise a stream
+    that is truncated between the two would look complete to a caller that checks only `[DONE]`.
     """
 
     def __init__(self, body: BodyParser) -> None:
