--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -98,7 +98,7 @@
         idempotent: bool,
         max_gap_s: float,
         priority: int,
-        pre_send_check: PreSendCheck,
+        check_before_send: PreSendCheck,
     ) -> Reply:
         """Send; return once the header of the answer, or all of it, arrived.
 
@@ -265,7 +265,7 @@
             idempotent=profile.idempotent,
             max_gap_s=profile.gap_ms / 1000,
             priority=int(profile.priority),
-            pre_send_check=lambda: self._check_before_send(gateway.ports.holder.current.domain),
+            check_before_send=lambda: self._check_before_send(gateway.ports.holder.current.domain),
         )
 
     def _check_before_send(self, domain: str) -> None:
--- a/cloverway/tests/bench_relay.py
+++ b/cloverway/tests/bench_relay.py
@@ -124,7 +124,7 @@
                     idempotent=True,
                     max_gap_s=10,
                     priority=1,
-                    pre_send_check=lambda: None,
+                    check_before_send=lambda: None,
                 )
                 sock.sendall(HEAD + chunk(next(iter(reply.stream))))
                 reply.stream.relay_to(sock)
--- a/cloverway/tests/stream_harness.py
+++ b/cloverway/tests/stream_harness.py
@@ -43,7 +43,7 @@
             idempotent=True,
             max_gap_s=max_gap_s,
             priority=1,
-            pre_send_check=lambda: None,
+            check_before_send=lambda: None,
         ).stream
         assert stream is not None
         return stream
--- a/cloverway/tests/test_connection_reuse.py
+++ b/cloverway/tests/test_connection_reuse.py
@@ -163,9 +163,9 @@
         connection.answer(b"{}", b"503 Busy\r\nCloverway-Ran: no")
 
     with RawEndpoint(answer_once_and_close, refuse) as endpoint:
-        send(client, endpoint.url, pre_send_check=check)
+        send(client, endpoint.url, check_before_send=check)
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, pre_send_check=check)
+            send(client, endpoint.url, check_before_send=check)
     assert failure.value.ran is Ran.UNKNOWN
     assert failure.value.kind in {Kind.ENDPOINT_FAILED, Kind.TIMED_OUT}
 
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -171,7 +171,7 @@
 
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, idempotent=False, pre_send_check=refuse)
+            send(client, endpoint.url, idempotent=False, check_before_send=refuse)
         wait_until(lambda: endpoint.closed_count == 1, what="close")
         assert endpoint.requests == []
     assert failure.value.ran is Ran.NO
@@ -324,7 +324,7 @@
 def test_caller_disconnects_before_the_first_byte_is_sent(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, pre_send_check=lambda: client.abort("r1"))
+            send(client, endpoint.url, check_before_send=lambda: client.abort("r1"))
         assert failure.value.kind is Kind.CALLER_LEFT
 
 
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -65,10 +65,10 @@
         self.before_check: Callable[[], None] = lambda: None
 
     def send(
-        self, url: str, request: Request, *, pre_send_check: Callable[[], None], **_: Any
+        self, url: str, request: Request, *, check_before_send: Callable[[], None], **_: Any
     ) -> Reply:
         self.before_check()
-        pre_send_check()
+        check_before_send()
         self.sent += 1
         return self._answer()
 
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -72,7 +72,7 @@
     max_gap_s: float
     """Longest allowed inter-token gap, in seconds."""
     priority: int
-    pre_send_check: Callable[[], None]
+    check_before_send: Callable[[], None]
     """Called just before the first byte is sent; raises if the request must not be sent."""
 
 
@@ -121,7 +121,7 @@
         idempotent: bool,
         max_gap_s: float,
         priority: int,
-        pre_send_check: Callable[[], None],
+        check_before_send: Callable[[], None],
     ) -> Reply:
         """Send a request and return its complete answer or its stream; raise RequestError.
 
@@ -129,7 +129,7 @@
         must not be sent any more.
         """
         call = EndpointCall(
-            split_url(url), request, idempotent, max_gap_s, priority, pre_send_check
+            split_url(url), request, idempotent, max_gap_s, priority, check_before_send
         )
         with (
             self._pending.track(request.id) if idempotent else nullcontext(PendingExchange())
@@ -240,7 +240,7 @@
         )
         connection.timed_socket.begin(call.request.deadline, read_timeout_s)
         headers = _make_headers(call, now)
-        call.pre_send_check()
+        call.check_before_send()
         connection.request(
             call.request.method, call.request.path, body=call.request.body or None, headers=headers
         )
