--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -31,7 +31,12 @@
 
 
 def send(client: EndpointClient, url: str, request: Request | None = None, **options) -> Reply:
-    defaults = {"idempotent": True, "max_gap_s": 5.0, "priority": 1, "pre_send_check": lambda: None}
+    defaults = {
+        "idempotent": True,
+        "max_gap_s": 5.0,
+        "priority": 1,
+        "check_before_send": lambda: None,
+    }
     return client.send(url, request or make_request(), **(defaults | options))
 
 
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -125,7 +125,7 @@
     ) -> Reply:
         """Send a request and return its complete answer or its stream; raise RequestError.
 
-        `pre_send_check` is called just before the first byte is sent; it raises if the request
+        `check_before_send` is called just before the first byte is sent; it raises if the request
         must not be sent any more.
         """
         call = EndpointCall(
