--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -179,11 +179,9 @@
     """Yield the gauges of a host with their current values."""
     revision = view.published.revision if view.published else 0
     yield Gauge("revision", "Revision of the configuration in force", revision)
-    yield Gauge("ready", "Whether the host is ready for requests", float(view.ready))
+    yield Gauge("ready", "Whether the host takes work", float(view.ready))
     yield Gauge("leaving", "Whether the host is leaving", float(view.leaving))
-    yield Gauge(
-        "platform_stale", "Whether the platform is behind or conflicts", float(view.platform_stale)
-    )
+    yield Gauge("platform_stale", "Whether peers know more", float(view.platform_stale))
     yield Gauge("in_progress", "Requests in progress", in_progress)
     states = Counter(
         "leaving" if endpoint.leaving else "ready" if endpoint.ready else "unready"
--- a/cloverway/operations/metrics.py
+++ b/cloverway/operations/metrics.py
@@ -168,7 +168,7 @@
         self._queue_times = _HistogramPair(
             registry,
             "queue_seconds",
-            "Time from arrival to the first endpoint selection",
+            "Time from arrival to the first route",
             TIME_BOUNDS_S,
         )
 
