--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -118,16 +118,20 @@
         return self.count_in_progress()
 
     def _has_pending_work(self) -> bool:
-        """Return whether requests are in progress, or callers have unused keys issued here.
+        """Return whether requests are in progress, or keys issued here may still be used.
 
-        A key whose issuer is gone can't be used: its caller would get `ran: unknown` for work
+        A key can't be used once its issuer is gone: the caller would get `ran: unknown` for work
         that was never started.
         """
         key_hold_s = self.settings.limits.key_hold_s
         return self.count_in_progress() > 0 or self.keys.is_needed(key_hold_s)
 
     def count_in_progress(self) -> int:
-        """Return the number of requests from callers and of those forwarded by other hosts."""
+        """Return the number of requests in progress, from callers and forwarded by other hosts.
+
+        The caller server also counts queued requests, the dispatcher also those of other hosts.
+        Most requests are in both counts, so this is the larger of the two.
+        """
         return max(self.callers.in_progress(), self.dispatcher.count_in_flight())
 
     def stop(self) -> None:
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -30,10 +30,10 @@
 NOT_STARTED_KINDS = frozenset(
     {Kind.ENDPOINT_REFUSED, Kind.LEAVING, Kind.STARTING, Kind.NO_CAPACITY}
 )
-"""Refusals before the start, after which a request of any profile may be retried elsewhere."""
+"""Refusals of a request that was not started, which may be retried elsewhere for any profile."""
 
 IDEMPOTENT_RETRY_KINDS = frozenset({Kind.ENDPOINT_FAILED, Kind.TRUNCATED})
-"""Failures after the start, after which only an idempotent request is retried."""
+"""Failures of a request that may have been started; only an idempotent one is retried."""
 
 
 class RequestRecord(NamedTuple):
@@ -50,7 +50,7 @@
 
 
 class KeyClaims(Protocol):
-    """Requests from the issuer of a key the right to use it."""
+    """Claims the right to use an idempotency key from the host that issued it."""
 
     def claim(self, request: Request) -> Granted | Replayed:
         """Return the right, or the recorded answer of the first use; raise RequestError."""
@@ -80,7 +80,7 @@
         retry: bool = False,
         requested_pause_s: float | None = None,
     ) -> Verdict | None:
-        """Report how an attempt ended, and return another route if `retry` is set.
+        """Report how an attempt ended; with `retry`, wait for another route or a refusal.
 
         `requested_pause_s` is how long the endpoint asked this host to send no requests, if it did.
         """
@@ -100,9 +100,11 @@
         priority: int,
         check_before_send: PreSendCheck,
     ) -> Reply:
-        """Send; return once the header of the answer, or all of it, arrived.
+        """Send a request; return once the header of the answer, or all of it, has arrived.
 
-        Raises RequestError with `ran` set.
+        `max_gap_s` is the longest allowed inter-token gap. `check_before_send` is called just
+        before the first byte is sent; it raises if the request must not be sent any more. Raise
+        RequestError with `ran` set.
         """
         ...
 
@@ -119,7 +121,7 @@
         idempotent: bool = False,
         start_by: float | None = None,
     ) -> Reply:
-        """Forward and return the answer; raise RequestError with `ran` set."""
+        """Forward a request and return the answer; raise RequestError with `ran` set."""
         ...
 
 
@@ -149,9 +151,9 @@
         self.max_recorded_bytes = max_recorded_bytes
 
     def run(self, request: Request) -> Reply:
-        """Run a request to the header of its answer.
+        """Run a request; return once the header of its answer, or all of it, has arrived.
 
-        Raises RequestError, whose `ran` covers all attempts.
+        Raise RequestError, whose `ran` covers all attempts.
         """
         request_run = _RequestRun(self, request)
         try:
--- a/cloverway/messages.py
+++ b/cloverway/messages.py
@@ -29,14 +29,14 @@
     key: str = ""
     """The idempotency key, or empty."""
     is_forwarded: bool = False
-    """Whether another host forwarded it; it is then run here or refused, not forwarded again."""
+    """Whether another host forwarded it; it is then run here or refused, never forwarded again."""
     revision: int = 0
     """Configuration revision with which the entry host admitted it."""
 
     def compute_digest(self) -> int:
-        """Return a digest that is the same for all repeats of the request; ids don't count."""
-        who = (self.team, self.profile, self.method, self.path)
-        return compute_digest(who, self.body)
+        """Return a digest that is the same for all repeats of the request, whatever their IDs."""
+        identity = (self.team, self.profile, self.method, self.path)
+        return compute_digest(identity, self.body)
 
 
 class LocalRoute(NamedTuple):
@@ -68,7 +68,7 @@
     FAILED = "failed"
     """It failed after the first byte may have been sent."""
     LOST = "lost"
-    """It failed like `FAILED`, by a broken connection, as in a crash of the endpoint."""
+    """It failed like `FAILED`, because the connection broke; the endpoint may have crashed."""
     CALLER_LEFT = "caller_left"
 
 
--- a/cloverway/replies.py
+++ b/cloverway/replies.py
@@ -23,8 +23,8 @@
     def relay_to(self, caller: socket.socket) -> None:
         """Copy the rest of the body to the caller's socket, chunked but without the last chunk.
 
-        Returns when the complete body was copied. Raises RequestError if it was truncated, and
-        with Kind.CALLER_LEFT if the caller disconnected.
+        Return when the complete body has been copied. Raise RequestError if the body was
+        truncated, or with Kind.CALLER_LEFT if the caller disconnected.
         """
         ...
 
@@ -45,7 +45,7 @@
 
 
 class Gateway(Protocol):
-    """Runs authenticated requests; raises RequestError for every failure."""
+    """Runs authenticated requests; raises RequestError if one fails."""
 
     def run(self, request: Request) -> Reply:
         """Run a request; return once the header of its answer, or all of it, has arrived."""
