--- a/cloverway/dispatch/admission.py
+++ b/cloverway/dispatch/admission.py
@@ -27,7 +27,9 @@
 MAX_CREDIT = 2.0
 """Upper bound on the credit that a class accumulates, as a multiple of its cheapest request."""
 MIN_SLOTS = 0.1
+"""Lower bound on the slots in a predicted wait, which is then finite when none is free."""
 RATE_HALF_LIFE_S = 2.5
+"""Half-life of the measured rates of arriving and completed work."""
 MIN_RATE_FRACTION = 0.1
 """Minimum assumed completion rate, as a fraction of the slots, until there are measurements."""
 STARTING_RETRY_AFTER_S = 1.0
--- a/cloverway/dispatch/affinity.py
+++ b/cloverway/dispatch/affinity.py
@@ -15,7 +15,7 @@
 soon."""
 POSSIBLY_CACHED_S = 300.0
 """How long a block may still be cached; until then the time to first token of a prompt with this
-block is no sample of uncached prefill."""
+block does not count as a sample of uncached prefill."""
 
 
 def rank_destinations(key: bytes, names: Iterable[str]) -> list[str]:
--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -33,8 +33,8 @@
 MAX_RESERVED_FRACTION = 0.4
 """Maximum fraction of the slots that is reserved for more urgent work."""
 NO_RESERVATION = -1
-"""Below zero, so that requests may be sent without a free slot to wait in the engine for a warm
-cache."""
+"""No slot is reserved. It is below zero so that a request may be sent even if no slot is free, to
+wait in the engine for a warm cache."""
 LOOKAHEAD_ENTRIES = 8
 """Number of waiting requests to try for a route at a time; bounds the work for one message."""
 ADMISSION_PERIOD_S = 0.05
@@ -289,8 +289,8 @@
         """Return the classes that may take a slot of this failure domain now.
 
         The last free slots are reserved for expected urgent work: slots with long work become free
-        slowly, and an urgent request would have to wait for one. A class reserves at least as many
-        slots as each more urgent class.
+        slowly, and an urgent request would have to wait for one. A class leaves at least as many
+        slots free as each more urgent class does.
         """
         if not context.router.has_capacity(states):
             return frozenset()
--- a/cloverway/dispatch/ends.py
+++ b/cloverway/dispatch/ends.py
@@ -15,8 +15,8 @@
 log = logging.getLogger(__name__)
 
 REBROADCAST_S = 6.0
-"""How long a crash is rebroadcast after it happened: a dozen heartbeats, all of which get lost only
-if the link is cut."""
+"""How long a crash is rebroadcast after it happened. A dozen heartbeats are sent in this time; all
+of them get lost only if the link is cut."""
 MAX_BROADCAST_REQUESTS = 64
 """Maximum number of requests in one update: those of one endpoint that crashed with all of its
 slots taken."""
@@ -43,7 +43,7 @@
         return Refused(Kind.QUARANTINED, detail, block.remaining_s)
 
     def find_block(self, digest: int, now: float) -> Block | None:
-        """Return why a request is in quarantine now, or None if it may be sent."""
+        """Return the block of a request that is in quarantine now, or None if it may be sent."""
         with self._lock:
             return self._quarantine.get_block(digest, now)
 
@@ -92,7 +92,7 @@
         self._log_crashes(new_crashes, is_remote=True, now=now)
 
     def take_urgent(self) -> bool:
-        """Return whether this host has news to broadcast at once, and clear the flag."""
+        """Return whether this host has an update to broadcast at once, and clear the flag."""
         with self._lock:
             has_urgent, self._has_urgent = self._has_urgent, False
         return has_urgent
--- a/cloverway/dispatch/placement.py
+++ b/cloverway/dispatch/placement.py
@@ -15,9 +15,10 @@
 from cloverway.messages import Request
 
 MAX_FORWARDED_WAIT_S = 0.25
-"""Maximum predicted wait of a passed-on request; its first host may have a better destination."""
-MAX_FORWARDS = 2
-"""Maximum number of times that one host passes a request on to other failure domains."""
+"""Maximum predicted wait of a forwarded request. With a longer wait it is refused, because the host
+that forwarded it may have a better destination."""
+MAX_FAILURES_BEFORE_FORWARDING = 2
+"""A request that has failed at more destinations than this is not forwarded any more."""
 
 GOOD_COST_FRACTION = 0.5
 """Fraction of the service time by which a good local candidate may exceed the time to first token
@@ -44,8 +45,8 @@
 
 
 def may_be_forwarded(entry: QueueEntry) -> bool:
-    """Return whether a request may be passed on to another failure domain at all."""
-    return not entry.request.is_forwarded and len(entry.tried) <= MAX_FORWARDS
+    """Return whether a request may be forwarded to another failure domain at all."""
+    return not entry.request.is_forwarded and len(entry.tried) <= MAX_FAILURES_BEFORE_FORWARDING
 
 
 class PlacementContext:
--- a/cloverway/dispatch/policies.py
+++ b/cloverway/dispatch/policies.py
@@ -1,4 +1,7 @@
-"""Policies that choose among candidates. All but the first are baselines for measurements."""
+"""Policies that choose among candidates. All but HomeFirst are baselines for benchmarks.
+
+Home is the failure domain of this host; candidates in other failure domains are away.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,13 @@
 """Extra wait at home before a request is sent away, at equal weights, as a fraction of its service
 time."""
 MIN_TAIL_WEIGHT = 0.01
+"""Lower bound on the weight of tail latency, by which the surcharge is divided."""
 URGENCY_FACTOR = {Urgency.BATCH: 2.0, Urgency.NORMAL: 1.0, Urgency.URGENT: 0.5}
+"""Factor on the surcharge for sending a request away."""
 HYSTERESIS_FRACTION = 0.1
 """Hysteresis: fraction of the service time that the first request sent away must gain."""
 TAIL_WAIT_FACTOR = 3.0
-"""Maximum excess of the slowest waits over the predicted mean, in predicted waits."""
+"""Maximum excess of the slowest waits over the predicted mean wait, as a multiple of the latter."""
 WARM_WAIT_FACTOR = 1.0
 """Maximum wait for a warm cache, as a multiple of the time it saves."""
 COST_JITTER_FRACTION = 0.01
--- a/cloverway/dispatch/routing.py
+++ b/cloverway/dispatch/routing.py
@@ -340,7 +340,7 @@
     def _choose_host(self, domain: str, tried: frozenset[str], random: Random) -> str | None:
         """Choose the less loaded of two random live hosts.
 
-        If this host never got a heartbeat of any of them, choose any published one.
+        If this host has never heard of any of them by gossip, choose any published one.
         """
         published = [
             name
@@ -405,5 +405,5 @@
 
 
 def _get_ranking_size(entry: QueueEntry) -> int | None:
-    """Return the end of the slice to rank: no endpoint for a prompt without a full block."""
+    """Return how many endpoints to rank: all (None), or none for a prompt without a full block."""
     return None if entry.prefix.key else 0
--- a/cloverway/dispatch/tenants.py
+++ b/cloverway/dispatch/tenants.py
@@ -1,8 +1,8 @@
-"""Tenant labels for histograms, bounded in number regardless of the number of teams.
+"""Values of the metric label `tenant`, bounded in number regardless of the number of teams.
 
-The teams with the most traffic get their own labels. All others share a fixed number of labels by a
-hash of their name. Traffic is counted with the space-saving algorithm, whose table is bounded too:
-a count is never too low, and too high by at most its recorded error.
+A tenant is a team. The teams with the most traffic get their own labels. All others share a fixed
+number of labels by a hash of their name. Traffic is counted with the space-saving algorithm, whose
+table is bounded too: a count is never too low, and too high by at most its recorded error.
 """
 
 from __future__ import annotations
--- a/cloverway/dispatch/tickets.py
+++ b/cloverway/dispatch/tickets.py
@@ -80,7 +80,7 @@
         return Admitted(number, candidate.route)
 
     def start(self, number: int, view: View, at: float) -> None:
-        """Learn from the first byte of a stream; only there is it the first token."""
+        """Learn from the first byte of a stream; in other answers it is not the first token."""
         ticket = self._open.get(number)
         if ticket is None or not ticket.entry.request.stream:
             return
