--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -139,7 +139,7 @@
         self._task.send(StopIssuing())
 
     def count(self) -> LedgerCount:
-        """Return the size of the ledger; a leaving host waits until no grant is outstanding."""
+        """Return the size of the ledger."""
         count: LedgerCount = self._call_ledger(CountKeys(), Ran.NO)
         return count
 
--- a/cloverway/once/key_format.py
+++ b/cloverway/once/key_format.py
@@ -30,9 +30,9 @@
             nonce, mac = bytes.fromhex(parts[4]), bytes.fromhex(parts[5])
         except ValueError:
             return None
-        name = cls(parts[1], parts[2], int(parts[3]), nonce, mac)
+        parsed = cls(parts[1], parts[2], int(parts[3]), nonce, mac)
         # Only the canonical spelling is valid, so that one key can't appear as two.
-        return name if name.text == text and len(mac) == MAC_BYTES else None
+        return parsed if parsed.text == text and len(mac) == MAC_BYTES else None
 
     @property
     def signed(self) -> str:
