--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -3,6 +3,7 @@
 It receives datagrams from other hosts, reads the load reports of endpoints and polls the platform.
 The decisions are in `gossip`, `membership`, `endpoint_table` and `summaries`. This module owns the
 socket and the timers, and makes blocking calls on separate threads so that none blocks the loop.
+A sibling is another host of the same failure domain.
 """
 
 from __future__ import annotations
@@ -312,8 +313,8 @@
         own = published.endpoints_of(self._settings.domain)
         for name in [name for name in self._readers if name not in own]:
             self._readers.pop(name).abort()
-        # An immediate broadcast brings the revision to all hosts of the domain one network
-        # latency later.
+        # Broadcast at once, so that the revision reaches all hosts of the domain after one network
+        # latency instead of with their next heartbeats.
         self._schedule_broadcast()
 
     async def _poll_member_list(self) -> None:
@@ -374,7 +375,7 @@
         """Start serving when the configuration is settled and each endpoint has reported.
 
         A host that started earlier would refuse its first callers for lack of a ready endpoint.
-        An endpoint that may be dead does not hold it up: after a timeout it serves without it.
+        An endpoint that does not report delays the start by at most STARTUP_REPORTS_TIMEOUT_S.
         """
         if self._serving or not self._updates.is_serving:
             return
--- a/cloverway/membership/endpoint_table.py
+++ b/cloverway/membership/endpoint_table.py
@@ -17,11 +17,11 @@
 
 MAX_RETIRED_INCARNATIONS = 8
 RETIREMENT_S = 30.0
-"""How long a sibling's detail can't restore an incarnation that was replaced."""
+"""How long a detail from another host can't restore an incarnation that was replaced."""
 MAX_LIST_LAG_S = 30.0
 """How long after a replacement the platform's list may still refer to the previous incarnation."""
 START_TIME_TOLERANCE_S = 1.0
-"""Two hosts' estimates of one start time differ by less than this."""
+"""Maximum difference between two hosts' estimates of the same start time."""
 NEVER = float("-inf")
 
 
@@ -129,7 +129,7 @@
         return merged.tag != record.tag
 
     def apply_details(self, details: Iterable[Detail], at: float) -> bool:
-        """Apply the details from a sibling; return whether any of them changed a state."""
+        """Apply the details from another host; return whether any of them changed a state."""
         changed = False
         for detail in details:
             record = self._records.get(detail.name)
@@ -150,7 +150,7 @@
         return changed
 
     def apply_loads(self, rows: Iterable[LoadRow], at: float) -> None:
-        """Apply the load rows from a sibling; a row with an unknown tag waits for its detail."""
+        """Apply the load rows from another host; a row with an unknown tag waits for its detail."""
         for row in rows:
             name = self._names.get(row.endpoint)
             if name is not None:
--- a/cloverway/membership/gossip.py
+++ b/cloverway/membership/gossip.py
@@ -1,7 +1,7 @@
 """The gossip protocol of one host: which datagrams it sends and how it applies those received.
 
 Combines `membership`, `endpoint_table` and `summaries`. It has no socket and no clock; the control
-loop sends and receives the datagrams. Hosts of the same failure domain are called siblings.
+loop sends and receives the datagrams. Other hosts of the same failure domain are called siblings.
 """
 
 from __future__ import annotations
@@ -54,9 +54,9 @@
 """Endpoint details that one heartbeat requests."""
 FULL_STATE_EVERY = 7
 """One in this number of rounds carries all crashes for which requests are refused, instead of the
-recent ones only. Hosts that started or were cut off learn of them without any record of who knows
-what. The number is odd because each round reaches half of the siblings: with an even one, the full
-state would always reach the same half."""
+recent ones only. So hosts that started or were cut off learn of them, and no host has to record
+what the others know. The number is odd because each round reaches half of the siblings: with an
+even one, the full state would always reach the same half."""
 MAX_REMOTE_SENDERS = 4096
 """Host incarnations of other failure domains whose last sequence number is retained."""
 
@@ -75,7 +75,8 @@
     state_changed: bool = False
     """Something changed that decisions need at once, so a new view is due. The change is not
     forwarded to siblings: the host that detected it sends it three times, and the tags in the load
-    rows of the readers reveal it. Forwarding would cost the square of the number of hosts."""
+    rows reveal it to a host that missed it. Forwarding would take a number of datagrams that grows
+    with the square of the number of hosts."""
     host: str = ""
     revision: int = 0
     """Configuration revision of the sender."""
@@ -214,7 +215,7 @@
         """List the endpoints whose load this host reads; each is read by two live hosts."""
         active = tuple(self.members.list_active(now))
         if active != self._assigned_among:
-            # Cached, since hashing every endpoint in each round took most of the loop's time.
+            # Cached, because hashing all endpoints in each round takes most of the loop's time.
             self._assigned_among = active
             self._assigned_endpoints = [
                 name for name in self._endpoints if self._is_reader_of(name, active)
@@ -391,7 +392,7 @@
             yield from self._make_datagrams(name, message, tag)
 
     def _make_crash_message(self, turn: int, now: float) -> Heartbeat:
-        """Return a heartbeat with the recent crashes, or in every nth turn with all of them."""
+        """Return a heartbeat with the recent crashes; see FULL_STATE_EVERY for the older ones."""
         update = self.crash_tracker.list_updates(now, full=turn % FULL_STATE_EVERY == 0)
         rows = tuple(
             CrashRow(crash.incarnation, crash.digests, now - crash.at) for crash in update.crashes
--- a/cloverway/membership/heartbeat.thrift
+++ b/cloverway/membership/heartbeat.thrift
@@ -1,6 +1,6 @@
 // The heartbeat that hosts send to each other in a datagram. Times are sent as ages, never as clock
 // readings, because the clocks of two hosts are not comparable. Tables are sent as columns, because
-// an element of a list takes no bytes beyond its own.
+// the elements of a list of numbers have no field headers.
 
 struct Loads {
   1: list<i32> endpoints
@@ -34,13 +34,15 @@
   10: list<byte> waiting
 }
 
-// An endpoint that crashed, and the digests of the requests that it was running.
+// The incarnation of an endpoint that crashed, and the digests of the requests that it was running.
 struct End {
   1: string life
   2: list<i64> digests
   3: i32 age
 }
 
+// `wanted` are the hashed names of endpoints whose details the sender lacks, `ends` the crashes of
+// endpoints, and `retired` an incarnation of the receiving host that was replaced.
 struct Heartbeat {
   1: string host
   2: i64 incarnation
--- a/cloverway/membership/membership.py
+++ b/cloverway/membership/membership.py
@@ -3,6 +3,7 @@
 The code is pure: it uses no socket, clock or random source. A host is identified by its
 incarnation, a random number that it draws when it starts. Within one incarnation the sequence
 number only grows and `leaving` is never reset; a new incarnation retires the previous one.
+The other hosts of a failure domain are called siblings.
 """
 
 from __future__ import annotations
@@ -30,11 +31,13 @@
     CHANGED = "news"
     """A host joined, was replaced, or started leaving: decisions need this at once."""
     UNCHANGED = "known"
+    """No change that decisions need at once."""
     UNKNOWN_HOST = "stranger"
     """The sender is not in the configuration."""
     OTHER_RECIPIENT = "unproven"
-    """It is not addressed to this incarnation; it may be a replay from before this host started."""
+    """It is addressed to another incarnation; it may be a replay from before this host started."""
     REPLAYED = "replayed"
+    """Its sequence number is not higher than the last one."""
     RETIRED = "retired"
     """The sender was replaced by a later incarnation."""
     OWN_NAME = "own_name"
@@ -87,7 +90,7 @@
         self._rebuild_tags()
 
     def merge(self, heartbeat: Heartbeat, recipient_tag: int, at: float) -> MergeResult:
-        """Merge a heartbeat that was sent at or after `at` to the incarnation of a tag."""
+        """Merge a heartbeat that was sent at or after `at`, to the incarnation with a tag."""
         if heartbeat.host == self.host:
             return (
                 MergeResult.UNCHANGED
--- a/cloverway/membership/reports.py
+++ b/cloverway/membership/reports.py
@@ -196,7 +196,7 @@
 
 
 class ReadSchedule:
-    """Decides which endpoints are due to be read. Pure."""
+    """Decides which endpoints are due to be read; performs no I/O."""
 
     def __init__(self, offset: Callable[[], float]) -> None:
         self._offset = offset
--- a/cloverway/membership/summaries.py
+++ b/cloverway/membership/summaries.py
@@ -1,4 +1,4 @@
-"""Summaries that failure domains exchange: capacity, live hosts and configuration revision. Pure.
+"""Summaries that failure domains exchange: capacity, live hosts and configuration revision.
 
 Some hosts of each failure domain send its summary to one host of another domain, which relays it
 to its siblings. A domain of the same region gets every summary, domains of other regions in turn.
@@ -49,7 +49,7 @@
     summary: DomainSummary
     at: float
     direct: bool
-    """It came from the failure domain itself, and `take_due_relays` has not processed it yet."""
+    """Whether it came from the failure domain itself and `take_due_relays` has not processed it."""
     relayed: DomainSummary | None = None
     """The summary that was last relayed to or by siblings."""
     relayed_at: float = float("-inf")
@@ -246,7 +246,7 @@
 def _get_urgent_fields(summary: DomainSummary) -> tuple[Any, ...]:
     """Return the fields whose changes are relayed sooner: the hosts, and the ready endpoints.
 
-    Free slots change constantly under load; relaying each of their changes at once cost 1.6 KB/s.
+    Free slots change constantly under load; relaying each change at once would take 1.6 KB/s.
     """
     hosts = {(row.host, row.incarnation, row.level == LEAVING_LEVEL) for row in summary.hosts}
     targets = {(row.target, row.ready) for row in summary.targets}
--- a/cloverway/peers/peer_client.py
+++ b/cloverway/peers/peer_client.py
@@ -187,9 +187,9 @@
     def _call_with_retry(
         self, host: str, address: str, message: wire.Message, remaining_s: float = math.inf
     ) -> wire.Message:
-        """Make a small idempotent call, within a total time.
+        """Make a small idempotent call within `remaining_s`.
 
-        It is repeated on a new connection when a pooled one fails.
+        The call is repeated on a new connection when a pooled one fails.
         """
         end = time.monotonic() + remaining_s
         channel = self._take_idle(address)
