--- a/cloverway/tests/gossip_simulation.py
+++ b/cloverway/tests/gossip_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of gossiping hosts in virtual time, over a network with loss, cuts and latency."""
+"""Simulation of hosts that gossip, in virtual time over a network with loss, cuts and latency."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 AUTHENTICATOR = DatagramAuthenticator.from_secret(b"a secret of the tests that all hosts share")
 LATENCY_S = 0.001
 HEADER_BYTES = 28
-"""Headers of IP and UDP."""
+"""IP and UDP headers of one datagram."""
 TICK_S = 0.05
 TIMING = Timing()
 
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -56,7 +56,7 @@
 
 
 class Fleet:
-    """Two hosts; h1 issues, and both claim."""
+    """Two hosts: h1 issues keys, and both claim them."""
 
     def __init__(self, may_store=store_anywhere):
         self.clock = Clock()
--- a/cloverway/tests/test_decisions.py
+++ b/cloverway/tests/test_decisions.py
@@ -26,7 +26,7 @@
 
 
 class Requests(RuleBasedStateMachine):
-    """Run one host's core in virtual time; every request gets exactly one correct answer."""
+    """One host's core in virtual time; every request gets exactly one verdict, a correct one."""
 
     @initialize(seed=st.integers(0, 1_000), admitted=st.integers(2, 12), queued=st.integers(1, 6))
     def prepare(self, seed, admitted, queued):
--- a/cloverway/tests/test_dispatcher.py
+++ b/cloverway/tests/test_dispatcher.py
@@ -99,7 +99,7 @@
 
 
 def test_deadline_ends_the_wait_with_a_retry_time(dispatcher, pool, clock):
-    """Guard against a caller that waits past its deadline because no event triggers the queue.
+    """Guard against a caller that waits past its deadline because no event triggers a check.
 
     Both slots are occupied by answers that never end; only time passes.
     """
--- a/cloverway/tests/test_ends.py
+++ b/cloverway/tests/test_ends.py
@@ -133,8 +133,8 @@
     assert simulation.hosts[third].gossip.crash_tracker.find_block(CRASHING, simulation.now) is None
 
 
-def test_heartbeats_stay_the_same_without_crashes():
-    """Crashes are rare; without any, the crash updates must add nothing to heartbeats."""
+def test_heartbeats_are_not_larger_without_crashes():
+    """Crashes are rare; as long as there are none, they must add nothing to heartbeats."""
     simulation = make_simulation(hosts=4)
     quiet = [
         host.gossip.crash_tracker.list_updates(simulation.now, full=True)
@@ -166,7 +166,7 @@
 
 
 def test_many_crashes_at_once_fit_into_datagrams():
-    """Engines crash with all of their requests; each datagram stays within its size limit."""
+    """Many engines crash while they run requests; each datagram stays within its size limit."""
     simulation = make_simulation(hosts=3)
     longest = []
     simulation.on_send = lambda name, to, datagram: longest.append(len(datagram))
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -175,7 +175,7 @@
 
 
 def test_a_requested_pause_is_reported_to_the_dispatcher() -> None:
-    """Guards against a requested pause that reaches one caller but not the endpoint selection."""
+    """Guard against a requested pause that reaches one caller but not the endpoint selection."""
     harness, dispatcher, *_ = make_harness(
         RequestError(Kind.ENDPOINT_REFUSED, ran=Ran.NO, retry_after=7.0),
         verdicts=(Admitted(1, LOCAL_ROUTE), Refused(Kind.NO_CAPACITY, retry_after=1.0)),
--- a/cloverway/tests/test_keys.py
+++ b/cloverway/tests/test_keys.py
@@ -88,7 +88,7 @@
     )
 
 
-def test_grantee_wakes_late_and_has_not_run():
+def test_grantee_resumes_late_and_has_not_run():
     """The grantee was paused past the deadline; it then finds its grant expired and settles.
 
     No byte was sent, so the repeat that was answered with "unknown" may now run.
@@ -191,8 +191,8 @@
 
 @given(st.text(max_size=300))
 def test_parsed_text_is_canonical(text):
-    name = ParsedKey.parse(text)
-    assert name is None or name.text == text
+    parsed = ParsedKey.parse(text)
+    assert parsed is None or parsed.text == text
 
 
 def test_non_canonical_spelling_of_a_key():
--- a/cloverway/tests/test_membership.py
+++ b/cloverway/tests/test_membership.py
@@ -22,7 +22,7 @@
 
 
 def test_a_dead_host_is_detected_and_no_live_one_suspected_at_20_percent_loss():
-    """Failure: a live host is declared dead, its endpoints are reassigned, and callers lose it.
+    """Failure: a live host is declared dead, its endpoints are reassigned, callers don't use it.
 
     Every fifth datagram is lost. Four lost heartbeats in a row happen every few minutes, so direct
     heartbeats are not enough; siblings that did hear the host confirm it when they are asked.
--- a/cloverway/tests/test_peer_answers.py
+++ b/cloverway/tests/test_peer_answers.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("frames", [(), (wire.Settled(),), (b"data before a head",)])
 def test_no_head(client, frames):
-    """The host dies or sends an unexpected frame after the request: whether it ran is unknown."""
+    """The host crashes or sends an unexpected frame after the request: it is unknown if it ran."""
     host = ScriptedHost(*frames)
     request = make_request(body=b"")
     assert run_refused(client, host.address, request) == (Kind.ENDPOINT_FAILED, Ran.UNKNOWN)
--- a/cloverway/tests/test_peer_failures.py
+++ b/cloverway/tests/test_peer_failures.py
@@ -103,7 +103,7 @@
 
 
 def test_dead_host_delays_only_one_caller(server, handler, proxy):
-    """The link is cut; the first caller waits for the timeout, those right behind it do not."""
+    """The link is cut; the first caller waits for the timeout, the next ones do not."""
     client = PeerClient(ME, SECRET, LIMITS._replace(connect_timeout_s=SHORT_S, backoff_s=TIMEOUT_S))
     proxy.silent = True
     for _ in range(3):
@@ -208,14 +208,14 @@
 
 
 class FailingChannel:
-    """A fake of a channel that fails at its nth frame."""
+    """A fake channel whose nth frame can't be sent."""
 
     def __init__(self, fails_at):
-        self.left = fails_at
+        self.frames_left = fails_at
 
     def send(self, kind, payload, deadline):
-        self.left -= 1
-        if self.left == 0:
+        self.frames_left -= 1
+        if self.frames_left == 0:
             raise PeerError("the connection failed")
 
     def close(self):
@@ -277,7 +277,7 @@
     gateway_end.close()
 
 
-def test_stream_is_handed_over(server, handler, client):
+def test_stream_is_relayed_to_a_socket(server, handler, client):
     """The caller gets all chunks except the last one, which the server of the origin writes."""
     handler.reply = Reply(200, "text/event-stream", stream=FakeStream(b"one", b"two"))
     reply = client.run("h2", server.address, make_request())
@@ -290,7 +290,7 @@
 
 
 def test_too_many_connections(handler):
-    """More hosts connect than there are threads; the connection idle for longest is evicted.
+    """More hosts connect than the limit allows; the connection idle for longest is evicted.
 
     A host whose connection is rejected would treat this host as dead and tell its caller "unknown".
     """
@@ -311,7 +311,7 @@
 
 
 def test_busy_connections_are_not_dropped(handler, client):
-    """All threads run forwarded requests when another host connects; none is interrupted."""
+    """All connections are busy when another host connects; no request is interrupted."""
     server = start_server(handler, limits=LIMITS._replace(max_connections=1))
     handler.gate = threading.Event()
     replies = []
--- a/cloverway/tests/test_residency.py
+++ b/cloverway/tests/test_residency.py
@@ -70,9 +70,9 @@
     )
 
 
-@pytest.mark.parametrize("origin", [1, 2, 3])
-def test_stricter_of_two_revisions_applies(origin):
-    """A host with an older or newer revision passes a request on, and the receiver must refuse it.
+@pytest.mark.parametrize("origin_revision", [1, 2, 3])
+def test_stricter_of_two_revisions_applies(origin_revision):
+    """A host with an older or newer revision forwards a request, and the receiver must refuse it.
 
     The origin's revision does not bind the team, so it chose Rodrigues. The receiver's revision
     binds the team to Curepipe. Whichever revision is newer, running it would violate residency.
@@ -82,9 +82,9 @@
         revision=2, teams={**PUBLISHED.teams, "free": free._replace(bound=True)}
     )
     with pytest.raises(RequestError) as caught:
-        check_region_allowed(own, make_request("free", "stock", origin), "rodrigues")
+        check_region_allowed(own, make_request("free", "stock", origin_revision), "rodrigues")
     assert caught.value.kind is Kind.RESIDENCY
-    check_region_allowed(own, make_request("free", "stock", origin), "curepipe")
+    check_region_allowed(own, make_request("free", "stock", origin_revision), "curepipe")
 
 
 def test_host_without_configuration_runs_nothing():
--- a/cloverway/tests/test_routing.py
+++ b/cloverway/tests/test_routing.py
@@ -226,7 +226,7 @@
 def test_unreachable_domain_is_not_a_candidate():
     """Guard against requests that wait until their deadline for a connection to a cut-off region.
 
-    Its last summary reported free slots; nothing was received from there since.
+    Its last summary reported free slots; nothing has been received from there since.
     """
     host = Host(free=8)
     host.now = 60.0
@@ -262,8 +262,8 @@
     assert refused == Refused(Kind.RESIDENCY)
 
 
-def test_passed_on_request_is_never_passed_on_again():
-    """Guard against two full regions that pass a request back and forth until its deadline."""
+def test_forwarded_request_is_never_forwarded_again():
+    """Guard against two full regions that forward a request back and forth until its deadline."""
     host = Host(make_published(objective=WEIGHTS["riviere"]), free=8)
     verdicts = [host.arrive(is_forwarded=True, timeout_s=60.0) for _ in range(12)]
     assert all(isinstance(v.route, LocalRoute) for v in verdicts[:8])
--- a/cloverway/tests/test_whole_path.py
+++ b/cloverway/tests/test_whole_path.py
@@ -29,10 +29,13 @@
     )
 
 
-def count(fleet: Fleet, part: str, mark: str) -> dict[str, int]:
-    """Return the number of runs of the calls with a mark, by endpoint."""
-    runs = {name: remote.counts().get(part, {}) for name, remote in fleet.remotes.items()}
-    return {name: by_mark[mark] for name, by_mark in runs.items() if mark in by_mark}
+def count(fleet: Fleet, counter: str, tag: str) -> dict[str, int]:
+    """Return the number of runs of the calls with a tag, by endpoint.
+
+    `counter` names what the endpoints count runs by: "users" or "bodies".
+    """
+    runs = {name: remote.counts().get(counter, {}) for name, remote in fleet.remotes.items()}
+    return {name: by_tag[tag] for name, by_tag in runs.items() if tag in by_tag}
 
 
 def test_lookup_names_the_hosts(fleet):
