--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -27,7 +27,7 @@
 from cloverway.logs import configure_logs
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.once.claims import Claims, LedgerTask
+from cloverway.once.claims import KeyClaimer, LedgerTask
 from cloverway.operations.admin import AdminServer, Operations
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
@@ -91,7 +91,7 @@
     def begin_leaving(self) -> None:
         """Accept no new work from now on, and make `wait_for_leave` return."""
         self.control.begin_leaving()
-        self.keys.leave()
+        self.keys.stop_issuing()
         self.callers.stop_accepting()
         self._leaving.set()
 
@@ -159,7 +159,7 @@
         tracker = CrashTracker(settings.quarantine)
         self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
         self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_store)
-        self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_store)
+        self.claims = KeyClaimer(self.keys, self.peer_client, self._find_address, self._may_store)
         self.endpoints = EndpointClient.from_settings(settings.limits, reporter.report_stream)
         self.gateway = RequestGateway(
             GatewayDependencies(
--- a/cloverway/dispatch/decisions.py
+++ b/cloverway/dispatch/decisions.py
@@ -78,7 +78,7 @@
             settings.policy, lambda: self._objective, settings.region
         )
         self._objective = Objective()
-        self._open: set[str] = set()
+        self._open_request_ids: set[str] = set()
         self._last_away_at: dict[str, float] = {}
         self._reviewed_at = float("-inf")
         self._admission_view: View | None = None
@@ -106,7 +106,7 @@
         """Decide about a new request: route, queue or refuse it."""
         if not view.ready:
             return [Decision(entry_id, refuse_not_ready(view))]
-        if request.id in self._open:
+        if request.id in self._open_request_ids:
             return [Decision(entry_id, Refused(Kind.MALFORMED, "a request with this id is open"))]
         context = self._make_context(view, now, random)
         refusal_kind = context.find_refusal(request)
@@ -118,7 +118,7 @@
         if refused is not None:
             return [Decision(entry_id, refused)]
         entry = context.make_entry(entry_id, request)
-        self._open.add(request.id)
+        self._open_request_ids.add(request.id)
         self._get_queue(entry.target).record_offered_load(entry.urgency, entry.cost_s, now)
         return self._check_all_accounted(self._enqueue(entry, context))
 
@@ -151,14 +151,14 @@
             queue.throughput.record_completed(ended.entry.cost_s, now)
         decisions: list[Decision] = []
         if retry_entry_id is None:
-            self._open.remove(ended.entry.request.id)
+            self._open_request_ids.remove(ended.entry.request.id)
         else:
             decisions += self._retry(retry_entry_id, ended, outcome, context)
         decisions += self._admit_waiting(queue, context)
         return self._check_all_accounted(decisions)
 
     def cancel(self, request_id: str) -> list[Decision]:
-        """Remove a waiting request from the queue because its caller left."""
+        """Remove a waiting request from the queue because its caller disconnected."""
         found = [
             (queue, entry)
             for queue in self._queues.values()
@@ -387,12 +387,12 @@
         is_late = entry.latest_start_at <= context.now
         refusal = self._crash_tracker.find_refusal(entry.request, context.now)
         if refusal is not None:
-            self._open.remove(entry.request.id)
+            self._open_request_ids.remove(entry.request.id)
             return [
                 Decision(entry_id, refuse(entry, refusal.kind, refusal.retry_after, refusal.detail))
             ]
         if not is_safe or is_late or not (refused_by_domain or self._budget.try_take(context.now)):
-            self._open.remove(entry.request.id)
+            self._open_request_ids.remove(entry.request.id)
             wait_s = jitter(CAPACITY_RETRY_AFTER_S, context.random)
             return [Decision(entry_id, refuse(entry, Kind.ENDPOINT_REFUSED, wait_s))]
         return self._enqueue(entry, context)
@@ -411,7 +411,7 @@
 
     def _remove_entry(self, queue: RequestQueue, entry: QueueEntry, refused: Refused) -> Decision:
         queue.discard(entry)
-        self._open.remove(entry.request.id)
+        self._open_request_ids.remove(entry.request.id)
         return Decision(entry.entry_id, refused)
 
     def _schedule_retry(
@@ -434,7 +434,7 @@
 
     def _check_all_accounted(self, decisions: list[Decision]) -> list[Decision]:
         """Assert that each open request is queued or in flight, and return the decisions."""
-        assert len(self._open) == self._count_queued() + len(
+        assert len(self._open_request_ids) == self._count_queued() + len(
             self._tickets
         ), "an open request is neither queued nor in flight"
         return decisions
--- a/cloverway/dispatch/explanation.py
+++ b/cloverway/dispatch/explanation.py
@@ -13,7 +13,7 @@
 from cloverway.errors import Kind
 from cloverway.messages import RemoteRoute, Request
 
-PROBE_DEADLINE_S = 60.0
+EXAMPLE_DEADLINE_S = 60.0
 """Assumed time until the deadline of an explained request."""
 
 
@@ -68,7 +68,7 @@
     team_and_profile: tuple[str, str],
 ) -> Explanation:
     """Explain where a request of a (team, profile) would be routed, without routing it."""
-    request = _make_probe(*team_and_profile, context.now)
+    request = _make_example_request(*team_and_profile, context.now)
     refusal = context.find_refusal(request)
     if refusal is not None:
         return explain_not_ready(*team_and_profile, policy_name, refusal)
@@ -149,7 +149,7 @@
     ]
 
 
-def _make_probe(team: str, profile: str, now: float) -> Request:
+def _make_example_request(team: str, profile: str, now: float) -> Request:
     return Request(
         id="",
         team=team,
@@ -159,7 +159,7 @@
         body=b"",
         content_type="",
         arrived_at=now,
-        deadline=now + PROBE_DEADLINE_S,
+        deadline=now + EXAMPLE_DEADLINE_S,
     )
 
 
--- a/cloverway/dispatch/routing.py
+++ b/cloverway/dispatch/routing.py
@@ -143,7 +143,7 @@
 class Assessment(NamedTuple):
     """Load and limits of one endpoint, as this host sees it at one moment."""
 
-    own: int
+    own_in_flight: int
     occupied: float
     effective_slowdown: float
     max_in_flight: float
@@ -236,12 +236,16 @@
     def has_capacity(self, states: list[EndpointState]) -> bool:
         """Return whether any endpoint may take a request now."""
         assessments = [self.assess(state) for state in states]
-        return any(assessment.own < assessment.max_in_flight for assessment in assessments)
+        return any(
+            assessment.own_in_flight < assessment.max_in_flight for assessment in assessments
+        )
 
     def count_free(self, states: list[EndpointState]) -> float:
         """Estimate the slots that this host may still fill."""
         assessments = [self.assess(state) for state in states]
-        return sum(max(0.0, assessment.allowance - assessment.own) for assessment in assessments)
+        return sum(
+            max(0.0, assessment.allowance - assessment.own_in_flight) for assessment in assessments
+        )
 
     def is_warming(self, state: EndpointState) -> bool:
         """Return whether an endpoint restarted recently, so that its cache is cold."""
@@ -272,20 +276,21 @@
             + (effective_slowdown - 1) * entry.cost_s
         )
         load = assessment.occupied / state.slots
-        free = assessment.own < assessment.allowance
+        free = assessment.own_in_flight < assessment.allowance
         saved_s = full_prefill_s - prefill_s
         return Candidate(
             name=state.name,
             route=LocalRoute(state.name, self.catalogue.published.endpoints[state.name].url),
             region=self.view.region,
             free=free,
-            sendable=free or (wait_s < saved_s and assessment.own < assessment.max_in_flight),
+            sendable=free
+            or (wait_s < saved_s and assessment.own_in_flight < assessment.max_in_flight),
             wait_s=wait_s,
             cost_s=cost_s + BATCH_COST_FRACTION * service_s * min(1.0, load),
             saved_s=saved_s,
             uncached_prefill_s=prefill_s,
             load=load,
-            outstanding=assessment.own,
+            outstanding=assessment.own_in_flight,
         )
 
     def _make_away_candidates(
@@ -371,13 +376,13 @@
 
     def _assess(self, state: EndpointState) -> Assessment:
         record = self.learned.get_record(state.name, state.slots)
-        own = record.attempts.in_flight
+        own_in_flight = record.attempts.in_flight
         others = estimate_others_in_flight(state, record.attempts, self.hosts, self.now)
         max_in_flight = self._compute_max_in_flight(state, record)
         share = share_slots(state.slots, self.hosts)
         return Assessment(
-            own=own,
-            occupied=own + others,
+            own_in_flight=own_in_flight,
+            occupied=own_in_flight + others,
             effective_slowdown=record.get_effective_slowdown(self.now),
             max_in_flight=max_in_flight,
             allowance=min(max(float(share), state.slots - others), max_in_flight),
--- a/cloverway/gateway.py
+++ b/cloverway/gateway.py
@@ -16,7 +16,7 @@
 from cloverway.errors import EndpointLostError, Kind, Ran, RequestError, combine_ran
 from cloverway.membership.view import ViewHolder
 from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
-from cloverway.once.claims import Granted, Replayed
+from cloverway.once.claims import HeldGrant, Replayed
 from cloverway.replies import Reply
 from cloverway.upstream.streams import ObservedStream, RecordedStream
 
@@ -52,11 +52,11 @@
 class KeyClaims(Protocol):
     """Claims the right to use an idempotency key from the host that issued it."""
 
-    def claim(self, request: Request) -> Granted | Replayed:
+    def claim(self, request: Request) -> HeldGrant | Replayed:
         """Return the right, or the recorded answer of the first use; raise RequestError."""
         ...
 
-    def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
+    def settle(self, grant: HeldGrant, outcome: Outcome, reply: Reply | None = None) -> None:
         """Report to the issuer how the use ended, without waiting."""
         ...
 
@@ -173,7 +173,7 @@
     def __init__(self, gateway: RequestGateway, request: Request) -> None:
         self.gateway = gateway
         self.request = request
-        self.grant: Granted | None = None
+        self.grant: HeldGrant | None = None
         # An earlier request with the same key may have run. Until the issuer of the key has
         # answered, "no" could make the caller do the work again under another key.
         self.ran = Ran.UNKNOWN if request.key and not request.is_forwarded else Ran.NO
--- a/cloverway/membership/reports.py
+++ b/cloverway/membership/reports.py
@@ -198,8 +198,9 @@
 class ReadSchedule:
     """Decides which endpoints are due to be read; performs no I/O."""
 
-    def __init__(self, offset: Callable[[], float]) -> None:
-        self._offset = offset
+    def __init__(self, random_fraction: Callable[[], float]) -> None:
+        """Create a schedule; `random_fraction` spreads the first reads and returns 0 to 1."""
+        self._random_fraction = random_fraction
         self._due: dict[str, float] = {}
         self._in_progress: dict[str, float] = {}
 
@@ -207,7 +208,7 @@
         """Return the endpoints to read now, and schedule the next read of each."""
         self._due = {
             name: self._due.get(
-                name, now + self._offset() * min(interval_s, MAX_FIRST_READ_DELAY_S)
+                name, now + self._random_fraction() * min(interval_s, MAX_FIRST_READ_DELAY_S)
             )
             for name in names
         }
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -134,7 +134,7 @@
             call = call._replace(recorded=None)
         self._task.send(call)
 
-    def leave(self) -> None:
+    def stop_issuing(self) -> None:
         """Stop issuing keys."""
         self._task.send(StopIssuing())
 
@@ -184,7 +184,7 @@
         return LedgerCount(len(ledger), ledger.outstanding, ledger.recorded_bytes)
 
 
-class Granted(NamedTuple):
+class HeldGrant(NamedTuple):
     """Exclusive permission to run a request once, if its first byte is sent before `start_by`."""
 
     key: str
@@ -222,7 +222,7 @@
 REPLAYED_HEADER = ("Cloverway-Replayed", "true")
 
 
-class Claims:
+class KeyClaimer:
     """Claim keys from the hosts that issued them."""
 
     def __init__(
@@ -253,7 +253,7 @@
         for sender in self._senders:
             sender.stop()
 
-    def claim(self, request: Request) -> Granted | Replayed:
+    def claim(self, request: Request) -> HeldGrant | Replayed:
         """Return permission to run or the recorded answer; raise RequestError otherwise."""
         parsed_key = ParsedKey.parse(request.key)
         if parsed_key is None:
@@ -271,7 +271,7 @@
         if isinstance(result, Grant):
             # Counted from before the claim was sent, so it expires here before it expires there.
             start_by = min(request.deadline, sent_at + result.lifetime_s)
-            return Granted(
+            return HeldGrant(
                 request.key, request.team, request.profile, call.claimant, parsed_key.host, start_by
             )
         if isinstance(result, Recorded):
@@ -279,29 +279,29 @@
             return Replayed(Reply(result.status, result.content_type, result.body, headers=headers))
         raise result.as_error()
 
-    def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
+    def settle(self, grant: HeldGrant, outcome: Outcome, reply: Reply | None = None) -> None:
         """Report to the issuer how the run ended, without waiting.
 
         The answer is included if it is complete and its data may be stored at the issuer.
         """
         self._send(
             SettleCall(
-                key=granted.key,
-                team=granted.team,
-                profile=granted.profile,
-                claimant=granted.claimant,
+                key=grant.key,
+                team=grant.team,
+                profile=grant.profile,
+                claimant=grant.claimant,
                 settlement=SETTLEMENT_OF_OUTCOME[outcome],
-                recorded=self._make_recorded(granted, outcome, reply),
+                recorded=self._make_recorded(grant, outcome, reply),
             ),
-            granted.issuer,
+            grant.issuer,
         )
 
     def _make_recorded(
-        self, granted: Granted, outcome: Outcome, reply: Reply | None
+        self, grant: HeldGrant, outcome: Outcome, reply: Reply | None
     ) -> Recorded | None:
         if outcome is not Outcome.DONE or reply is None or reply.stream is not None:
             return None
-        if not self._may_store(granted.team, granted.profile, granted.issuer):
+        if not self._may_store(grant.team, grant.profile, grant.issuer):
             return None
         return Recorded(reply.status, reply.content_type, reply.body, reply.headers)
 
--- a/cloverway/peers/peer_stream.py
+++ b/cloverway/peers/peer_stream.py
@@ -97,7 +97,8 @@
     def _wait_for_input(self, caller: socket.socket) -> bool:
         """Wait for input from the host or the caller.
 
-        Return whether the caller has to be watched further. Raise RequestError when it has left.
+        Return whether the caller has to be watched further. Raise RequestError when it has
+        disconnected.
         """
         poll = select.poll()
         poll.register(self._channel.socket, select.POLLIN)
@@ -115,7 +116,7 @@
             self.close()
             raise RequestError(Kind.CALLER_LEFT)
         # The caller has sent its next request early. From now on only a failed send shows that it
-        # has left.
+        # has disconnected.
         return False
 
     def _send_chunk(self, caller: socket.socket, piece: bytes) -> None:
--- a/cloverway/tests/bench_keys.py
+++ b/cloverway/tests/bench_keys.py
@@ -20,7 +20,7 @@
 
 from cloverway.errors import Kind
 from cloverway.messages import Refused
-from cloverway.once.claims import Claims, LedgerTask
+from cloverway.once.claims import KeyClaimer, LedgerTask
 from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
@@ -75,7 +75,7 @@
     local = make_ledger_task("h2")
     local.start()
     client = PeerClient(Identity("h2", "i1"), SECRET, PeerLimits())
-    claims = Claims(local, client, {"h1": address}.get, store_anywhere)
+    claims = KeyClaimer(local, client, {"h1": address}.get, store_anywhere)
     local_keys = iter([local.issue(1)[0] for _ in range(CLAIMS + WARM_UP)])
     remote_keys = iter(keys)
     settle = SettleCall(keys[0], "t", "p", "nobody", Settlement.NOT_RUN)
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -6,7 +6,7 @@
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.messages import Outcome, Request
-from cloverway.once.claims import Claims, LedgerTask, Replayed
+from cloverway.once.claims import KeyClaimer, LedgerTask, Replayed
 from cloverway.once.keys import Ledger, LedgerLimits
 from cloverway.replies import Reply
 
@@ -76,7 +76,7 @@
         self.tasks[host].start()
 
     def make_claims(self, host):
-        claims = Claims(
+        claims = KeyClaimer(
             self.tasks[host], self.issuers, self.addresses.get, self.may_store, self.clock
         )
         claims.start()
@@ -108,8 +108,8 @@
     h2 gets the recorded answer from the issuer and marks it as replayed.
     """
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
-    fleet.claims["h1"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h1"].claim(fleet.request(key))
+    fleet.claims["h1"].settle(grant, Outcome.DONE, REPLY)
     again = fleet.claims["h2"].claim(fleet.request(key))
     assert isinstance(again, Replayed)
     assert again.reply.body == REPLY.body
@@ -118,8 +118,8 @@
 
 def test_remote_grant_is_settled_at_its_issuer(fleet):
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert isinstance(fleet.claims["h1"].claim(fleet.request(key)), Replayed)
 
@@ -191,20 +191,20 @@
     The last check before the first byte refuses, and the key becomes free for a repeat.
     """
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
+    grant = fleet.claims["h1"].claim(fleet.request(key))
     fleet.clock.now += 10.0
     with pytest.raises(RequestError) as error:
-        granted.check(fleet.clock.now)
+        grant.check(fleet.clock.now)
     assert get_kind_and_ran(error) == (Kind.DEADLINE, Ran.NO)
-    fleet.claims["h1"].settle(granted, Outcome.NOT_SENT)
+    fleet.claims["h1"].settle(grant, Outcome.NOT_SENT)
     fleet.claims["h2"].claim(fleet.request(key)).check(fleet.clock.now)
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_settlement_by_outcome(fleet, outcome):
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
-    fleet.claims["h1"].settle(granted, outcome)
+    grant = fleet.claims["h1"].claim(fleet.request(key))
+    fleet.claims["h1"].settle(grant, outcome)
     expected = {
         Outcome.DONE: Kind.ANSWER_GONE,
         Outcome.FAILED: Kind.KEY_SPENT,
@@ -226,8 +226,8 @@
     """
     fleet = Fleet(may_store=lambda team, profile, host: host == "h2")
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
@@ -243,8 +243,8 @@
     """
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.tasks["h1"]._may_store = lambda team, profile, host: False
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert fleet.tasks["h1"].count().recorded_bytes == 0
 
@@ -252,9 +252,9 @@
 def test_settlement_is_retried(fleet):
     """The link is cut when the run ends and restored later; the settlement then arrives."""
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
+    grant = fleet.claims["h2"].claim(fleet.request(key))
     fleet.issuers.lose_calls = True
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert not fleet.issuers.settled.wait(0.05)
     fleet.issuers.lose_calls = False
     fleet.clock.now += 1.0
@@ -263,7 +263,7 @@
 
 def test_leaving_host_issues_no_keys(fleet):
     (key,) = fleet.tasks["h1"].issue(1)
-    fleet.tasks["h1"].leave()
+    fleet.tasks["h1"].stop_issuing()
     with pytest.raises(RequestError) as error:
         fleet.tasks["h1"].issue(1)
     assert get_kind_and_ran(error) == (Kind.LEAVING, Ran.NO)
--- a/cloverway/tests/test_gateway.py
+++ b/cloverway/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from cloverway.gateway import GatewayDependencies, RequestGateway, RequestRecord
 from cloverway.membership.view import View, ViewHolder
 from cloverway.messages import Admitted, LocalRoute, Outcome, Refused, RemoteRoute, Request, Verdict
-from cloverway.once.claims import Granted, Replayed
+from cloverway.once.claims import HeldGrant, Replayed
 from cloverway.replies import Reply
 
 PUBLISHED = Published.from_documents(
@@ -89,14 +89,14 @@
 
 
 class FakeClaims:
-    def __init__(self, answer: Granted | Replayed) -> None:
+    def __init__(self, answer: HeldGrant | Replayed) -> None:
         self.answer = answer
         self.settled: list[tuple[Outcome, Reply | None]] = []
 
-    def claim(self, request: Request) -> Granted | Replayed:
+    def claim(self, request: Request) -> HeldGrant | Replayed:
         return self.answer
 
-    def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
+    def settle(self, grant: HeldGrant, outcome: Outcome, reply: Reply | None = None) -> None:
         self.settled.append((outcome, reply))
 
 
@@ -150,14 +150,14 @@
     return request._replace(**changes)
 
 
-def make_grant(start_by: float) -> Granted:
-    return Granted("k", "free", "allocate", "n1/i1/1/r1", "n1", start_by)
+def make_grant(start_by: float) -> HeldGrant:
+    return HeldGrant("k", "free", "allocate", "n1/i1/1/r1", "n1", start_by)
 
 
 def make_harness(
     *answers: Reply | RequestError,
     verdicts: tuple[Verdict, ...] = (Admitted(1, LOCAL_ROUTE), Admitted(2, OTHER_LOCAL_ROUTE)),
-    grant: Granted | Replayed | None = None,
+    grant: HeldGrant | Replayed | None = None,
 ) -> tuple[GatewayHarness, FakeDispatcher, FakeEndpoints, FakeClaims]:
     dispatcher = FakeDispatcher(*verdicts)
     endpoints = FakeEndpoints(*answers)
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -10,7 +10,7 @@
 
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.messages import Outcome
-from cloverway.once.claims import Claims, Granted, LedgerTask, Replayed
+from cloverway.once.claims import HeldGrant, KeyClaimer, LedgerTask, Replayed
 from cloverway.once.keys import Ledger, LedgerLimits
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
@@ -36,7 +36,7 @@
         me = Identity(name, incarnation)
         self.keys = LedgerTask(ledger, lambda *_: True)
         self.client = PeerClient(me, SECRET, peer_limits)
-        self.claims = Claims(self.keys, self.client, addresses.get, lambda *_: True)
+        self.claims = KeyClaimer(self.keys, self.client, addresses.get, lambda *_: True)
         handler = FakeHandler()
         handler.claim = self.keys.claim
         handler.settle = self.keys.settle
@@ -64,8 +64,8 @@
     addresses["h1"] = proxy.address
     (key,) = first.keys.issue(1)
     request = make_request(key=key)
-    granted = second.claims.claim(request)
-    second.claims.settle(granted, Outcome.DONE, Reply(200, "text/plain", b"picked once"))
+    grant = second.claims.claim(request)
+    second.claims.settle(grant, Outcome.DONE, Reply(200, "text/plain", b"picked once"))
     wait_until(lambda: first.keys.count().outstanding == 0)
     again = second.claims.claim(request)
     assert isinstance(again, Replayed)
@@ -106,7 +106,7 @@
         thread.start()
     for thread in threads:
         thread.join(TIMEOUT_S)
-    assert sum(isinstance(result, Granted) for result in results) == 1
+    assert sum(isinstance(result, HeldGrant) for result in results) == 1
     assert results.count((Kind.KEY_IN_USE, Ran.UNKNOWN)) == 11
     for host in hosts:
         host.stop()
