--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -27,7 +27,7 @@
 from cloverway.logs import configure_logging
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.once.claims import Claims, LedgerTask
+from cloverway.once.claims import KeyClaimer, LedgerTask
 from cloverway.operations.admin import AdminOperations, AdminServer
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
@@ -91,7 +91,7 @@
     def begin_leaving(self) -> None:
         """Accept no new work from now on, and make `wait_for_leave` return."""
         self.control.begin_leaving()
-        self.keys.leave()
+        self.keys.stop_issuing()
         self.callers.stop_accepting()
         self._leaving.set()
 
@@ -118,16 +118,20 @@
         return self.count_in_progress()
 
     def _has_pending_work(self) -> bool:
-        """Return whether requests are in progress, or callers have unused keys issued here.
+        """Return whether requests are in progress, or keys issued here may still be used.
 
-        A key whose issuer is gone can't be used: its caller would get `ran: unknown` for work
+        A key can't be used once its issuer is gone: the caller would get `ran: unknown` for work
         that was never started.
         """
         key_hold_s = self.settings.limits.key_hold_s
         return self.count_in_progress() > 0 or self.keys.is_needed(key_hold_s)
 
     def count_in_progress(self) -> int:
-        """Return the number of requests from callers and of those forwarded by other hosts."""
+        """Return the number of requests in progress, from callers and forwarded by other hosts.
+
+        The caller server also counts queued requests, the dispatcher also those of other hosts.
+        Most requests are in both counts, so this is the larger of the two.
+        """
         return max(self.callers.count_in_progress(), self.dispatcher.count_in_flight())
 
     def stop(self) -> None:
@@ -155,7 +159,7 @@
         tracker = CrashTracker(settings.quarantine)
         self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
         self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_store)
-        self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_store)
+        self.claims = KeyClaimer(self.keys, self.peer_client, self._find_address, self._may_store)
         self.endpoints = EndpointClient.from_settings(settings.limits, reporter.report_stream)
         self.gateway = RequestGateway(
             GatewayDependencies(
