--- a/cloverway/commands/check.py
+++ b/cloverway/commands/check.py
@@ -29,7 +29,7 @@
 
 
 def check_directory(directory: Path, against: Path | None = None) -> Report:
-    """Validate a published directory, and compare it with an older one if that is given."""
+    """Validate a published directory, and compare it with an older one if one is given."""
     old = _load_reference(against)
     with collect_warnings() as warnings:
         try:
@@ -37,7 +37,7 @@
         except ConfigurationError as error:
             return Report(error.findings, warnings, [])
     changes = list_changes(old, new) if old else []
-    errors = list(_find_revision_faults(old, new, changes)) if old else []
+    errors = list(_find_revision_errors(old, new, changes)) if old else []
     return Report(errors, warnings, changes, describe(new))
 
 
@@ -83,9 +83,9 @@
 
 @contextmanager
 def collect_warnings() -> Iterator[list[str]]:
-    """Collect the warnings of validation in a list, in place of logging them."""
+    """Collect the warnings of validation in a list instead of logging them."""
     texts: list[str] = []
-    handler = _Collector(texts)
+    handler = _WarningCollector(texts)
     logger = logging.getLogger("cloverway.config")
     propagate = logger.propagate
     logger.addHandler(handler)
@@ -97,7 +97,7 @@
         logger.propagate = propagate
 
 
-class _Collector(logging.Handler):
+class _WarningCollector(logging.Handler):
     def __init__(self, texts: list[str]) -> None:
         super().__init__(logging.WARNING)
         self._texts = texts
@@ -122,7 +122,7 @@
 
 
 def _find_mismatches(settings: Settings, published: Published | None) -> Iterator[str]:
-    """Yield the settings that differ from what callers and other hosts read of this host."""
+    """Yield the settings that differ from the host's published entry."""
     if published is None:
         return
     host = published.hosts.get(settings.host)
@@ -141,7 +141,7 @@
             yield f"{name}: {own!r} is published as {other!r}; make them the same"
 
 
-def _find_revision_faults(old: Published, new: Published, changes: list[str]) -> Iterator[str]:
+def _find_revision_errors(old: Published, new: Published, changes: list[str]) -> Iterator[str]:
     if changes and new.revision <= old.revision:
         yield (
             f"revision: {new.revision} must be higher than {old.revision}, or no host applies the "
--- a/cloverway/config/configuration.py
+++ b/cloverway/config/configuration.py
@@ -38,16 +38,16 @@
 log = logging.getLogger(__name__)
 
 STALE_AFTER_S = 4.0
-"""A platform that is behind for this long is stale; a change is in force everywhere by then."""
+"""Seconds after which a platform that is behind is stale; a change takes less time to spread."""
 
 RECHECK_AFTER_S = 10.0
-"""After this long without contact, the platform may have been restored from older data."""
+"""Seconds without contact after which the platform may have been restored from older data."""
 
 PEER_TIMEOUT_S = 4.0
-"""A starting host stops waiting for a peer that it has not heard from for this long."""
+"""Seconds without contact after which a starting host stops waiting for a peer."""
 
 READERS_PER_DOMAIN = 2
-"""Hosts of a failure domain that read the platform; if one of them fails, reads continue."""
+"""Hosts of a failure domain that read the platform; more than one, in case a reader fails."""
 
 
 class Source(StrEnum):
@@ -57,22 +57,22 @@
     PEER = "peer"
 
 
-class Check(Enum):
+class PlatformCheck(Enum):
     """What the platform must send again before its changes are accepted."""
 
     NONE = 0
-    LATEST = 1
-    """The latest changes in force, because it was unreachable and may have been restored."""
-    WHOLE = 2
-    """All documents, because its revision decreased and it may be reusing revisions."""
+    RECENT = 1
+    """The latest changes in force, because it was out of contact and may have been restored."""
+    SNAPSHOT = 2
+    """All documents, because its revision decreased or is behind, and it may reuse revisions."""
 
 
 class ConfigurationStore:
     """The configuration in force; accepts or rejects the changes of the platform and peers.
 
-    Not thread-safe. Until `start_serving` is called the host serves no callers, and the first
-    snapshot from a peer replaces what was read from the platform alone: the peer has its snapshot
-    in force, while a platform that was restored from older data may have reused revisions.
+    Not thread-safe. Before `start_serving` is called, the first snapshot from a peer replaces what
+    was read from the platform alone: the peer has its snapshot in force, while a platform that was
+    restored from older data may have reused revisions.
     """
 
     def __init__(self) -> None:
@@ -84,9 +84,9 @@
         self._delivered_revision = 0
         self._last_contact_at = float("-inf")
         self._behind_since: float | None = None
-        self._check = Check.NONE
+        self._pending_check = PlatformCheck.NONE
         self.platform_stale = False
-        """Whether the platform has less than is in force, or a conflicting history."""
+        """Whether the platform is behind the configuration in force, or conflicts with it."""
 
     @property
     def published(self) -> Published | None:
@@ -100,7 +100,7 @@
 
     @property
     def served_revision(self) -> int:
-        """The revision announced to peers: 0 until this host serves, so that none relies on it."""
+        """The revision announced to peers; 0 until this host serves, so that no peer fetches it."""
         return self._revisions.revision if self._is_serving else 0
 
     @property
@@ -118,15 +118,18 @@
         """The revision after which to read the platform next; 0 for a snapshot.
 
         This is the last revision that the platform itself delivered, even if peers delivered later
-        ones: the platform must deliver the same changes, or its history conflicts with them.
+        ones. The platform must deliver the same changes; otherwise its history conflicts.
         """
-        if self._check is Check.LATEST:
+        if self._pending_check is PlatformCheck.RECENT:
             return min(self._revisions.documents.recheck_after, self._delivered_revision)
-        if self._check is Check.WHOLE and self._platform_revision >= self.revision:
+        if (
+            self._pending_check is PlatformCheck.SNAPSHOT
+            and self._platform_revision >= self.revision
+        ):
             return 0
         return self._delivered_revision
 
-    def fetch_after(self, revision: int) -> int | None:
+    def get_fetch_after(self, revision: int) -> int | None:
         """Return the revision after which to fetch from a peer at `revision`; None for no fetch."""
         if self._revisions.has_rejected(revision) or revision < 1:
             return None
@@ -137,19 +140,19 @@
         return self.revision if revision > self.revision else None
 
     def start_serving(self) -> None:
-        """Start to serve; from now on, a peer's snapshot no longer replaces what is in force."""
+        """Start to serve; a peer's snapshot no longer replaces the configuration in force."""
         self._is_serving = True
 
-    def conflicts(self, revision: int, digest: str) -> bool:
+    def conflicts_with(self, revision: int, digest: str) -> bool:
         """Return whether a peer has other documents under the revision that is in force here."""
         return revision == self.revision and digest != self.digest
 
-    def changes_after(self, revision: int) -> Changes:
+    def get_changes_after(self, revision: int) -> Changes:
         """Return a delta for a peer, or a snapshot if the peer has nothing or is far behind."""
-        return self._revisions.documents.changes_after(revision, self.revision)
+        return self._revisions.documents.get_changes_after(revision, self.revision)
 
     def apply(self, changes: Changes, source: Source, now: float) -> ApplyResult:
-        """Merge changes; return whether they are in force, and if not, why."""
+        """Apply changes; return whether they came into force, or the reason why not."""
         before = self.revision
         if error := self._revisions.find_format_error(changes):
             return Rejected(before, (error,))
@@ -160,7 +163,7 @@
         else:
             result = self._revisions.apply_from_peer(changes)
             self._needs_snapshot = isinstance(result, Gap) and result.known == 0 < self.revision
-        # A lower revision would restore what operators have withdrawn, such as a key.
+        # A lower revision would restore documents that operators have withdrawn, such as a key.
         assert self.revision >= before, "the revision in force went down"
         return result
 
@@ -176,34 +179,41 @@
             self._delivered_revision = changes.revision
         if isinstance(result, Rejected) and result.conflicts:
             self.platform_stale = True
-            self._check = Check.NONE if self._revisions.has_conflict else Check.WHOLE
+            self._pending_check = (
+                PlatformCheck.NONE if self._revisions.has_conflict else PlatformCheck.SNAPSHOT
+            )
         elif self._revisions.has_conflict:
             self.platform_stale = True
-        elif self._check is Check.NONE and isinstance(result, Accepted | Unchanged):
+        elif self._pending_check is PlatformCheck.NONE and isinstance(result, Accepted | Unchanged):
             self.platform_stale = False
         return result
 
     def _passes_check(self, changes: Changes) -> bool:
         """Return whether changes reach back as far as the pending check requires."""
-        if changes.complete or (self._check is Check.LATEST and changes.after <= self.read_after):
-            self._check = Check.NONE
-        return self._check is Check.NONE
-
-    def _record_contact(self, offered: int, now: float) -> None:
-        """Mark the platform as stale if its revision decreased, or is behind for too long."""
-        went_back = offered < self._platform_revision
-        if now - self._last_contact_at > RECHECK_AFTER_S and self._check is Check.NONE:
-            self._check = Check.LATEST
-        self._platform_revision = offered
+        if changes.complete or (
+            self._pending_check is PlatformCheck.RECENT and changes.after <= self.read_after
+        ):
+            self._pending_check = PlatformCheck.NONE
+        return self._pending_check is PlatformCheck.NONE
+
+    def _record_contact(self, reported_revision: int, now: float) -> None:
+        """Record the platform's revision; mark it as stale if it decreased or lags too long."""
+        has_decreased = reported_revision < self._platform_revision
+        if (
+            now - self._last_contact_at > RECHECK_AFTER_S
+            and self._pending_check is PlatformCheck.NONE
+        ):
+            self._pending_check = PlatformCheck.RECENT
+        self._platform_revision = reported_revision
         self._last_contact_at = now
-        if offered >= self.revision:
+        if reported_revision >= self.revision:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
-        lags = self._behind_since is not None and now - self._behind_since >= STALE_AFTER_S
-        if went_back or lags:
+        is_behind = self._behind_since is not None and now - self._behind_since >= STALE_AFTER_S
+        if has_decreased or is_behind:
             self.platform_stale = True
-            self._check = Check.WHOLE
+            self._pending_check = PlatformCheck.SNAPSHOT
 
     def _replace_with_peer_snapshot(self, changes: Changes) -> ApplyResult:
         """Replace what was read from the platform alone by a peer's snapshot, if that is valid.
@@ -216,7 +226,7 @@
         if isinstance(result, Accepted):
             self._revisions = revisions
             self._has_peer_snapshot = True
-            self._check = Check.WHOLE
+            self._pending_check = PlatformCheck.SNAPSHOT
         return result
 
 
@@ -230,55 +240,57 @@
 
 
 class ReadinessGate:
-    """Delays the start of a host until the platform and its peers have responded, or a timeout."""
+    """Delays the start of a host until the platform and its peers respond, or until a timeout."""
 
     def __init__(self, started_at: float, timeout_s: float = 3.0) -> None:
         self._deadline = started_at + timeout_s
-        self._peers: dict[str, int] = {}
+        self._peer_revisions: dict[str, int] = {}
         self._last_heard_at: dict[str, float] = {}
         self._newly_heard: set[str] = set()
-        self._platform: int | None = None
+        self._platform_revision: int | None = None
 
     def record_platform(self, revision: int) -> None:
         """Record the revision of a response of the platform."""
-        self._platform = revision
+        self._platform_revision = revision
 
     def record_peer(self, host: str, revision: int) -> None:
         """Record the revision that a peer has in force; 0 for a peer that is starting too."""
-        self._peers[host] = max(revision, self._peers.get(host, 0))
+        self._peer_revisions[host] = max(revision, self._peer_revisions.get(host, 0))
         self._newly_heard.add(host)
 
-    def check(self, current: int, expected: Iterable[str], now: float) -> Readiness:
-        """Return the readiness, given the revision in force here and the expected peers."""
+    def check(self, own_revision: int, expected_peers: Iterable[str], now: float) -> Readiness:
+        """Return whether this host is ready, given its revision and the peers that must respond."""
         self._drop_silent_peers(now)
-        if current < 1:
+        if own_revision < 1:
             return Readiness(False, "no configuration was accepted yet")
-        highest = max(self._peers.values(), default=0)
-        if current < highest:
+        highest = max(self._peer_revisions.values(), default=0)
+        if own_revision < highest:
             return Readiness(False, "a peer has a later configuration")
-        all_responded = self._platform is not None and set(expected) <= set(self._peers)
-        if all_responded and current >= (self._platform or 0):
+        all_responded = self._platform_revision is not None and set(expected_peers) <= set(
+            self._peer_revisions
+        )
+        if all_responded and own_revision >= (self._platform_revision or 0):
             return Readiness(True, "the platform and all peers responded", confirmed=True)
         if now < self._deadline:
             return Readiness(False, "waiting for the platform and peers")
         return Readiness(True, "timed out waiting for the platform and peers")
 
     def _drop_silent_peers(self, now: float) -> None:
-        """Drop peers that are no longer heard from.
+        """Drop peers that were not heard from recently.
 
-        A peer can crash after it has announced a revision that no other peer has. Waiting for that
-        revision would keep this host from serving for ever; only the platform may still have it.
+        A peer can crash after it has announced a revision that no other peer has. This host would
+        wait for that revision forever; only the platform may still have it.
         """
         self._last_heard_at |= {host: now for host in self._newly_heard}
         self._newly_heard.clear()
         for host in [host for host, at in self._last_heard_at.items() if now - at > PEER_TIMEOUT_S]:
-            del self._last_heard_at[host], self._peers[host]
+            del self._last_heard_at[host], self._peer_revisions[host]
 
 
 def choose_readers(
     hosts: Iterable[str], domain: str, key: str = "configuration", count: int = READERS_PER_DOMAIN
 ) -> tuple[str, ...]:
-    """Choose the live hosts of a failure domain that read the platform, by rendezvous hashing."""
+    """Choose which live hosts of a failure domain read the platform, by rendezvous hashing."""
     ranked = sorted(
         set(hosts), key=lambda host: (_compute_score(domain, key, host), host), reverse=True
     )
@@ -286,7 +298,7 @@
 
 
 def log_result(result: ApplyResult, source: Source) -> None:
-    """Log the result of applying changes; operators must correct what leads to a rejection."""
+    """Log the result of applying changes; a rejection needs a correction by operators."""
     fields = {"source": str(source)}
     match result:
         case Accepted(published, after):
--- a/cloverway/daemon.py
+++ b/cloverway/daemon.py
@@ -23,12 +23,12 @@
 from cloverway.dispatch.ends import CrashTracker
 from cloverway.entry.callers import CallerServer
 from cloverway.errors import RequestError, UserError
-from cloverway.gateway import Ports, RequestGateway
-from cloverway.logs import configure_logs
+from cloverway.gateway import GatewayDependencies, RequestGateway
+from cloverway.logs import configure_logging
 from cloverway.membership.control import ControlLoop
 from cloverway.membership.view import View, ViewHolder
-from cloverway.once.claims import Claims, LedgerTask
-from cloverway.operations.admin import AdminServer, Operations
+from cloverway.once.claims import KeyClaimer, LedgerTask
+from cloverway.operations.admin import AdminOperations, AdminServer
 from cloverway.operations.metrics import Metrics
 from cloverway.operations.reporting import Reporter
 from cloverway.peers.channel import Identity
@@ -91,7 +91,7 @@
     def begin_leaving(self) -> None:
         """Accept no new work from now on, and make `wait_for_leave` return."""
         self.control.begin_leaving()
-        self.keys.leave()
+        self.keys.stop_issuing()
         self.callers.stop_accepting()
         self._leaving.set()
 
@@ -118,17 +118,21 @@
         return self.count_in_progress()
 
     def _has_pending_work(self) -> bool:
-        """Return whether requests are in progress, or callers have unused keys issued here.
+        """Return whether requests are in progress, or keys issued here may still be used.
 
-        A key whose issuer is gone can't be used: its caller would get `ran: unknown` for work
+        A key can't be used once its issuer is gone: the caller would get `ran: unknown` for work
         that was never started.
         """
-        hold_s = self.settings.limits.key_hold_s
-        return self.count_in_progress() > 0 or self.keys.is_needed(hold_s)
+        key_hold_s = self.settings.limits.key_hold_s
+        return self.count_in_progress() > 0 or self.keys.is_needed(key_hold_s)
 
     def count_in_progress(self) -> int:
-        """Return the number of requests from callers and of those forwarded by other hosts."""
-        return max(self.callers.in_progress(), self.dispatcher.in_flight())
+        """Return the number of requests in progress, from callers and forwarded by other hosts.
+
+        The caller server also counts queued requests, the dispatcher also those of other hosts.
+        Most requests are in both counts, so this is the larger of the two.
+        """
+        return max(self.callers.count_in_progress(), self.dispatcher.count_in_flight())
 
     def stop(self) -> None:
         """Stop all tasks, the listeners first."""
@@ -155,10 +159,12 @@
         tracker = CrashTracker(settings.quarantine)
         self.dispatcher = Dispatcher.from_config(settings, holder, crash_tracker=tracker)
         self.keys = LedgerTask.from_settings(settings, self.incarnation, self._may_store)
-        self.claims = Claims(self.keys, self.peer_client, self._find_address, self._may_store)
+        self.claims = KeyClaimer(self.keys, self.peer_client, self._find_address, self._may_store)
         self.endpoints = EndpointClient.from_settings(settings.limits, reporter.report_stream)
         self.gateway = RequestGateway(
-            Ports(holder, self.dispatcher, self.endpoints, self.peer_client, self.claims),
+            GatewayDependencies(
+                holder, self.dispatcher, self.endpoints, self.peer_client, self.claims
+            ),
             time.monotonic,
             reporter.report_request,
             settings.limits.recorded_answer_bytes,
@@ -169,10 +175,10 @@
             store=ConfigurationStore(),
             secret=secret,
             fetch_changes=make_fetch_changes(self.peer_client.fetch_changes),
-            load=self.dispatcher.load,
+            load=self.dispatcher.get_load,
             crash_tracker=tracker,
         )
-        handler = PeerRequestHandler(self.keys, self.gateway, self.control.changes_after)
+        handler = PeerRequestHandler(self.keys, self.gateway, self.control.get_changes_after)
         self.peer_server = PeerServer(
             settings.listen.peers,
             Identity(settings.host, self.incarnation),
@@ -188,13 +194,13 @@
             self.holder,
             self.gateway,
             self.keys.issue,
-            on_rejection=reporter.report_refusal,
+            on_rejection=reporter.report_rejection,
             on_disconnect=self._cancel_request,
         )
-        operations = Operations(
+        operations = AdminOperations(
             list_hosts=self.callers.list_hosts,
-            count_active=self.count_in_progress,
-            count_queued=self.dispatcher.queued,
+            count_in_progress=self.count_in_progress,
+            count_queued=self.dispatcher.count_queued,
             render_metrics=self.metrics.render,
             explain=self._explain,
             begin_leaving=self.begin_leaving,
@@ -229,7 +235,7 @@
 def run(path: Path) -> int:
     """Run a daemon until it has left; return its exit status."""
     daemon = Daemon.from_config(path)
-    configure_logs(daemon.settings.log_level, daemon.settings.host, daemon.incarnation)
+    configure_logging(daemon.settings.log_level, daemon.settings.host, daemon.incarnation)
     signals = _count_signals(daemon)
     daemon.start()
     daemon.wait_for_leave()
--- a/cloverway/dispatch/admission.py
+++ b/cloverway/dispatch/admission.py
@@ -27,7 +27,9 @@
 MAX_CREDIT = 2.0
 """Upper bound on the credit that a class accumulates, as a multiple of its cheapest request."""
 MIN_SLOTS = 0.1
+"""Lower bound on the slots in a predicted wait, which is then finite when none is free."""
 RATE_HALF_LIFE_S = 2.5
+"""Half-life of the measured rates of arriving and completed work."""
 MIN_RATE_FRACTION = 0.1
 """Minimum assumed completion rate, as a fraction of the slots, until there are measurements."""
 STARTING_RETRY_AFTER_S = 1.0
@@ -58,7 +60,7 @@
     """Destinations of earlier attempts: endpoints, hosts and failure domains."""
 
     @property
-    def latest_start(self) -> float:
+    def latest_start_at(self) -> float:
         """Latest start with a good chance to finish by the deadline (see START_MARGIN)."""
         return self.request.deadline - START_MARGIN * self.cost_s
 
@@ -122,7 +124,7 @@
         for other in {waiting.urgency for waiting in self.entries.values()}:
             if other < entry.urgency:
                 self._credit[other] += RESERVED_SHARE[other] * entry.cost_s
-        self._forget_idle_teams()
+        self._drop_idle_teams()
 
     def discard(self, entry: QueueEntry) -> None:
         """Remove a request without admitting it."""
@@ -191,7 +193,7 @@
 
     def find_unstartable(self, now: float) -> Iterator[QueueEntry]:
         """Return the requests whose latest start time has passed."""
-        return (entry for entry in list(self.entries.values()) if entry.latest_start <= now)
+        return (entry for entry in list(self.entries.values()) if entry.latest_start_at <= now)
 
     def classify_shortage(self, entry: QueueEntry) -> Kind:
         """Return TEAM_LIMIT when the team exceeds its fair share, else OVERLOADED."""
@@ -221,7 +223,7 @@
                 return urgency
         return None
 
-    def _forget_idle_teams(self) -> None:
+    def _drop_idle_teams(self) -> None:
         """Drop teams without waiting requests or excess usage; there may be 9,000 teams."""
         present = {entry.request.team for entry in self.entries.values()}
         self._usage = defaultdict(
--- a/cloverway/entry/application.py
+++ b/cloverway/entry/application.py
@@ -30,7 +30,7 @@
 KEY_HEADER = "Idempotency-Key"
 
 
-class Call(NamedTuple):
+class IncomingCall(NamedTuple):
     """One request as received from the listener."""
 
     id: str
@@ -42,7 +42,7 @@
     headers: Mapping[str, str]
     connection: CallerConnection
     http_request: Any
-    """Request object of the HTTP server, which determines the framing of the answer."""
+    """Request object of the HTTP server, which holds the state of the framing."""
 
     @property
     def is_http_1_0(self) -> bool:
@@ -74,7 +74,7 @@
         return body
 
 
-Handler = Callable[[Call], Reply]
+Handler = Callable[[IncomingCall], Reply]
 
 
 class CherryPyLog:
@@ -91,18 +91,18 @@
         log.log(severity, "cherrypy", extra={"report": msg}, exc_info=traceback)
 
     def access(self) -> None:
-        """Log nothing, since a request is logged once its outcome is known."""
+        """Log nothing: `operations.reporting` logs a request once its outcome is known."""
 
 
 class Responder:
-    """Answers each CherryPy request with a handler; every failure becomes a problem document."""
+    """Passes each CherryPy request to a handler; every failure becomes a problem document."""
 
-    def __init__(self, host: str, handle: Handler, answer_bytes: int) -> None:
+    def __init__(self, host: str, handle: Handler, max_answer_bytes: int) -> None:
         self.close_connections = False
         """Whether to close each connection after its answer."""
         self._host = host
         self._handle = handle
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
 
     def make_application(self) -> cherrypy.Application:
         """Return the WSGI application."""
@@ -145,8 +145,8 @@
             log.exception("a request failed", extra={"request_id": call.id})
             return self._make_problem(call, RequestError(Kind.INTERNAL))
 
-    def _make_body(self, call: Call, reply: Reply) -> Iterable[bytes]:
-        """Set the head of a reply and return its body, complete or as an iterator."""
+    def _make_body(self, call: IncomingCall, reply: Reply) -> Iterable[bytes]:
+        """Set the head of a reply and return its body, as a list or as an iterator of chunks."""
         if reply.stream is None:
             _set_head(reply)
             return [reply.body]
@@ -167,7 +167,7 @@
         body = bytearray()
         for piece in pieces:
             body += piece
-            if len(body) > self._answer_bytes:
+            if len(body) > self._max_answer_bytes:
                 raise RequestError(
                     Kind.TRUNCATED,
                     "the stream exceeds the size limit for HTTP/1.0 callers",
@@ -175,7 +175,7 @@
                 )
         return bytes(body)
 
-    def _make_problem(self, call: Call, error: RequestError) -> Iterable[bytes]:
+    def _make_problem(self, call: IncomingCall, error: RequestError) -> Iterable[bytes]:
         """Set the head of a problem and return its body."""
         response = cherrypy.serving.response
         response.status = error.status
@@ -183,7 +183,7 @@
         if error.retry_after is not None:
             response.headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
         if not _is_body_read(call):
-            # The rest of the body would be parsed as the next request.
+            # On a reused connection, the rest of the body would be parsed as the next request.
             call.http_request.close_connection = True
             call.connection.linger = True
         return [json.dumps(error.as_problem(call.id)).encode()]
@@ -209,17 +209,17 @@
     return Reply(status, JSON_TYPE, json.dumps(document).encode())
 
 
-def require_method(call: Call, *methods: str) -> None:
+def require_method(call: IncomingCall, *methods: str) -> None:
     """Raise RequestError METHOD_NOT_ALLOWED unless the call uses one of the methods."""
     if call.method not in methods:
         raise RequestError(Kind.METHOD_NOT_ALLOWED, f"use {' or '.join(methods)}")
 
 
-def _read_call() -> Call:
+def _read_call() -> IncomingCall:
     request = cherrypy.serving.request
     environ = request.wsgi_environ
     http_request = environ[REQUEST_KEY]
-    return Call(
+    return IncomingCall(
         id=make_request_id(),
         method=request.method,
         path=environ["PATH_INFO"],
@@ -231,7 +231,7 @@
 
 
 def _run_at_end(callback: Callable[[], None]) -> None:
-    """Register a callback for when the answer was written or aborted."""
+    """Register a callback that runs once the answer was written or aborted."""
     cherrypy.serving.request.hooks.attach("on_end_request", callback, failsafe=True)
 
 
@@ -250,19 +250,20 @@
     return name.lower() not in FRAMING_HEADERS and name.isascii() and text.isprintable()
 
 
-def _is_body_read(call: Call) -> bool:
-    """Return whether the body was read, so that the next request starts behind it."""
+def _is_body_read(call: IncomingCall) -> bool:
+    """Return whether the body was read, so that the next request starts after it."""
     if call.http_request.body_is_read:
         return True
     return not call.http_request.chunked_read and not call.http_request.rfile.remaining
 
 
 def _relay_stream(
-    call: Call, first: bytes, pieces: Iterator[bytes], stream: Stream
+    call: IncomingCall, first: bytes, pieces: Iterator[bytes], stream: Stream
 ) -> Iterator[bytes]:
-    """Yield the first piece to the server, and hand over the connection for the rest.
+    """Yield the first piece to the server, then relay the rest to the caller's socket.
 
-    `pieces` is referenced until the end, since dropping its generator would close the stream.
+    `pieces` stays referenced until the end: if its generator were dropped, it would close the
+    stream.
     """
     yield first
     try:
@@ -274,8 +275,8 @@
     del pieces
 
 
-def _abort_response(call: Call, error: Exception) -> None:
-    """Close the connection without the last chunk, so that the answer is seen as truncated."""
+def _abort_response(call: IncomingCall, error: Exception) -> None:
+    """Close the connection without the last chunk, so that the caller detects the truncation."""
     call.http_request.chunked_write = False
     call.http_request.close_connection = True
     if isinstance(error, RequestError | OSError):
--- a/cloverway/entry/callers.py
+++ b/cloverway/entry/callers.py
@@ -1,4 +1,4 @@
-"""Interface for callers: authenticates and checks calls and passes them to the gateway."""
+"""Interface for callers: authenticates and validates calls and passes them to the gateway."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cloverway.entry import bodies
 from cloverway.entry.application import (
     KEY_HEADER,
-    Call,
+    IncomingCall,
     Responder,
     make_json_reply,
     require_method,
@@ -24,7 +24,7 @@
 from cloverway.entry.authentication import Caller, KeyIndexCache, authenticate, choose_deadline_s
 from cloverway.entry.caller_connection import EarlyRejection
 from cloverway.entry.departures import DisconnectWatcher
-from cloverway.entry.directory import HostList, MaxAges, list_hosts
+from cloverway.entry.host_list import HostList, MaxAges, list_hosts
 from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.membership.view import ViewHolder
@@ -45,7 +45,7 @@
 STARTING_RETRY_S = 1.0
 SLOW_BODY_RETRY_S = 1.0
 THREADS_PER_SLOW_BODY = 4
-"""The slow bodies of one team may occupy one in this many threads."""
+"""One of this many threads may wait for slow bodies of the same team."""
 SAFE_TARGET = re.compile(r"/[A-Za-z0-9/._~!$&'()*+,;=:@%?-]*")
 DOT_SEGMENT = re.compile(r"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 ENCODED_SLASH = re.compile(r"%(2f|5c|00)", re.IGNORECASE)
@@ -58,9 +58,9 @@
     method: str
     """HTTP method, or empty if the head was not read."""
     team: str
-    """Team, or empty if the caller is unknown."""
+    """Team, or empty if the caller was not authenticated."""
     profile: str
-    """Profile if it is published, or empty: text of a caller is never logged."""
+    """Profile if it is published, otherwise empty, because text from a caller is never logged."""
     kind: Kind
     ran: Ran
     total_s: float
@@ -69,8 +69,8 @@
 class SlowBodyLimiter:
     """Limits how many threads wait for slow bodies of one team at a time.
 
-    A body may take some seconds. Without a limit for each team, a team whose callers are on a bad
-    link could occupy every thread. Bodies that arrive promptly are not counted.
+    A body may take several seconds to arrive. Without a limit per team, a team whose callers have
+    a slow network could occupy all threads. Bodies that arrive promptly are not counted.
     """
 
     def __init__(self, limit: int) -> None:
@@ -117,7 +117,7 @@
         self._max_ages = MaxAges(settings.timing.suspect_s)
         self._holder = holder
         self._gateway = gateway
-        self._issue = issue_keys
+        self._issue_new_keys = issue_keys
         self._on_rejection = on_rejection
         self._clock = clock
         self._disconnects = DisconnectWatcher(on_disconnect)
@@ -158,18 +158,18 @@
         self._listener.stop()
         self._disconnects.stop()
 
-    def in_progress(self) -> int:
-        """Return the number of requests from complete head to written answer, with queued ones."""
+    def count_in_progress(self) -> int:
+        """Return the number of requests with a complete head that are not answered yet."""
         return self._listener.in_progress
 
     def list_hosts(self) -> HostList:
         """Return the hosts that a caller should use now."""
-        overloaded = self.in_progress() > self._limits.admitted + self._limits.queued
+        overloaded = self.count_in_progress() > self._limits.admitted + self._limits.queued
         return list_hosts(
             self._holder.current, self._clock(), self._max_ages, next(self._rotation), overloaded
         )
 
-    def _handle(self, call: Call) -> Reply:
+    def _handle(self, call: IncomingCall) -> Reply:
         if call.path == HOSTS_PATH:
             require_method(call, "GET")
             return make_json_reply(self.list_hosts())
@@ -184,8 +184,8 @@
         with self._disconnects.watch(call.connection.socket, call.id):
             return self._gateway.run(request)
 
-    def _build_request(self, call: Call, arrived_at: float) -> Request | Reply:
-        """Check a call, cheapest checks first, and return its request or an immediate reply."""
+    def _build_request(self, call: IncomingCall, arrived_at: float) -> Request | Reply:
+        """Check a call, cheapest checks first; return its request or an immediate reply."""
         check_path(call)
         published = self._holder.current.published
         if published is None:
@@ -220,7 +220,7 @@
             revision=published.revision,
         )
 
-    def _read_body(self, call: Call, team: str) -> bytes:
+    def _read_body(self, call: IncomingCall, team: str) -> bytes:
         with contextlib.ExitStack() as stack:
 
             def count_slow() -> None:
@@ -228,14 +228,14 @@
 
             return call.read_body(self._limits.body_bytes, self._limits.body_timeout_s, count_slow)
 
-    def _issue_keys(self, call: Call, team: str) -> Reply:
+    def _issue_keys(self, call: IncomingCall, team: str) -> Reply:
         body = self._read_body(call, team)
         key_count: Any = 1
         if body:
             key_count = bodies.parse_json(body, call.get_header("Content-Type")).get("count", 1)
         if type(key_count) is not int or not 1 <= key_count <= MAX_KEYS_PER_CALL:
             raise RequestError(Kind.MALFORMED, f"'count' must be from 1 to {MAX_KEYS_PER_CALL}")
-        keys = self._issue(key_count)
+        keys = self._issue_new_keys(key_count)
         lifetime_s = self._limits.idempotency_key_s
         return make_json_reply({"key": keys[0], "keys": keys, "lifetime_s": lifetime_s})
 
@@ -243,18 +243,18 @@
         ran = Ran.UNKNOWN if rejection.kind is Kind.INTERNAL else Ran.NO
         self._on_rejection(Rejection(rejection.request_id, "", "", "", rejection.kind, ran, 0.0))
 
-    def _report_rejection(self, call: Call, error: RequestError, arrived_at: float) -> None:
-        # The log holds the outcome of this request; the caller's answer also covers its key.
+    def _report_rejection(self, call: IncomingCall, error: RequestError, arrived_at: float) -> None:
+        # `ran` in the log is about this request; in the answer it is also about the key.
         ran = error.ran
         if call.get_header(KEY_HEADER) and error.kind is not Kind.KEY_INVALID:
-            # The key was not looked up: an earlier request with it may have run, and a caller that
-            # reads "no" would repeat the work with a new key.
+            # The key was not looked up, so an earlier request with it may have run. After "no", the
+            # caller would repeat the work with a new key.
             error.ran = Ran.UNKNOWN
         team, profile = self._identify(call)
         total_s = self._clock() - arrived_at
         self._on_rejection(Rejection(call.id, call.method, team, profile, error.kind, ran, total_s))
 
-    def _identify(self, call: Call) -> tuple[str, str]:
+    def _identify(self, call: IncomingCall) -> tuple[str, str]:
         """Return the team and the profile of a rejected call, each empty if unknown."""
         published = self._holder.current.published
         if published is None:
@@ -268,7 +268,7 @@
         return team, profile if profile in published.profiles else ""
 
 
-def check_path(call: Call) -> None:
+def check_path(call: IncomingCall) -> None:
     """Raise RequestError NOT_FOUND or METHOD_NOT_ALLOWED for an unknown path or method."""
     if call.path in COMPLETION_FIELDS or call.path == KEYS_PATH:
         require_method(call, "POST")
@@ -278,8 +278,8 @@
     require_method(call, *SERVICE_METHODS)
 
 
-def check_target(call: Call, caller: Caller) -> None:
-    """Raise RequestError unless the profile serves the path.
+def check_target(call: IncomingCall, caller: Caller) -> None:
+    """Raise RequestError unless the profile allows the target.
 
     The target is forwarded to the endpoint verbatim, so it must stay below the path of its service.
     With dot segments or encoded slashes a caller could reach an endpoint's control paths.
@@ -300,7 +300,7 @@
         raise RequestError(Kind.NOT_FOUND, "the profile does not serve this service")
 
 
-def read_key(call: Call, caller: Caller) -> str:
+def read_key(call: IncomingCall, caller: Caller) -> str:
     """Return the idempotency key; raise RequestError if it is required or invalid."""
     key = call.get_header(KEY_HEADER).strip()
     if not key and not caller.profile.idempotent:
--- a/cloverway/load.py
+++ b/cloverway/load.py
@@ -1,7 +1,7 @@
 """Open-loop load generator for one or more targets, with latency histograms per target.
 
-Arrivals don't wait for answers, so a slow target does not reduce its own load. Arrivals go to the
-targets in turn, so that a disturbance affects all targets alike.
+Arrivals don't wait for answers, so a slow target does not reduce its own load. The targets get
+arrivals in turn, so that a disturbance of the machine affects all of them alike.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class LoadPlan(NamedTuple):
-    """The size of a load, limited in concurrency and in time."""
+    """The size and duration of a load."""
 
     streams: int
     """Concurrent streams on each target, if each takes the expected time."""
@@ -95,7 +95,7 @@
 
 
 def run_load(targets: Sequence[Target], plan: LoadPlan, random: Random) -> list[LoadStats]:
-    """Run a load to its end and return the measurements of each target."""
+    """Run a load to its end and return the statistics of each target."""
     return asyncio.run(_run_all(targets, plan, random))
 
 
@@ -107,14 +107,14 @@
     for at, target_index in schedule_arrivals(plan, len(targets), random):
         await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
         call = _Call(next(addresses[target_index]), targets[target_index].headers)
-        running.append(asyncio.create_task(_run_one(call, plan, stats[target_index])))
+        running.append(asyncio.create_task(_run_call(call, plan, stats[target_index])))
     await asyncio.gather(*running)
     return stats
 
 
-async def _run_one(call: _Call, plan: LoadPlan, stats: LoadStats) -> None:
+async def _run_call(call: _Call, plan: LoadPlan, stats: LoadStats) -> None:
     try:
-        outcome = await asyncio.wait_for(_stream(call, plan, stats), plan.timeout_s)
+        outcome = await asyncio.wait_for(_run_stream(call, plan, stats), plan.timeout_s)
     except TimeoutError:
         outcome = TIMED_OUT
     except (OSError, asyncio.IncompleteReadError):
@@ -124,7 +124,7 @@
     stats.outcomes[outcome] += 1
 
 
-async def _stream(call: _Call, plan: LoadPlan, stats: LoadStats) -> str:
+async def _run_stream(call: _Call, plan: LoadPlan, stats: LoadStats) -> str:
     started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(*split_address(call.address))
     try:
--- a/cloverway/membership/control.py
+++ b/cloverway/membership/control.py
@@ -3,6 +3,7 @@
 It receives datagrams from other hosts, reads the load reports of endpoints and polls the platform.
 The decisions are in `gossip`, `membership`, `endpoint_table` and `summaries`. This module owns the
 socket and the timers, and makes blocking calls on separate threads so that none blocks the loop.
+A sibling is another host of the same failure domain.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 from cloverway.membership.view import EndpointState, View, ViewHolder
 from cloverway.sources.file import FilePlatform
 from cloverway.sources.http import HttpPlatform
-from cloverway.sources.port import Changes, Listed, MemberStates, Platform
+from cloverway.sources.port import Changes, MemberState, MemberStates, Platform
 
 log = logging.getLogger(__name__)
 
@@ -155,9 +156,9 @@
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(self._schedule_broadcast)
 
-    def changes_after(self, revision: int) -> Changes:
+    def get_changes_after(self, revision: int) -> Changes:
         """Return the documents that changed after a revision; safe to call from any thread."""
-        return self._updates.changes_after(revision)
+        return self._updates.get_changes_after(revision)
 
     @property
     def address(self) -> str:
@@ -301,17 +302,19 @@
             self._updates.record_peer(received.host, received.revision)
         published = self._updates.published
         known = published.hosts.get(received.host) if published else None
-        offer = PeerRevision(received.host, known.peers if known else source, received.revision)
-        if self._updates.should_fetch(offer, now):
-            self._loop.create_task(self._updates.fetch(offer, self._adopt))
+        peer_revision = PeerRevision(
+            received.host, known.peers if known else source, received.revision
+        )
+        if self._updates.should_fetch(peer_revision, now):
+            self._loop.create_task(self._updates.fetch(peer_revision, self._adopt))
 
     def _adopt(self, published: Published) -> None:
         self.gossip.adopt(published)
         own = published.endpoints_of(self._settings.domain)
         for name in [name for name in self._readers if name not in own]:
             self._readers.pop(name).abort()
-        # An immediate broadcast brings the revision to all hosts of the domain one network
-        # latency later.
+        # Broadcast at once, so that the revision reaches all hosts of the domain after one network
+        # latency instead of with their next heartbeats.
         self._schedule_broadcast()
 
     async def _poll_member_list(self) -> None:
@@ -329,15 +332,15 @@
                 log.exception("can't read the platform's member list")
 
     def _apply_member_list(self, states: MemberStates) -> None:
-        leaving = {name: state is Listed.LEAVING for name, state in states.endpoints.items()}
+        leaving = {name: state is MemberState.LEAVING for name, state in states.endpoints.items()}
         if self.gossip.endpoint_table.apply_member_list(leaving, self._clock()):
             self._broadcast_due = True
-        if states.hosts.get(self._settings.host) is Listed.LEAVING and not self._leaving:
+        if states.hosts.get(self._settings.host) is MemberState.LEAVING and not self._leaving:
             log.debug("the platform lists this host as leaving")
 
     def _is_reader(self, now: float) -> bool:
-        staying = self.gossip.members.list_staying(now)
-        return self._settings.host in choose_readers(staying, self._settings.domain)
+        active = self.gossip.members.list_active(now)
+        return self._settings.host in choose_readers(active, self._settings.domain)
 
     def _read_endpoints(self, now: float) -> None:
         published = self._updates.published
@@ -372,14 +375,14 @@
         """Start serving when the configuration is settled and each endpoint has reported.
 
         A host that started earlier would refuse its first callers for lack of a ready endpoint.
-        An endpoint that may be dead does not hold it up: after a timeout it serves without it.
+        An endpoint that does not report delays the start by at most STARTUP_REPORTS_TIMEOUT_S.
         """
         if self._serving or not self._updates.is_serving:
             return
         if self._serve_deadline is None:
             self._serve_deadline = now + STARTUP_REPORTS_TIMEOUT_S
-        heard = all(state.reported_at > NEVER for state in endpoints)
-        self._serving = heard or now >= self._serve_deadline
+        all_reported = all(state.reported_at > NEVER for state in endpoints)
+        self._serving = all_reported or now >= self._serve_deadline
 
     def _publish(self, now: float) -> None:
         """Publish a new view to all other tasks, by a single assignment."""
--- a/cloverway/once/claims.py
+++ b/cloverway/once/claims.py
@@ -17,15 +17,15 @@
 from cloverway.once.key_format import ParsedKey
 from cloverway.once.keys import (
     NONCE_BYTES,
-    Bounds,
     ClaimCall,
     ClaimResult,
     Grant,
     Ledger,
+    LedgerLimits,
     Recorded,
     SettleCall,
     Settlement,
-    compute_digest,
+    compute_content_digest,
 )
 from cloverway.once.settlements import IssuerClient, SettlementSender
 from cloverway.replies import Reply
@@ -61,7 +61,7 @@
 class CheckNeeded(NamedTuple):
     """Message: return whether claims must still be answered."""
 
-    hold_s: float
+    key_hold_s: float
 
 
 class LedgerCount(NamedTuple):
@@ -94,7 +94,7 @@
     def from_settings(cls, settings: Settings, incarnation: str, may_store: MayStore) -> LedgerTask:
         """Create the task with a new secret that never leaves this process."""
         limits = settings.limits
-        bounds = Bounds(
+        bounds = LedgerLimits(
             limits.idempotency_keys,
             limits.idempotency_key_s,
             limits.recorded_bytes,
@@ -134,21 +134,22 @@
             call = call._replace(recorded=None)
         self._task.send(call)
 
-    def leave(self) -> None:
+    def stop_issuing(self) -> None:
         """Stop issuing keys."""
         self._task.send(StopIssuing())
 
     def count(self) -> LedgerCount:
-        """Return the size of the ledger; a leaving host waits until no grant is outstanding."""
+        """Return the size of the ledger."""
         count: LedgerCount = self._call_ledger(CountKeys(), Ran.NO)
         return count
 
-    def is_needed(self, hold_s: float) -> bool:
+    def is_needed(self, key_hold_s: float) -> bool:
         """Return whether a leaving host must still answer claims.
 
-        It must while granted runs are in progress, and for `hold_s` after it issued its last key.
+        It must while granted runs are in progress, and for `key_hold_s` after it issued its last
+        key.
         """
-        needed: bool = self._call_ledger(CheckNeeded(hold_s), Ran.NO)
+        needed: bool = self._call_ledger(CheckNeeded(key_hold_s), Ran.NO)
         return needed
 
     def _call_ledger(self, message: Any, ran: Ran) -> Any:
@@ -177,13 +178,13 @@
             self._ledger.leaving = True
             return None
         if isinstance(message, CheckNeeded):
-            return self._ledger.is_needed(now, message.hold_s)
+            return self._ledger.is_needed(now, message.key_hold_s)
         assert isinstance(message, CountKeys)
         ledger = self._ledger
         return LedgerCount(len(ledger), ledger.outstanding, ledger.recorded_bytes)
 
 
-class Granted(NamedTuple):
+class HeldGrant(NamedTuple):
     """Exclusive permission to run a request once, if its first byte is sent before `start_by`."""
 
     key: str
@@ -221,25 +222,25 @@
 REPLAYED_HEADER = ("Cloverway-Replayed", "true")
 
 
-class Claims:
+class KeyClaimer:
     """Claim keys from the hosts that issued them."""
 
     def __init__(
         self,
         keys: LedgerTask,
         issuers: IssuerClient,
-        address_of: Callable[[str], str | None],
+        find_address: Callable[[str], str | None],
         may_store: MayStore,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._keys = keys
         self._issuers = issuers
-        self._address_of = address_of
+        self._find_address = find_address
         self._may_store = may_store
         self._clock = clock
         self._attempts = itertools.count(1)
         self._senders = [
-            SettlementSender(issuers, address_of, clock) for _ in range(SENDER_THREADS)
+            SettlementSender(issuers, find_address, clock) for _ in range(SENDER_THREADS)
         ]
 
     def start(self) -> None:
@@ -252,7 +253,7 @@
         for sender in self._senders:
             sender.stop()
 
-    def claim(self, request: Request) -> Granted | Replayed:
+    def claim(self, request: Request) -> HeldGrant | Replayed:
         """Return permission to run or the recorded answer; raise RequestError otherwise."""
         parsed_key = ParsedKey.parse(request.key)
         if parsed_key is None:
@@ -262,7 +263,7 @@
             key=request.key,
             team=request.team,
             profile=request.profile,
-            digest=compute_digest(request.method, request.path, request.body),
+            digest=compute_content_digest(request.method, request.path, request.body),
             claimant=self._make_claimant_id(),
             left_s=request.deadline - sent_at,
         )
@@ -270,7 +271,7 @@
         if isinstance(result, Grant):
             # Counted from before the claim was sent, so it expires here before it expires there.
             start_by = min(request.deadline, sent_at + result.lifetime_s)
-            return Granted(
+            return HeldGrant(
                 request.key, request.team, request.profile, call.claimant, parsed_key.host, start_by
             )
         if isinstance(result, Recorded):
@@ -278,29 +279,29 @@
             return Replayed(Reply(result.status, result.content_type, result.body, headers=headers))
         raise result.as_error()
 
-    def settle(self, granted: Granted, outcome: Outcome, reply: Reply | None = None) -> None:
+    def settle(self, grant: HeldGrant, outcome: Outcome, reply: Reply | None = None) -> None:
         """Report to the issuer how the run ended, without waiting.
 
         The answer is included if it is complete and its data may be stored at the issuer.
         """
         self._send(
             SettleCall(
-                key=granted.key,
-                team=granted.team,
-                profile=granted.profile,
-                claimant=granted.claimant,
+                key=grant.key,
+                team=grant.team,
+                profile=grant.profile,
+                claimant=grant.claimant,
                 settlement=SETTLEMENT_OF_OUTCOME[outcome],
-                recorded=self._make_recorded(granted, outcome, reply),
+                recorded=self._make_recorded(grant, outcome, reply),
             ),
-            granted.issuer,
+            grant.issuer,
         )
 
     def _make_recorded(
-        self, granted: Granted, outcome: Outcome, reply: Reply | None
+        self, grant: HeldGrant, outcome: Outcome, reply: Reply | None
     ) -> Recorded | None:
         if outcome is not Outcome.DONE or reply is None or reply.stream is not None:
             return None
-        if not self._may_store(granted.team, granted.profile, granted.issuer):
+        if not self._may_store(grant.team, grant.profile, grant.issuer):
             return None
         return Recorded(reply.status, reply.content_type, reply.body, reply.headers)
 
@@ -331,7 +332,7 @@
             ) from error
 
     def _claim_from_peer(self, host: str, call: ClaimCall) -> ClaimResult:
-        address = self._address_of(host)
+        address = self._find_address(host)
         if address is None:
             # The key is not necessarily forged: the host may have been removed from the list since.
             return Refused(
--- a/cloverway/operations/admin.py
+++ b/cloverway/operations/admin.py
@@ -1,7 +1,7 @@
 """The admin API for operators: health, readiness, metrics, status, explanations and draining.
 
 It has its own listener and threads, so that it answers while all threads for callers are busy. It
-requires no key: operators must not expose its address to the callers' network.
+requires no key, so its address must not be reachable from the callers' network.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from cloverway.config.settings import Settings
 from cloverway.entry import bodies
-from cloverway.entry.application import Call, Responder, make_json_reply, require_method
-from cloverway.entry.directory import HostList
+from cloverway.entry.application import IncomingCall, Responder, make_json_reply, require_method
+from cloverway.entry.host_list import HostList
 from cloverway.entry.listener import Listener, ListenerLimits
 from cloverway.errors import Kind, RequestError
 from cloverway.membership.view import View, ViewHolder
@@ -29,16 +29,16 @@
 MAX_IDLE_CONNECTIONS = 64
 
 
-class Operations(NamedTuple):
+class AdminOperations(NamedTuple):
     """The functions of the daemon that the admin API calls."""
 
     list_hosts: Callable[[], HostList]
-    count_active: Callable[[], int]
+    count_in_progress: Callable[[], int]
     count_queued: Callable[[], int]
-    """Returns the number of requests that wait for an endpoint."""
+    """Returns the number of requests that are queued for an endpoint."""
     render_metrics: Callable[[Sequence[Gauge]], bytes]
     explain: Callable[[str, str], Mapping[str, Any]]
-    """Returns the routing decision for a team and a profile."""
+    """Returns the routing decision for a request of a team with a profile."""
     begin_leaving: Callable[[], None]
 
 
@@ -49,13 +49,13 @@
         self,
         settings: Settings,
         holder: ViewHolder,
-        operations: Operations,
+        operations: AdminOperations,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._holder = holder
         self._operations = operations
         self._clock = clock
-        self._paths: Mapping[str, tuple[str, Callable[[Call], Reply]]] = {
+        self._paths: Mapping[str, tuple[str, Callable[[IncomingCall], Reply]]] = {
             "/healthz": ("GET", self._answer_health),
             "/readyz": ("GET", self._answer_readiness),
             "/metrics": ("GET", self._answer_metrics),
@@ -88,17 +88,17 @@
         """Close the listener."""
         self._listener.stop()
 
-    def _handle(self, call: Call) -> Reply:
+    def _handle(self, call: IncomingCall) -> Reply:
         if call.path not in self._paths:
             raise RequestError(Kind.NOT_FOUND, f"use one of {', '.join(self._paths)}")
         method, answer = self._paths[call.path]
         require_method(call, method)
         return answer(call)
 
-    def _answer_health(self, call: Call) -> Reply:
+    def _answer_health(self, call: IncomingCall) -> Reply:
         return make_json_reply({"healthy": True})
 
-    def _answer_readiness(self, call: Call) -> Reply:
+    def _answer_readiness(self, call: IncomingCall) -> Reply:
         view = self._holder.current
         if view.leaving:
             raise RequestError(Kind.LEAVING)
@@ -106,39 +106,41 @@
             raise RequestError(Kind.STARTING, retry_after=RETRY_AFTER_S)
         return make_json_reply({"ready": True})
 
-    def _answer_metrics(self, call: Call) -> Reply:
-        gauges = list(make_gauges(self._holder.current, self._operations.count_active()))
+    def _answer_metrics(self, call: IncomingCall) -> Reply:
+        gauges = list(make_gauges(self._holder.current, self._operations.count_in_progress()))
         return Reply(200, METRICS_CONTENT_TYPE, self._operations.render_metrics(gauges))
 
-    def _answer_hosts(self, call: Call) -> Reply:
+    def _answer_hosts(self, call: IncomingCall) -> Reply:
         return make_json_reply(self._operations.list_hosts())
 
-    def _answer_status(self, call: Call) -> Reply:
+    def _answer_status(self, call: IncomingCall) -> Reply:
         view, now = self._holder.current, self._clock()
         operations = self._operations
-        status = describe_status(view, operations.count_active(), operations.count_queued(), now)
+        status = describe_status(
+            view, operations.count_in_progress(), operations.count_queued(), now
+        )
         return make_json_reply(status)
 
-    def _explain(self, call: Call) -> Reply:
+    def _explain(self, call: IncomingCall) -> Reply:
         query = bodies.parse_json(self._read_body(call), call.get_header("Content-Type"))
         team, profile = query.get("team"), query.get("profile")
         if not isinstance(team, str) or not isinstance(profile, str):
             raise RequestError(Kind.MALFORMED, 'send {"team": NAME, "profile": NAME}')
         return make_json_reply(self._operations.explain(team, profile))
 
-    def _drain(self, call: Call) -> Reply:
+    def _drain(self, call: IncomingCall) -> Reply:
         self._read_body(call)
         self._operations.begin_leaving()
         return make_json_reply(
-            {"leaving": True, "in_progress": self._operations.count_active()}, 202
+            {"leaving": True, "in_progress": self._operations.count_in_progress()}, 202
         )
 
-    def _read_body(self, call: Call) -> bytes:
+    def _read_body(self, call: IncomingCall) -> bytes:
         return call.read_body(MAX_BODY_BYTES, BODY_TIMEOUT_S)
 
 
 def describe_status(view: View, in_progress: int, queued: int, now: float) -> dict[str, Any]:
-    """Return the state of a host, with ages in seconds in place of times of its own clock."""
+    """Return the state of a host, with ages in seconds instead of monotonic times."""
     return {
         "host": view.host,
         "incarnation": view.incarnation,
@@ -174,7 +176,7 @@
 
 
 def make_gauges(view: View, in_progress: int) -> Iterator[Gauge]:
-    """Yield the gauges of a host with their present values."""
+    """Yield the gauges of a host with their current values."""
     revision = view.published.revision if view.published else 0
     yield Gauge("revision", "Revision of the configuration in force", revision)
     yield Gauge("ready", "Whether the host takes work", float(view.ready))
--- a/cloverway/sources/port.py
+++ b/cloverway/sources/port.py
@@ -1,4 +1,4 @@
-"""Interface to the platform: what hosts read from it; they write nothing to it."""
+"""Interface to the platform, from which hosts only read."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         return self.after == 0
 
 
-class Listed(StrEnum):
+class MemberState(StrEnum):
     """The state of a host or an endpoint in the platform's list."""
 
     LIVE = "live"
@@ -47,17 +47,17 @@
 class MemberStates(NamedTuple):
     """States of hosts and endpoints as listed by the platform, which may be outdated."""
 
-    hosts: Mapping[str, Listed] = {}
-    endpoints: Mapping[str, Listed] = {}
+    hosts: Mapping[str, MemberState] = {}
+    endpoints: Mapping[str, MemberState] = {}
 
 
 class Platform(Protocol):
-    """Reads the platform; both methods block, and raise PlatformError if it can't be read."""
+    """Reads the platform. Both methods block, and raise PlatformError if it can't be read."""
 
     def read(self, after: int, wait_s: float) -> Changes:
-        """Return the documents after a revision; wait up to `wait_s` seconds until there are any.
+        """Return the documents after a revision; wait up to `wait_s` seconds for one.
 
-        Returns a snapshot if `after` is 0. If the revision returned is lower than `after`, the
+        Return a snapshot if `after` is 0. If the returned revision is lower than `after`, the
         platform is stale.
         """
         ...
--- a/cloverway/tests/test_callers.py
+++ b/cloverway/tests/test_callers.py
@@ -74,7 +74,7 @@
 def test_a_stream_cut_midway_never_looks_complete(harness, error):
     """The connection closes without the last chunk if the stream fails midway.
 
-    The endpoint sends some pieces and fails. If the last chunk were sent, the caller would treat a
+    The endpoint sends two events and fails. If the last chunk were sent, the caller would treat a
     truncated answer as complete.
     """
     stream = FakeStream([b"data: 1\n\n", b"data: 2\n\n"], error)
@@ -83,7 +83,7 @@
         harness.call("POST", COMPLETIONS, STREAM_BODY, CHAT)
     assert caught.value.partial == b"data: 1\n\ndata: 2\n\n"
     assert stream.closed.wait(5)
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_stream_that_fails_at_once_is_a_problem(harness):
--- a/cloverway/tests/test_callers_fuzz.py
+++ b/cloverway/tests/test_callers_fuzz.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from cloverway.entry import bodies
-from cloverway.entry.application import Call
+from cloverway.entry.application import IncomingCall
 from cloverway.entry.listener import ListenerLimits
 from cloverway.errors import ERROR_ANSWERS, RequestError
 from cloverway.replies import Reply
@@ -101,12 +101,12 @@
     query = path.partition("?")[0]
     reader = io.BufferedReader(io.BytesIO(body))
     connection = SimpleNamespace(
-        rfile=reader, socket=None, limit_reading=lambda *_: None, drain=False
+        rfile=reader, socket=None, limit_reading=lambda *_: None, linger=False
     )
     http = SimpleNamespace(
         chunked_read=chunked, rfile=SimpleNamespace(remaining=0), body_is_read=False
     )
-    return Call("id", method, query, path, sent_headers, connection, http)
+    return IncomingCall("id", method, query, path, sent_headers, connection, http)
 
 
 LOOKUP = {**CHAT, "Cloverway-Profile": "lookup"}
@@ -197,4 +197,4 @@
     assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
     assert b"Traceback" not in answer
     assert not answer.startswith(b"HTTP/1.1 500")
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
--- a/cloverway/tests/test_claims.py
+++ b/cloverway/tests/test_claims.py
@@ -6,11 +6,13 @@
 
 from cloverway.errors import Kind, PeerError, Ran, RequestError
 from cloverway.messages import Outcome, Request
-from cloverway.once.claims import Claims, LedgerTask, Replayed
-from cloverway.once.keys import Bounds, Ledger
+from cloverway.once.claims import KeyClaimer, LedgerTask, Replayed
+from cloverway.once.keys import Ledger, LedgerLimits
 from cloverway.replies import Reply
 
-BOUNDS = Bounds(keys=100, lifetime_s=100.0, recorded_bytes=10_000, recorded_answer_bytes=1_000)
+LIMITS = LedgerLimits(
+    keys=100, lifetime_s=100.0, recorded_bytes=10_000, recorded_answer_bytes=1_000
+)
 TIMEOUT_S = 10.0
 REPLY = Reply(200, "application/json", b"{}")
 
@@ -54,7 +56,7 @@
 
 
 class Fleet:
-    """Two hosts; h1 issues, and both claim."""
+    """Two hosts: h1 issues keys, and both claim them."""
 
     def __init__(self, may_store=store_anywhere):
         self.clock = Clock()
@@ -69,12 +71,12 @@
     def replace(self, host, incarnation):
         if host in self.tasks:
             self.tasks[host].stop()
-        ledger = Ledger(host, incarnation, b"s" + incarnation.encode(), BOUNDS, self.clock.now)
+        ledger = Ledger(host, incarnation, b"s" + incarnation.encode(), LIMITS, self.clock.now)
         self.tasks[host] = LedgerTask(ledger, self.may_store, self.clock)
         self.tasks[host].start()
 
     def make_claims(self, host):
-        claims = Claims(
+        claims = KeyClaimer(
             self.tasks[host], self.issuers, self.addresses.get, self.may_store, self.clock
         )
         claims.start()
@@ -96,7 +98,7 @@
     fleet.stop()
 
 
-def kind_of(error):
+def get_kind_and_ran(error):
     return error.value.kind, error.value.ran
 
 
@@ -106,8 +108,8 @@
     h2 gets the recorded answer from the issuer and marks it as replayed.
     """
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
-    fleet.claims["h1"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h1"].claim(fleet.request(key))
+    fleet.claims["h1"].settle(grant, Outcome.DONE, REPLY)
     again = fleet.claims["h2"].claim(fleet.request(key))
     assert isinstance(again, Replayed)
     assert again.reply.body == REPLY.body
@@ -116,8 +118,8 @@
 
 def test_remote_grant_is_settled_at_its_issuer(fleet):
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert isinstance(fleet.claims["h1"].claim(fleet.request(key)), Replayed)
 
@@ -132,7 +134,7 @@
     fleet.claims["h2"].claim(fleet.request(key))
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
-    assert kind_of(error) == (Kind.KEY_IN_USE, Ran.UNKNOWN)
+    assert get_kind_and_ran(error) == (Kind.KEY_IN_USE, Ran.UNKNOWN)
 
 
 def test_unreachable_issuer(fleet):
@@ -141,7 +143,7 @@
     fleet.issuers.lose_calls = True
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
-    assert kind_of(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
+    assert get_kind_and_ran(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
     assert error.value.retry_after > 0
 
 
@@ -165,7 +167,7 @@
     fleet.replace("h1", "i2")
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
-    assert kind_of(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
+    assert get_kind_and_ran(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
     assert error.value.retry_after is None
 
 
@@ -174,13 +176,13 @@
     del fleet.addresses["h1"]
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
-    assert kind_of(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
+    assert get_kind_and_ran(error) == (Kind.KEY_OWNER_LOST, Ran.UNKNOWN)
 
 
 def test_key_chosen_by_the_caller(fleet):
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request("allocation-4711"))
-    assert kind_of(error) == (Kind.KEY_INVALID, Ran.NO)
+    assert get_kind_and_ran(error) == (Kind.KEY_INVALID, Ran.NO)
 
 
 def test_grantee_paused_past_its_deadline(fleet):
@@ -189,20 +191,20 @@
     The last check before the first byte refuses, and the key becomes free for a repeat.
     """
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
+    grant = fleet.claims["h1"].claim(fleet.request(key))
     fleet.clock.now += 10.0
     with pytest.raises(RequestError) as error:
-        granted.check(fleet.clock.now)
-    assert kind_of(error) == (Kind.DEADLINE, Ran.NO)
-    fleet.claims["h1"].settle(granted, Outcome.NOT_SENT)
+        grant.check(fleet.clock.now)
+    assert get_kind_and_ran(error) == (Kind.DEADLINE, Ran.NO)
+    fleet.claims["h1"].settle(grant, Outcome.NOT_SENT)
     fleet.claims["h2"].claim(fleet.request(key)).check(fleet.clock.now)
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_settlement_by_outcome(fleet, outcome):
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h1"].claim(fleet.request(key))
-    fleet.claims["h1"].settle(granted, outcome)
+    grant = fleet.claims["h1"].claim(fleet.request(key))
+    fleet.claims["h1"].settle(grant, outcome)
     expected = {
         Outcome.DONE: Kind.ANSWER_GONE,
         Outcome.FAILED: Kind.KEY_SPENT,
@@ -224,12 +226,12 @@
     """
     fleet = Fleet(may_store=lambda team, profile, host: host == "h2")
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     with pytest.raises(RequestError) as error:
         fleet.claims["h2"].claim(fleet.request(key))
-    assert kind_of(error) == (Kind.ANSWER_GONE, Ran.YES)
+    assert get_kind_and_ran(error) == (Kind.ANSWER_GONE, Ran.YES)
     assert [call.recorded for call in fleet.issuers.settlements] == [None]
     fleet.stop()
 
@@ -241,8 +243,8 @@
     """
     (key,) = fleet.tasks["h1"].issue(1)
     fleet.tasks["h1"]._may_store = lambda team, profile, host: False
-    granted = fleet.claims["h2"].claim(fleet.request(key))
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    grant = fleet.claims["h2"].claim(fleet.request(key))
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert fleet.issuers.settled.wait(TIMEOUT_S)
     assert fleet.tasks["h1"].count().recorded_bytes == 0
 
@@ -250,9 +252,9 @@
 def test_settlement_is_retried(fleet):
     """The link is cut when the run ends and restored later; the settlement then arrives."""
     (key,) = fleet.tasks["h1"].issue(1)
-    granted = fleet.claims["h2"].claim(fleet.request(key))
+    grant = fleet.claims["h2"].claim(fleet.request(key))
     fleet.issuers.lose_calls = True
-    fleet.claims["h2"].settle(granted, Outcome.DONE, REPLY)
+    fleet.claims["h2"].settle(grant, Outcome.DONE, REPLY)
     assert not fleet.issuers.settled.wait(0.05)
     fleet.issuers.lose_calls = False
     fleet.clock.now += 1.0
@@ -261,10 +263,10 @@
 
 def test_leaving_host_issues_no_keys(fleet):
     (key,) = fleet.tasks["h1"].issue(1)
-    fleet.tasks["h1"].leave()
+    fleet.tasks["h1"].stop_issuing()
     with pytest.raises(RequestError) as error:
         fleet.tasks["h1"].issue(1)
-    assert kind_of(error) == (Kind.LEAVING, Ran.NO)
+    assert get_kind_and_ran(error) == (Kind.LEAVING, Ran.NO)
     assert fleet.claims["h2"].claim(fleet.request(key)).issuer == "h1"
     assert fleet.tasks["h1"].count().outstanding == 1
 
--- a/cloverway/tests/test_endpoints.py
+++ b/cloverway/tests/test_endpoints.py
@@ -31,7 +31,12 @@
 
 
 def send(client: EndpointClient, url: str, request: Request | None = None, **options) -> Reply:
-    defaults = {"idempotent": True, "gap_s": 5.0, "priority": 1, "check": lambda: None}
+    defaults = {
+        "idempotent": True,
+        "max_gap_s": 5.0,
+        "priority": 1,
+        "check_before_send": lambda: None,
+    }
     return client.send(url, request or make_request(), **(defaults | options))
 
 
@@ -143,17 +148,17 @@
     ],
 )
 def test_incomplete_answers_are_errors(answer: bytes) -> None:
-    """The caller gets an error with an unknown outcome, never a part of an answer.
+    """The caller gets an error with an unknown outcome, never an incomplete answer.
 
     The endpoint reads the request, sends an incomplete answer and closes; it may have run.
     """
 
-    def play(connection: EndpointSideConnection) -> None:
+    def send_incomplete(connection: EndpointSideConnection) -> None:
         connection.read_request()
         connection.send(answer)
 
     client = EndpointClient.from_settings(Limits(answer_bytes=65536))
-    failure = send_expecting_error(client, play, idempotent=False)
+    failure = send_expecting_error(client, send_incomplete, idempotent=False)
     client.close()
     assert failure.ran is Ran.UNKNOWN
     assert failure.kind in {Kind.ENDPOINT_FAILED, Kind.TRUNCATED}
@@ -171,7 +176,7 @@
 
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, idempotent=False, check=refuse)
+            send(client, endpoint.url, idempotent=False, check_before_send=refuse)
         wait_until(lambda: endpoint.closed_count == 1, what="close")
         assert endpoint.requests == []
     assert failure.value.ran is Ran.NO
@@ -244,7 +249,8 @@
 def test_slow_answer_is_aborted_at_its_deadline(client: EndpointClient, head: bytes) -> None:
     """The request fails at its deadline although bytes keep arriving.
 
-    Each byte arrives within any timeout of a single read, so only a deadline for all reads helps.
+    Each byte arrives within the timeout of a single read, so that only a deadline for all reads
+    ends the request.
     """
 
     def drip(connection: EndpointSideConnection) -> None:
@@ -323,7 +329,7 @@
 def test_caller_disconnects_before_the_first_byte_is_sent(client: EndpointClient) -> None:
     with RawEndpoint(answer_forever) as endpoint:
         with pytest.raises(RequestError) as failure:
-            send(client, endpoint.url, check=lambda: client.abort("r1"))
+            send(client, endpoint.url, check_before_send=lambda: client.abort("r1"))
         assert failure.value.kind is Kind.CALLER_LEFT
 
 
--- a/cloverway/tests/test_directory.py
+++ b/cloverway/tests/test_host_list.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
 from cloverway.config.published import Published
-from cloverway.entry.directory import MAX_HOSTS, MaxAges, list_hosts
+from cloverway.entry.host_list import MAX_HOSTS, MaxAges, list_hosts
 from cloverway.membership.view import HostState, Summary, View
 from cloverway.tests.caller_harness import DOCUMENTS
 
@@ -64,15 +64,15 @@
 
 
 def test_hosts_of_other_domains_are_listed_while_summaries_of_their_domain_arrive():
-    """Hosts of other domains need no heartbeats of their own; a partitioned domain is omitted."""
+    """Hosts of other domains are listed without heartbeats; a partitioned domain is omitted."""
     never = {"heard_at": float("-inf")}
     view = make_view(**{"pl-1-b": never, "pl-2-a": never, "cu-1-a": never})
     assert list_names(view) == ["pl-1-a", "pl-1-c"]
-    heard = {
+    received = {
         ("cu-1", "m"): Summary("cu-1", "m", at=NOW - 1),
         ("pl-2", "m"): Summary("pl-2", "m", at=0),
     }
-    assert list_names(view._replace(summaries=heard)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
+    assert list_names(view._replace(summaries=received)) == ["pl-1-a", "pl-1-c", "cu-1-a"]
 
 
 def test_the_list_of_a_large_fleet_is_bounded():
--- a/cloverway/tests/test_listener.py
+++ b/cloverway/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Failures between callers and the listener, over real sockets."""
+"""Slow, malformed and disconnecting callers at the listener, over real sockets."""
 
 from __future__ import annotations
 
@@ -60,20 +60,20 @@
     return shared
 
 
-def read_problem(sock):
+def parse_problem(sock):
     """Read until the connection closes, and return the problem document of the answer."""
     head, _, body = read_all(sock).partition(b"\r\n\r\n")
     assert b"application/problem+json" in head
     return json.loads(body)
 
 
-def trickle(sock, piece, pace_s=0.05):
+def trickle(sock, piece, interval_s=0.05):
     """Send a piece repeatedly, until the returned event is set or the peer closes."""
     stop_event = threading.Event()
 
     def run():
         with contextlib.suppress(OSError):
-            while not stop_event.wait(pace_s):
+            while not stop_event.wait(interval_s):
                 sock.sendall(piece)
 
     thread = threading.Thread(target=run, daemon=True)
@@ -88,25 +88,25 @@
 def test_a_slow_body_is_rejected_after_one_timeout_for_all_of_it(harness, head):
     """A caller that sends its body byte by byte is rejected as too slow.
 
-    Each byte arrives long before the timeout of a single read. If only single reads had a timeout,
+    Each byte arrives well within the timeout of a single read. If only single reads had a timeout,
     four such callers could occupy all four threads for hours.
     """
     with harness.connect() as sock:
         sock.sendall(head.encode())
         stop_event, thread = trickle(sock, b"a")
-        problem = read_problem(sock)
+        problem = parse_problem(sock)
         stop_event.set()
         thread.join()
     assert (problem["kind"], problem["ran"]) == ("too_slow", "no")
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_slow_head_is_rejected(harness):
-    """The same for a caller that never ends its headers."""
+    """A caller that sends headers without end is rejected as too slow."""
     with harness.connect() as sock:
         sock.sendall(HEAD.encode())
         stop_event, thread = trickle(sock, b"X: y\r\n")
-        problem = read_problem(sock)
+        problem = parse_problem(sock)
         stop_event.set()
         thread.join()
     assert problem["kind"] == "too_slow"
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_the_caller_can_read_the_rejection_of_a_large_body(harness, chunked):
-    """A caller sends all of a body that is too large before it reads the answer.
+    """A caller sends a body that is too large, and reads the answer only afterwards.
 
     The gateway answers and closes while bytes still arrive. If it did not read them, the
     connection would be reset, and the caller's system could drop the answer.
@@ -140,7 +140,7 @@
 def test_invalid_chunks_are_rejected_before_they_are_buffered(harness, chunks, kind):
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
-        assert read_problem(sock)["kind"] == kind
+        assert parse_problem(sock)["kind"] == kind
     assert not harness.gateway.requests
 
 
@@ -161,7 +161,7 @@
 def test_an_invalid_head_is_answered_with_a_problem(harness, text, kind):
     with harness.connect() as sock:
         sock.sendall(text)
-        assert read_problem(sock)["kind"] == kind
+        assert parse_problem(sock)["kind"] == kind
 
 
 def test_an_unread_body_is_never_parsed_as_the_next_request(harness):
@@ -178,7 +178,7 @@
     with harness.connect() as sock:
         sock.sendall(HEAD.encode() + b"Content-Length: 500\r\n\r\n" + CHAT_BODY)
         sock.shutdown(socket.SHUT_WR)
-        assert read_problem(sock)["kind"] == "malformed"
+        assert parse_problem(sock)["kind"] == "malformed"
     assert not harness.gateway.requests
 
 
@@ -255,10 +255,10 @@
 
 
 def test_idle_connections_are_limited_and_lock_nobody_out():
-    """Far more connections are opened than the limit allows, and none sends a request.
+    """Many more connections are opened than the limit allows, and none sends a request.
 
-    The oldest ones are closed. If new ones were rejected instead, whoever opens connections first
-    could lock out all callers.
+    The oldest ones are closed. If new ones were rejected instead, a client that opens connections
+    first could lock out all callers.
     """
     with (
         CallerServerHarness(listener_limits=LIMITS._replace(idle_timeout_s=30)) as harness,
@@ -292,8 +292,8 @@
 def test_a_disconnect_during_a_stream_closes_the_stream(harness):
     """A caller closes its connection after the first piece of a stream.
 
-    Its thread must be released and the stream closed, which cancels the work of the endpoint.
-    Otherwise callers that disconnect would exhaust both.
+    Its thread is released, and the stream is closed, which cancels the work of the endpoint.
+    Otherwise callers that disconnect would exhaust threads and endpoints.
     """
     stream = FakeStream([b"data: 1\n\n"] + [b"x" * 60_000] * 400)
     harness.gateway.answer = Reply(200, "text/event-stream", stream=stream)
@@ -303,7 +303,7 @@
         assert b"data: 1" in read_until(sock, b"data: 1")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     assert stream.closed.wait(5)
-    assert wait_until(lambda: harness.server.in_progress() == 0)
+    assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_caller_that_reads_nothing_releases_its_thread(harness):
@@ -312,7 +312,7 @@
     with harness.connect() as sock:
         sock.sendall(request.encode() + CHAT_BODY)
         assert harness.gateway.started.wait(5)
-        assert wait_until(lambda: harness.server.in_progress() == 0)
+        assert wait_until(lambda: harness.server.count_in_progress() == 0)
 
 
 def test_a_caller_that_reads_slowly_releases_its_thread(harness, monkeypatch):
@@ -335,10 +335,10 @@
 
 
 def test_a_disconnect_of_a_waiting_caller_is_detected():
-    """A caller closes while its request waits for an endpoint, and no thread reads its socket.
+    """A caller closes while its request waits for an endpoint and no thread reads its socket.
 
-    If its request stayed in the queue until the deadline, callers that time out and retry would
-    fill the queue with requests that nobody waits for.
+    If the request stayed in the queue until its deadline, callers that time out and retry would
+    fill the queue with abandoned requests.
     """
     with make_harness() as harness:
         harness.gateway.resume.clear()
@@ -364,10 +364,10 @@
             callers = [stack.enter_context(harness.connect()) for _ in range(12)]
             for sock in callers[:8]:
                 sock.sendall(request)
-            assert wait_until(lambda: harness.server.in_progress() == 8)
+            assert wait_until(lambda: harness.server.count_in_progress() == 8)
             for sock in callers[8:]:
                 sock.sendall(request)
-                problem = read_problem(sock)
+                problem = parse_problem(sock)
                 assert (problem["kind"], problem["ran"]) == ("overloaded", "no")
             assert [rejection.kind for rejection in harness.rejections] == ["overloaded"] * 4
             harness.gateway.resume.set()
--- a/cloverway/tests/test_main.py
+++ b/cloverway/tests/test_main.py
@@ -57,14 +57,14 @@
 
 
 def test_check_shows_every_error_with_file_name_and_remedy(published: Path) -> None:
-    faults = DEPLOYMENT.replace('region = "curepipe"', 'region = "kurepipe"')
-    faults = faults.replace("[profiles.chat]", '[profiles.chat]\nservice = "stock-desk"')
-    (published / "all.toml").write_text(faults)
+    invalid = DEPLOYMENT.replace('region = "curepipe"', 'region = "kurepipe"')
+    invalid = invalid.replace("[profiles.chat]", '[profiles.chat]\nservice = "stock-desk"')
+    (published / "all.toml").write_text(invalid)
     result = run("check", published)
     assert result.exit_code == 1
     file = published / "all.toml"
-    place = f"error: {file}: domains.curepipe-a.region: there is no region 'kurepipe'; publish it"
-    assert place in result.stderr
+    finding = f"error: {file}: domains.curepipe-a.region: there is no region 'kurepipe'; publish it"
+    assert finding in result.stderr
     assert "profiles.chat: name either a model or a service" in result.stderr
     assert "2 errors" in result.stdout
     assert "Traceback" not in result.output
@@ -85,7 +85,7 @@
     text = DEPLOYMENT + '[hosts.h1]\ndomain = "curepipe-a"\ncallers = "localhost:80"\n'
     (published / "all.toml").write_text(text)
     result = run("check", published)
-    assert "hosts.h1.callers: must be an IP number and a port, such as" in result.stderr
+    assert "hosts.h1.callers: must be an IP address and a port, such as" in result.stderr
     assert "hosts.h1.admin: Field required (set it)" in result.stderr
 
 
@@ -168,7 +168,7 @@
 
 
 def test_status_of_several_hosts_names_what_needs_attention(host: FakeHost) -> None:
-    """One host is outdated and one is gone: the command names both and exits with code 1."""
+    """One host is outdated and one is unreachable: the command names both and exits with 1."""
     with FakeHost() as gone:
         pass
     with FakeHost() as newer:
@@ -254,7 +254,7 @@
 
 
 def test_call_reports_a_truncated_answer_by_its_exit_code(host: FakeHost) -> None:
-    """The part of the text that arrived is printed, then an error; the exit code is 3."""
+    """The text that arrived is printed, then an error; the exit code is 3."""
     host.answer(CHAT, make_stream("Yes, ", done=False))
     words = ("call", "--host", host.address, "--profile", "chat", "Insulin?")
     result = run(*words, CLOVERWAY_KEY="cw_test")
--- a/cloverway/tests/test_peer_keys.py
+++ b/cloverway/tests/test_peer_keys.py
@@ -10,8 +10,8 @@
 
 from cloverway.errors import Kind, Ran, RequestError
 from cloverway.messages import Outcome
-from cloverway.once.claims import Claims, Granted, LedgerTask, Replayed
-from cloverway.once.keys import Bounds, Ledger
+from cloverway.once.claims import HeldGrant, KeyClaimer, LedgerTask, Replayed
+from cloverway.once.keys import Ledger, LedgerLimits
 from cloverway.peers.channel import Identity
 from cloverway.peers.peer_client import PeerClient
 from cloverway.replies import Reply
@@ -30,13 +30,13 @@
 class KeyHost:
     """A host whose ledger peers can reach over TCP."""
 
-    def __init__(self, name, incarnation, addresses, peer_bounds=LIMITS):
-        bounds = Bounds(100, 100.0, 10_000, 1_000)
-        ledger = Ledger(name, incarnation, name.encode() * 8, bounds, time.monotonic())
+    def __init__(self, name, incarnation, addresses, peer_limits=LIMITS):
+        limits = LedgerLimits(100, 100.0, 10_000, 1_000)
+        ledger = Ledger(name, incarnation, name.encode() * 8, limits, time.monotonic())
         me = Identity(name, incarnation)
         self.keys = LedgerTask(ledger, lambda *_: True)
-        self.client = PeerClient(me, SECRET, peer_bounds)
-        self.claims = Claims(self.keys, self.client, addresses.get, lambda *_: True)
+        self.client = PeerClient(me, SECRET, peer_limits)
+        self.claims = KeyClaimer(self.keys, self.client, addresses.get, lambda *_: True)
         handler = FakeHandler()
         handler.claim = self.keys.claim
         handler.settle = self.keys.settle
@@ -64,8 +64,8 @@
     addresses["h1"] = proxy.address
     (key,) = first.keys.issue(1)
     request = make_request(key=key)
-    granted = second.claims.claim(request)
-    second.claims.settle(granted, Outcome.DONE, Reply(200, "text/plain", b"picked once"))
+    grant = second.claims.claim(request)
+    second.claims.settle(grant, Outcome.DONE, Reply(200, "text/plain", b"picked once"))
     wait_until(lambda: first.keys.count().outstanding == 0)
     again = second.claims.claim(request)
     assert isinstance(again, Replayed)
@@ -106,7 +106,7 @@
         thread.start()
     for thread in threads:
         thread.join(TIMEOUT_S)
-    assert sum(isinstance(result, Granted) for result in results) == 1
+    assert sum(isinstance(result, HeldGrant) for result in results) == 1
     assert results.count((Kind.KEY_IN_USE, Ran.UNKNOWN)) == 11
     for host in hosts:
         host.stop()
@@ -140,12 +140,12 @@
     that a repeat at h3 finds the key free and runs, for the first and only time.
     """
     process, address, (warm_up, key) = issuer
-    short_bounds = LIMITS._replace(reused_response_timeout_s=0.1, connect_timeout_s=0.3)
+    short_limits = LIMITS._replace(reused_response_timeout_s=0.1, connect_timeout_s=0.3)
     addresses = {"h1": address}
-    second = KeyHost("h2", "i1", addresses, short_bounds._replace(connect_timeout_s=TIMEOUT_S))
+    second = KeyHost("h2", "i1", addresses, short_limits._replace(connect_timeout_s=TIMEOUT_S))
     third = KeyHost("h3", "i1", addresses)
     second.claims.claim(make_request(key=warm_up))
-    second.client._bounds = short_bounds
+    second.client._limits = short_limits
     os.kill(process.pid, signal.SIGSTOP)
     try:
         os.waitpid(process.pid, os.WUNTRACED)
--- a/cloverway/tests/test_relay.py
+++ b/cloverway/tests/test_relay.py
@@ -106,13 +106,15 @@
 
 
 @pytest.mark.parametrize(
-    "leave", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
+    "disconnect", [lambda caller: caller.close(), lambda caller: caller.shutdown(socket.SHUT_WR)]
 )
-def test_caller_disconnects_while_bytes_wait_for_it(relay_harness: StreamHarness, leave) -> None:
+def test_caller_disconnects_while_bytes_wait_for_it(
+    relay_harness: StreamHarness, disconnect
+) -> None:
     endpoint, _, caller, copy_future = open_big_stream(relay_harness, 512)
     with endpoint:
         wait_until(lambda: list_paused_streams(relay_harness), what="back-pressure")
-        leave(caller)
+        disconnect(caller)
         assert copy_future.exception(TIMEOUT_S).kind is Kind.CALLER_LEFT
 
 
@@ -135,7 +137,7 @@
 
 
 def test_a_stalled_caller_does_not_count_as_a_silent_endpoint() -> None:
-    """The time of a stalled caller does not count as silence of the endpoint.
+    """The time during which the caller is stalled does not count as silence of the endpoint.
 
     The endpoint is not read while bytes wait for the caller. Its silence is measured from the
     moment when the caller has accepted them.
@@ -149,17 +151,17 @@
         )
         stream.begin(b"x" * 4_000_000, now=100.0)
         assert stream.has_unsent
-        stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S - 0.1)
+        stream.check_limits(now=100.0 + relay.CALLER_STALL_TIMEOUT_S - 0.1)
         with pytest.raises(RequestError) as failure:
-            stream.check(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
+            stream.check_limits(now=100.0 + relay.CALLER_STALL_TIMEOUT_S)
         assert failure.value.kind is Kind.CALLER_LEFT
         while stream.has_unsent:
             caller_peer.recv(1 << 20)
             stream.write(now=120.0)
-        stream.check(now=129.9)
+        stream.check_limits(now=129.9)
         for now, kind in ((130.0, Kind.TIMED_OUT), (1000.0, Kind.TIMED_OUT)):
             with pytest.raises(RequestError) as failure:
-                stream.check(now)
+                stream.check_limits(now)
             assert failure.value.kind is kind
 
 
@@ -191,8 +193,8 @@
     """Streams are not aborted as silent under load while their tokens arrive in time.
 
     Serving the streams of one poll takes longer than the inter-token timeout, because workers hold
-    the GIL. With the start of the batch as the time of each read, a stream that is read late in
-    the batch would look silent for as long as the batch took.
+    the GIL. If the start of the batch were the time of each read, a stream that is read late in
+    the batch would look silent for the duration of the batch.
     """
     now = [100.0]
     slow, slow_peer = socket.socketpair()
--- a/cloverway/tests/test_updates.py
+++ b/cloverway/tests/test_updates.py
@@ -19,11 +19,11 @@
     """Records the requested waits, and is never available."""
 
     def __init__(self, requested_waits: asyncio.Queue, loop: asyncio.AbstractEventLoop) -> None:
-        self._asked = requested_waits
+        self._requested_waits = requested_waits
         self._loop = loop
 
     def read(self, after: int, wait_s: float) -> Changes:
-        self._loop.call_soon_threadsafe(self._asked.put_nowait, wait_s)
+        self._loop.call_soon_threadsafe(self._requested_waits.put_nowait, wait_s)
         raise PlatformError("the platform is unavailable")
 
     def get_member_states(self) -> MemberStates:
@@ -61,8 +61,7 @@
 
 @pytest.mark.parametrize(("kind", "expected"), [("file", 0.25), ("http", 7.0)])
 def test_read_wait_depends_on_the_kind_of_platform(kind, expected):
-    """With the poll interval of a directory as the wait of a call, the platform's service got at
-    least twice the calls needed, from the readers of all regions; the deployment planned for in two
-    years has 216 of them."""
+    """With the poll interval of a directory as the wait of a call, the platform's service would get
+    at least twice the calls needed. The largest planned deployment has 216 readers."""
     platform = PlatformSettings(kind=kind, poll_s=0.25, watch_s=7.0)
     assert asyncio.run(get_read_wait(platform)) == expected
--- a/cloverway/upstream/endpoints.py
+++ b/cloverway/upstream/endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP client for endpoints: send a request and return the complete answer or its stream.
+"""HTTP client for endpoints: sends a request and returns the complete answer or its stream.
 
 Nothing is retried here, with one exception: an idempotent request that fails on a pooled
 connection before the first byte of an answer is sent once more on a new connection.
@@ -64,14 +64,16 @@
 
 
 class EndpointCall(NamedTuple):
-    """One request to one endpoint; `gap_s` is the longest allowed inter-token gap in seconds."""
+    """One request to one endpoint."""
 
     address: tuple[str, int]
     request: Request
     idempotent: bool
-    gap_s: float
+    max_gap_s: float
+    """Longest allowed inter-token gap, in seconds."""
     priority: int
-    check: Callable[[], None]
+    check_before_send: Callable[[], None]
+    """Called just before the first byte is sent; raises if the request must not be sent."""
 
 
 class _ConnectError(RequestError):
@@ -117,16 +119,18 @@
         request: Request,
         *,
         idempotent: bool,
-        gap_s: float,
+        max_gap_s: float,
         priority: int,
-        check: Callable[[], None],
+        check_before_send: Callable[[], None],
     ) -> Reply:
         """Send a request and return its complete answer or its stream; raise RequestError.
 
-        `check` is called just before the first byte is sent; it raises if the request must not
-        be sent any more.
+        `check_before_send` is called just before the first byte is sent; it raises if the request
+        must not be sent any more.
         """
-        call = EndpointCall(split_url(url), request, idempotent, gap_s, priority, check)
+        call = EndpointCall(
+            split_url(url), request, idempotent, max_gap_s, priority, check_before_send
+        )
         with (
             self._pending.track(request.id) if idempotent else nullcontext(PendingExchange())
         ) as pending:
@@ -141,8 +145,8 @@
     def abort(self, request_id: str) -> None:
         """Abort an idempotent request that waits for its answer, because its caller disconnected.
 
-        A non-idempotent request runs to its end, since a repeat may ask for its recorded answer.
-        A stream that has begun is not affected; its relay detects the disconnect itself.
+        A non-idempotent request runs to its end, since a repeat may request its recorded answer.
+        A stream that has begun is not affected: the relay detects the disconnect itself.
         """
         if self._pending.abort(request_id):
             log.info("request aborted: its caller disconnected", extra={"request_id": request_id})
@@ -171,8 +175,8 @@
             if not send_started or error.ran is not Ran.NO:
                 raise
             if isinstance(error, _ConnectError):
-                # If only the idle connection was dropped, connecting again works. If the endpoint
-                # crashed while it ran the request, connecting fails, and the crash must be counted.
+                # If only the idle connection was dropped, connecting again works. If it fails, the
+                # endpoint may have crashed while it ran the request, which must be counted.
                 raise EndpointLostError(Kind.ENDPOINT_FAILED, error.detail) from error
             kind = Kind.TIMED_OUT if error.kind is Kind.DEADLINE else Kind.ENDPOINT_FAILED
             raise RequestError(kind, error.detail, retry_after=error.retry_after) from error
@@ -232,11 +236,11 @@
     ) -> None:
         now = time.monotonic()
         read_timeout_s = (
-            min(call.gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
+            min(call.max_gap_s, (call.request.deadline - now) / 2) if reused else float("inf")
         )
         connection.timed_socket.begin(call.request.deadline, read_timeout_s)
         headers = _make_headers(call, now)
-        call.check()
+        call.check_before_send()
         connection.request(
             call.request.method, call.request.path, body=call.request.body or None, headers=headers
         )
@@ -268,7 +272,7 @@
         head: ResponseHead,
         events: EventStream,
     ) -> EndpointStream:
-        def finish(complete: bool, stats: StreamStats) -> None:
+        def on_finish(complete: bool, stats: StreamStats) -> None:
             reusable = complete and head.keep_alive and not events.body.excess
             self._release_or_close(call.address, connection, reusable)
             if not complete:
@@ -276,8 +280,10 @@
             if self._observe is not None:
                 self._observe(call.request, stats)
 
-        connection.timed_socket.read_timeout_s = call.gap_s
-        return EndpointStream(connection.timed_socket, events, head.buffered, finish, self._copier)
+        connection.timed_socket.read_timeout_s = call.max_gap_s
+        return EndpointStream(
+            connection.timed_socket, events, head.buffered, on_finish, self._copier
+        )
 
     def _read_body(
         self, connection: EndpointConnection, head: ResponseHead, body: BodyParser
@@ -335,7 +341,7 @@
 def _classify_failure(
     request: Request, timed_socket: TimedSocket, error: Exception
 ) -> RequestError:
-    """Return the error for a failed exchange, with what is known of whether the request ran."""
+    """Return the error for a failed exchange; `ran` is NO only if no byte was sent."""
     late = time.monotonic() >= request.deadline
     if not timed_socket.send_started:
         if isinstance(error, ValueError | http.client.InvalidURL):
@@ -370,7 +376,7 @@
 def _make_body_parser(head: ResponseHead) -> BodyParser:
     """Return the parser for a body.
 
-    A body that ends with the connection is refused: it can't be told from a truncated one.
+    A body that ends with the connection is an error: a truncated one would look the same.
     """
     if head.length is not None:
         return LengthBody(head.length)
--- a/cloverway/upstream/relay.py
+++ b/cloverway/upstream/relay.py
@@ -1,7 +1,7 @@
 """The relay task: one event loop that copies every stream from its endpoint to its caller.
 
 A worker hands over both sockets and blocks until the stream has ended. Meanwhile only the loop
-reads and writes them; waking a thread for each token would cost several times more.
+reads and writes them. Waking a thread for each token would cost several times as much.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 READ_BYTES = 16 * 1024
-SWEEP_INTERVAL_S = 0.1
+LIMIT_CHECK_INTERVAL_S = 0.1
 """Interval between checks of the stream limits, in seconds, and so their precision."""
 CALLER_STALL_TIMEOUT_S = 30.0
 """A caller that accepts no byte of its stream for this many seconds is disconnected."""
@@ -121,7 +121,7 @@
         if not self._unsent:
             self._last_read_at = now
 
-    def check(self, now: float) -> None:
+    def check_limits(self, now: float) -> None:
         """Raise RequestError if a limit is exceeded.
 
         While bytes wait for the caller, the endpoint is not read and its gap is not measured.
@@ -153,12 +153,12 @@
         self._poll = select.epoll()
         self._handlers: dict[int, EventHandler] = {}
         self._streams: set[RelayedStream] = set()
-        self._inbox: deque[tuple[RelayedStream, bytes]] = deque()
+        self._new_streams: deque[tuple[RelayedStream, bytes]] = deque()
         self._wake_sender, self._wake_receiver = socket.socketpair()
         self._wake_sender.setblocking(False)
         self._wake_receiver.setblocking(False)
         self._stopping = False
-        self._last_sweep_at = float("-inf")
+        self._limits_checked_at = float("-inf")
         self._thread = threading.Thread(target=self._run, name="relay", daemon=True)
 
     @classmethod
@@ -183,11 +183,11 @@
         if self._stopping:
             stream.finished.set_exception(RequestError(Kind.TRUNCATED, "the host is shutting down"))
             return
-        self._inbox.append((stream, piece))
+        self._new_streams.append((stream, piece))
         self._wake()
 
     def _wake(self) -> None:
-        with suppress(BlockingIOError):  # The buffer is full, so the loop wakes up anyway.
+        with suppress(BlockingIOError):  # If the buffer is full, the loop wakes up anyway.
             self._wake_sender.send(b"\0")
 
     def _drain_wakeups(self, mask: int, now: float) -> None:
@@ -198,20 +198,20 @@
         """Wait for ready sockets, serve them, and check the limits of all streams.
 
         The limits are checked against the time before the wait. If the process was suspended
-        during the wait, it reads what arrived meanwhile before it treats a stream as stalled.
-        Each socket is served with its own time stamp: with a single one for a batch that takes
-        long, every stream of the batch would look stalled for that long.
+        during the wait, what arrived meanwhile is read before a stream counts as stalled.
+        Each socket is served with its own time stamp. With a single one, the duration of a long
+        batch would count as silence of each of its streams.
         """
         before = self._clock()
-        for descriptor, mask in self._poll.poll(SWEEP_INTERVAL_S):
+        for descriptor, mask in self._poll.poll(LIMIT_CHECK_INTERVAL_S):
             handler = self._handlers.get(descriptor)
             if handler is not None:
                 handler(mask, self._clock())
-        # Only after the batch: a new stream may reuse a descriptor that has an event in it.
+        # After the batch, because a new stream may reuse a descriptor that has an event in it.
         self._add_new()
-        if before - self._last_sweep_at >= SWEEP_INTERVAL_S:
-            self._last_sweep_at = before
-            self._sweep(before)
+        if before - self._limits_checked_at >= LIMIT_CHECK_INTERVAL_S:
+            self._limits_checked_at = before
+            self._check_all_limits(before)
 
     def _run(self) -> None:
         while not self._stopping:
@@ -222,8 +222,8 @@
         self._poll.close()
 
     def _add_new(self) -> None:
-        while self._inbox:
-            stream, piece = self._inbox.popleft()
+        while self._new_streams:
+            stream, piece = self._new_streams.popleft()
             self._streams.add(stream)
             self._run_guarded(stream, partial(self._begin, stream, piece, self._clock()))
 
@@ -261,20 +261,20 @@
         return handle
 
     def _update_interest(self, stream: RelayedStream, was_blocked: bool) -> None:
-        """Register for events of the side that the stream waits for."""
+        """Register for the events that the stream waits for, or end it if it is complete."""
         if stream.complete:
             self._end(stream, None)
         elif stream.has_unsent and not was_blocked:
-            # A mask of zero would not do: epoll reports a reset whatever the mask, repeatedly.
+            # Unregistered, because epoll reports a reset repeatedly even with an empty mask.
             self._unregister(stream.endpoint)
             self._poll.modify(stream.caller, select.EPOLLOUT | select.EPOLLRDHUP)
         elif was_blocked and not stream.has_unsent:
             self._poll.modify(stream.caller, select.EPOLLRDHUP)
             self._register(stream.endpoint, select.EPOLLIN, self._make_endpoint_handler(stream))
 
-    def _sweep(self, now: float) -> None:
+    def _check_all_limits(self, now: float) -> None:
         for stream in list(self._streams):
-            self._run_guarded(stream, partial(stream.check, now))
+            self._run_guarded(stream, partial(stream.check_limits, now))
 
     def _run_guarded(self, stream: RelayedStream, step: Callable[[], None]) -> None:
         try:
@@ -293,7 +293,7 @@
             stream.finished.set_result(None)
             return
         if not isinstance(error, RequestError):
-            log.error("unexpected error while copying a stream", exc_info=error)
+            log.error("unexpected error while relaying a stream", exc_info=error)
         stream.finished.set_exception(error)
 
     def _register(self, sock: socket.socket, mask: int, handler: EventHandler) -> None:
