--- a/cloverway/core/calls.py
+++ b/cloverway/core/calls.py
@@ -68,7 +68,7 @@
 
 
 class ForwardingContext(NamedTuple):
-    """What the entry host of a caller tells the host that it forwards the request to."""
+    """What the entry host of a caller states to the host that it forwards the request to."""
 
     version: int
     """Version of the configuration that the entry host used."""
--- a/cloverway/core/endpoints.py
+++ b/cloverway/core/endpoints.py
@@ -192,16 +192,16 @@
 
     def forget_missing(self, now: float) -> list[Change]:
         """Remove the endpoints whose entries did not return within the grace period."""
-        gone = [
+        removed = [
             endpoint.entry.id
             for endpoint in self.endpoints.values()
             if endpoint.missing_since is not None and endpoint.is_leaving(now)
         ]
-        for name in gone:
+        for name in removed:
             self._record_past_entry(self.endpoints.pop(name).entry)
-        if gone:
+        if removed:
             self._index()
-        return [Change("endpoint_gone", name) for name in gone]
+        return [Change("endpoint_gone", name) for name in removed]
 
     def _apply(self, item: Publication, now: float) -> list[Change]:
         match item:
--- a/cloverway/core/engine_speed.py
+++ b/cloverway/core/engine_speed.py
@@ -29,7 +29,7 @@
         self.s_per_token = s_per_token
         self._samples = 0
 
-    def learn(self, tokens: int, ahead: int, took_s: float) -> None:
+    def update(self, tokens: int, ahead: int, took_s: float) -> None:
         """Update the estimate from a prompt; `ahead` is the number of tokens queued before it."""
         if tokens < MIN_TOKENS or ahead > MAX_AHEAD_RATIO * tokens:
             return
--- a/cloverway/core/failures.py
+++ b/cloverway/core/failures.py
@@ -38,6 +38,6 @@
         """Record a complete answer of an endpoint."""
         self._rates[route].record(failed)
 
-    def weigh(self, route: str) -> float:
+    def get_weight(self, route: str) -> float:
         """Return the weight, from 0 to 1, of a failure on a route against its endpoint."""
         return max(0.0, 1 - BASELINE_FACTOR * self._rates[route].value)
--- a/cloverway/core/load.py
+++ b/cloverway/core/load.py
@@ -150,7 +150,7 @@
         self._update_own(0, -running.work.prefill_tokens, 0)
         took_s = now - running.started_at
         self._discount_cached_tokens(running.work.prefill_tokens, took_s, now)
-        self._prefill_speed.learn(running.work.prefill_tokens, running.ahead, took_s)
+        self._prefill_speed.update(running.work.prefill_tokens, running.ahead, took_s)
         if running.prompt is not None:
             self._cached_segments.record(running.prompt.segments, now)
 
--- a/cloverway/core/lookup.py
+++ b/cloverway/core/lookup.py
@@ -1,4 +1,4 @@
-"""Lookups: which hosts a caller is told to send its requests to."""
+"""Lookups: the choice of the hosts that a caller sends its requests to."""
 
 from __future__ import annotations
 
--- a/cloverway/core/members.py
+++ b/cloverway/core/members.py
@@ -168,11 +168,13 @@
 
     def forget(self, now: float) -> list[str]:
         """Drop the hosts without a recent heartbeat; return their names."""
-        gone = [name for name, peer in self.peers.items() if now - peer.heard_at > FORGET_AFTER_S]
-        for name in gone:
+        removed = [
+            name for name, peer in self.peers.items() if now - peer.heard_at > FORGET_AFTER_S
+        ]
+        for name in removed:
             del self.peers[name]
         self._region_size = len(self.list_region())
-        return gone
+        return removed
 
     def is_alive(self, peer: Peer, now: float) -> bool:
         """Return whether a host's last heartbeat is within the timeout."""
--- a/cloverway/core/quarantine.py
+++ b/cloverway/core/quarantine.py
@@ -130,12 +130,12 @@
         """Record a crash; return it with only the digests that are new, or None if none is."""
         if crash.at <= self._retracted.get(crash.incarnation, float("-inf")):
             return None
-        new_digests = tuple(digest for digest in crash.digests if self._suspect(digest, crash))
+        new_digests = tuple(digest for digest in crash.digests if self._count_crash(digest, crash))
         if not new_digests:
             return None
         _keep_last(self._crashed, crash.incarnation, crash.at, MAX_CRASHED)
         while len(self._suspects) > MAX_SUSPECTS:
-            self._forget(next(iter(self._suspects)))
+            self._remove_suspect(next(iter(self._suspects)))
         return crash._replace(digests=new_digests)
 
     def record_alive(self, incarnation: str, since: float, until: float) -> None:
@@ -167,7 +167,7 @@
         A request that crashes endpoints never completes, so its recorded crashes are dropped.
         """
         _keep_last(self._served, digest, now, MAX_SERVED)
-        if not self._forget(digest):
+        if not self._remove_suspect(digest):
             return False
         _keep_last(self._cleared, digest, now, MAX_SERVED)
         return True
@@ -248,7 +248,7 @@
                     )
         return tuple(found.values())
 
-    def _suspect(self, digest: int, crash: Crash) -> bool:
+    def _count_crash(self, digest: int, crash: Crash) -> bool:
         """Count a crash against a request; return whether it is new."""
         if crash.at < self._served.get(digest, float("-inf")) + SERVED_IMMUNITY_S:
             return False
@@ -260,7 +260,7 @@
         self._suspects.move_to_end(digest)
         return True
 
-    def _forget(self, digest: int) -> bool:
+    def _remove_suspect(self, digest: int) -> bool:
         """Forget a suspect; return whether it was one."""
         crash_times = self._suspects.pop(digest, None)
         for incarnation in crash_times or ():
--- a/cloverway/serving/requests/execution.py
+++ b/cloverway/serving/requests/execution.py
@@ -255,7 +255,7 @@
         now = read_clock()
         baseline = self.context.failure_baseline
         if failed:
-            load.record_failure(now, baseline.weigh(self.route.name))
+            load.record_failure(now, baseline.get_weight(self.route.name))
         else:
             load.record_success(now)
         baseline.record(self.route.name, failed)
--- a/cloverway/tests/test_core_endpoints.py
+++ b/cloverway/tests/test_core_endpoints.py
@@ -208,8 +208,8 @@
 def test_remote_hosts_count_as_alive_for_longer_in_a_large_fleet():
     """Each of 48 hosts in other regions is heard of through others, every few seconds.
 
-    With the timeout of a small fleet, four of them were considered gone and back each second. A
-    host that is silent beyond the maximum is gone in a large fleet too.
+    With the timeout of a small fleet, four of them were treated as dead and alive again each
+    second. A host that is silent beyond the maximum is dead in a large fleet too.
     """
     few = make_members(*(make_member(f"far-{n}", "d2") for n in range(4)))
     many = make_members(*(make_member(f"far-{n}", "d2") for n in range(48)))
--- a/cloverway/tests/test_core_engine_speed.py
+++ b/cloverway/tests/test_core_engine_speed.py
@@ -53,7 +53,7 @@
     speed = PrefillSpeed()
     before = speed.s_per_token
     for number in range(1, 10):
-        speed.learn(3_000, 3_000 * number, 0.1 * (number + 1))
+        speed.update(3_000, 3_000 * number, 0.1 * (number + 1))
     assert speed.s_per_token == before
 
 
--- a/cloverway/tests/test_core_failures.py
+++ b/cloverway/tests/test_core_failures.py
@@ -20,7 +20,7 @@
         now = step / 10
         failed = rng.random() < share
         if failed:
-            load.record_failure(now, baseline.weigh(route))
+            load.record_failure(now, baseline.get_weight(route))
         else:
             load.record_success(now)
         baseline.record(route, failed)
@@ -37,7 +37,7 @@
     """A replica fails two of five requests for some seconds while its health checks succeed."""
     baseline, load = FailureBaseline(), EndpointLoad()
     simulate(baseline, load, "change", 0.004)
-    load.record_failure(40.0, baseline.weigh("change"))
+    load.record_failure(40.0, baseline.get_weight("change"))
     assert load.count_failures(40.0) > 0.9
 
 
@@ -47,4 +47,4 @@
         baseline.record("change", False)
     for number in range(20):
         baseline.record("change", number % 5 < 2)
-    assert baseline.weigh("change") > 0.3
+    assert baseline.get_weight("change") > 0.3
--- a/cloverway/tests/test_core_incarnations.py
+++ b/cloverway/tests/test_core_incarnations.py
@@ -54,7 +54,7 @@
 
 
 def test_a_restarted_endpoint_has_an_empty_cache_and_no_load():
-    """An endpoint crashed with a long prompt in its cache; others were told to fetch that from it.
+    """An endpoint crashed with a long prompt in its cache; others were to fetch that from it.
 
     The fetches found nothing, the others prefilled the whole prompt, and the load of the previous
     incarnation kept requests away.
--- a/cloverway/tests/test_core_region_capacity.py
+++ b/cloverway/tests/test_core_region_capacity.py
@@ -82,7 +82,7 @@
 def test_capacity_is_extrapolated_between_heartbeats(hosts):
     """Requests of an evacuated region were refused while engines elsewhere were idle half the time.
 
-    The engine is full at the moment of a heartbeat and works off its queue before the next one.
+    The engine is full at the moment of a heartbeat and prefills its queue before the next one.
     Without extrapolation, the region had no capacity until then: 0.22 of the engine's time was
     used. At most half of the prefill duty is left for the region's own requests.
     """
--- a/cloverway/tests/test_core_selection.py
+++ b/cloverway/tests/test_core_selection.py
@@ -136,8 +136,9 @@
 def test_a_very_large_prompt_does_not_wait_for_an_idle_engine():
     """Prompts of 3,000 tokens arrive constantly, and among them one of 24,000.
 
-    Whenever an engine has worked off enough for the large one, a small one is sent there first. One
-    in ten of the prompts that share a document is that large; they were a second late or refused.
+    Whenever an engine has prefilled enough to accept the large one, a small one is sent there
+    first. One in ten of the prompts that share a document is that large; they were a second late or
+    refused.
     """
     endpoint = make_endpoint("a")
     large = make_call("large", input_tokens=24_000)
