--- a/cloverway/serving/documents/catalogue.py
+++ b/cloverway/serving/documents/catalogue.py
@@ -121,11 +121,11 @@
         are too old.
         """
         if now - self._ranked_at >= RANK_TTL_S:
-            self._is_reader = self._rank_as_reader(now)
+            self._is_reader = self._is_ranked_reader(now)
             self._ranked_at = now
         return self._is_reader
 
-    def _rank_as_reader(self, now: float) -> bool:
+    def _is_ranked_reader(self, now: float) -> bool:
         own = self._members.own
         names = [
             peer.member.name
--- a/cloverway/serving/host.py
+++ b/cloverway/serving/host.py
@@ -126,7 +126,7 @@
             self.sync.run,
             self.catalogue.run,
             self.catalogue.forget_missing,
-            self._tick,
+            self._close_expired_connections,
         )
         self._tasks = [asyncio.create_task(_run_with_restarts(run)) for run in runs]
         asyncio.get_running_loop().call_later(PEER_SYNC_WAIT_S + CLOCK_MARGIN_S, self._update_ready)
@@ -177,7 +177,7 @@
             log_event("ready" if ready else "not_ready")
             self.gossip.announce()
 
-    async def _tick(self) -> None:
+    async def _close_expired_connections(self) -> None:
         while True:
             await wait_for_tick(TICK_INTERVAL_S)
             self.context.pool.close_expired(read_clock())
--- a/cloverway/serving/requests/crash_tracker.py
+++ b/cloverway/serving/requests/crash_tracker.py
@@ -72,7 +72,7 @@
         self._context.crashes.report_served(self._digest)
         if target.candidate is not None:
             # The response proves that the incarnation is running to which the connection was
-            # opened. The directory entry alone doesn't tell which that is: a restarted endpoint
+            # opened. The directory entry alone doesn't show which that is: a restarted endpoint
             # whose entry still names its previous incarnation would clear the crash of that one.
             incarnation = target.candidate.endpoint.entry.incarnation
             opened_at = answered.client_exchange.connection.opened_at
--- a/cloverway/serving/requests/incarnations.py
+++ b/cloverway/serving/requests/incarnations.py
@@ -38,7 +38,7 @@
     SILENT = "silent"
     """The endpoint did not answer."""
     UNKNOWN = "unknown"
-    """The endpoint doesn't tell its start time."""
+    """The endpoint doesn't state its start time, or states an earlier one than its entry."""
 
 
 class IncarnationCheck:
@@ -129,7 +129,7 @@
             self.on_restarted(entry.id, facts.started_ms)
             return IncarnationStatus.RESTARTED
         if facts.started_ms < entry.started_ms:
-            # The previous incarnation answered; that doesn't tell whether this one is running.
+            # The previous incarnation answered, which doesn't show whether this one is running.
             return IncarnationStatus.UNKNOWN
         self._quarantine.record_confirmed_alive(entry.incarnation, now)
         return IncarnationStatus.SAME
--- a/cloverway/serving/requests/request_queue.py
+++ b/cloverway/serving/requests/request_queue.py
@@ -64,7 +64,7 @@
 
     def __init__(self) -> None:
         self._waiters: list[_Waiter[T]] = []
-        self._ticker: asyncio.Task[None] | None = None
+        self._poller: asyncio.Task[None] | None = None
         self._turn = 0
 
     def __len__(self) -> int:
@@ -99,8 +99,8 @@
         future: asyncio.Future[T] = asyncio.get_running_loop().create_future()
         waiter = _Waiter(ticket, acquire, future)
         self._waiters.append(waiter)
-        if self._ticker is None or self._ticker.done():
-            self._ticker = asyncio.create_task(self._tick())
+        if self._poller is None or self._poller.done():
+            self._poller = asyncio.create_task(self._poll())
         try:
             await asyncio.wait((future,), timeout=left_s)
         except asyncio.CancelledError:
@@ -112,7 +112,7 @@
                 self._waiters.remove(waiter)
         return future.result() if future.done() else None
 
-    async def _tick(self) -> None:
+    async def _poll(self) -> None:
         while self._waiters:
             await asyncio.sleep(POLL_INTERVAL_S)
             self._try_waiters(read_clock())
