--- a/cloverway/tests/test_fleet_leaving.py
+++ b/cloverway/tests/test_fleet_leaving.py
@@ -56,7 +56,7 @@
 
 
 def test_a_host_avoids_a_leaving_endpoint_that_only_another_host_knew_of():
-    """Guards against a request from each host of a region until the endpoint tells it directly."""
+    """Guards against a request from each host of a region until each has got the announcement."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=2) as fleet:
@@ -105,4 +105,4 @@
         await fleet.call("/safe/a", host)
         if any(endpoint.has_announced_leaving for endpoint in host.directory.endpoints.values()):
             return
-    raise AssertionError("the endpoint was never asked")
+    raise AssertionError("the endpoint received no request")
--- a/cloverway/tests/test_fleet_limits.py
+++ b/cloverway/tests/test_fleet_limits.py
@@ -78,7 +78,7 @@
 
 
 def test_a_host_keeps_to_a_limit_that_only_another_host_received():
-    """Guards against hosts that each overload an endpoint until it tells them its limit."""
+    """Guards against hosts that each overload an endpoint until it states its limit to them."""
 
     async def scenario():
         async with run_fleet(hosts=2, endpoints=1) as fleet:
--- a/cloverway/tests/test_statements.py
+++ b/cloverway/tests/test_statements.py
@@ -145,7 +145,7 @@
 
 
 def test_other_hosts_learn_that_an_endpoint_is_leaving_and_avoid_it():
-    """Guards against hosts that send to a leaving endpoint until it has told each of them."""
+    """Guards against hosts that send to a leaving endpoint until each has the announcement."""
 
     async def scenario():
         here, there = RecordingHost("a", ["b"]), RecordingHost("b", ["a"])
