--- a/cloverway/tests/ablated.py
+++ b/cloverway/tests/ablated.py
@@ -1,6 +1,6 @@
 """Run a host of a fleet with some of its decision mechanisms disabled, to measure their effect.
 
-    python -m cloverway.tests.ablated fetch pace
+    python -m cloverway.tests.ablated fetch read_pace
 
 A copy of the deploy file runs this instead of `python -m cloverway.platform`; the product doesn't
 depend on it. `--list` prints the mechanisms.
